--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -1,10 +1,10 @@
 //! `stairstage upgrade`: what operators see of an upgrade, and how they finalize or abort it.
 
 use super::{with_settings, EXIT_REFUSED};
-use crate::bookkeeping::store::Store;
 use crate::service::controller::wall_ms;
 use crate::service::upgrade::records;
 use crate::settings::Settings;
+use crate::storage::key_value_store::Store;
 use clap::{Args, Subcommand, ValueEnum};
 use stairstage_upgrade::operation::{Outcome, Request};
 use stairstage_upgrade::plan::{Asked, Plan};
--- a/src/coordination/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -2,8 +2,8 @@
 
 use super::supply::{slots_by_zone, Supply};
 use super::Demand;
-use crate::coordination::core::Core;
-use crate::coordination::placement::may_use;
+use crate::coordination::cluster::Core;
+use crate::coordination::scheduling::placement::may_use;
 use crate::coordination::state::*;
 use crate::coordination::Time;
 use std::collections::{HashMap, HashSet};
@@ -67,7 +67,7 @@
 impl Core {
     /// What the queue needs: enough that each job, after those before it, ends in its time, on
     /// machines that it may use; and for a gang, room for all of its tasks at once.
-    pub(super) fn batch_demands(&self, supply: &[Supply], now: Time) -> Vec<Demand> {
+    pub(crate) fn batch_demands(&self, supply: &[Supply], now: Time) -> Vec<Demand> {
         let mut batches: Vec<&Job> = self
             .jobs
             .values()
@@ -143,7 +143,7 @@
     }
 
     /// Seconds until a machine is up, on average over the types.
-    pub(super) fn boot_s(&self) -> f64 {
+    pub(crate) fn boot_s(&self) -> f64 {
         let boots = self.types.iter().map(|t| t.boot_s);
         boots.sum::<f64>() / self.types.len().max(1) as f64
     }
--- a/src/coordination/demand/gangs.rs
+++ b/src/coordination/autoscaling/demand/gangs.rs
@@ -2,7 +2,7 @@
 
 use super::supply::may_use_type;
 use super::Demand;
-use crate::coordination::core::Core;
+use crate::coordination::cluster::Core;
 use crate::coordination::state::*;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, Kind};
@@ -12,7 +12,7 @@
 
 impl Core {
     /// The gang with the most work left that its team's limit lets start.
-    pub(super) fn largest_gang<'a>(&self, jobs: &[&'a Job]) -> Option<&'a Job> {
+    pub(crate) fn largest_gang<'a>(&self, jobs: &[&'a Job]) -> Option<&'a Job> {
         let gangs = jobs.iter().filter(|j| j.spec.kind == Kind::Gang);
         let startable = gangs.filter(|j| self.wanted(j, j.spec.tasks) == j.spec.tasks);
         let largest = startable.max_by(|a, b| a.work_left().total_cmp(&b.work_left()));
@@ -20,7 +20,7 @@
     }
 
     /// What a gang lacks to start, if so many of its tasks fit each zone.
-    pub(super) fn gang_demands(&self, job: &Job, slots: &BTreeMap<&str, u32>) -> Vec<Demand> {
+    pub(crate) fn gang_demands(&self, job: &Job, slots: &BTreeMap<&str, u32>) -> Vec<Demand> {
         let lacks = match (job.spec.one_zone, job.spec.spread) {
             (true, _) => self.lack_in_one_zone(job, slots).into_iter().collect(),
             (false, true) => self.lacks_by_zone(job, slots),
--- a/src/coordination/demand/mod.rs
+++ b/src/coordination/autoscaling/demand/mod.rs
@@ -4,9 +4,9 @@
 mod gangs;
 mod supply;
 
-use super::core::Core;
-use super::state::*;
-use super::Time;
+use crate::coordination::cluster::Core;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::job::{JobSpec, Kind};
 use std::sync::Arc;
 use supply::slots_by_zone;
@@ -15,7 +15,7 @@
 const SLACK: f64 = 1e-6;
 
 /// Tasks of one shape that want machines.
-pub(super) struct Demand {
+pub(crate) struct Demand {
     pub spec: Arc<JobSpec>,
     pub count: u32,
     /// Whether the cloud may take the machine back.
@@ -29,7 +29,7 @@
 }
 
 /// Demands of the same shape and with the same choice of machines as one.
-pub(super) fn merged(demands: Vec<Demand>) -> Vec<Demand> {
+pub(crate) fn merged(demands: Vec<Demand>) -> Vec<Demand> {
     let mut merged: Vec<Demand> = Vec::new();
     for demand in demands {
         let same = merged.iter_mut().find(|m| {
@@ -48,7 +48,7 @@
 
 impl Core {
     /// What is wanted beyond the machines that are up or coming.
-    pub(in crate::coordination) fn demands(&self, now: Time) -> Vec<Demand> {
+    pub(crate) fn demands(&self, now: Time) -> Vec<Demand> {
         let mut demands = Vec::new();
         // Room on machines that are on their way.
         let mut coming: Vec<(bool, Room)> = Vec::new();
@@ -143,7 +143,7 @@
     }
 
     /// As many of a job's tasks as its team's limit lets run.
-    pub(in crate::coordination) fn wanted(&self, job: &Job, count: u32) -> u32 {
+    pub(crate) fn wanted(&self, job: &Job, count: u32) -> u32 {
         let Some(team) = self.team(&job.spec.team) else {
             return 0;
         };
--- a/src/coordination/demand/supply.rs
+++ b/src/coordination/autoscaling/demand/supply.rs
@@ -1,6 +1,6 @@
 //! The machines that are at hand or on their way, and which jobs may use them.
 
-use crate::coordination::core::Core;
+use crate::coordination::cluster::Core;
 use crate::coordination::state::*;
 use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
@@ -11,7 +11,7 @@
 /// A machine that is up, boots or has been asked for, with the room that no service takes, and the
 /// room that nothing takes.
 #[derive(Clone)]
-pub(super) struct Supply<'a> {
+pub(crate) struct Supply<'a> {
     pub kind: &'a MachineType,
     pub zone: &'a str,
     pub spot: bool,
@@ -28,20 +28,20 @@
 
 /// The machines that jobs may use.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Choice<'a> {
+pub(crate) struct Choice<'a> {
     types: Vec<&'a str>,
     zone: Option<&'a str>,
     spot: bool,
 }
 
 /// Whether a task fits a type of machine that the job's description allows.
-pub(super) fn may_use_type(spec: &JobSpec, kind: &MachineType) -> bool {
+pub(crate) fn may_use_type(spec: &JobSpec, kind: &MachineType) -> bool {
     let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&kind.name));
     allowed && Room::of_type(kind).fits(&Room::of(spec))
 }
 
 /// How many tasks of a job fit machines of each zone, by the room that counts.
-pub(super) fn slots_by_zone<'a>(
+pub(crate) fn slots_by_zone<'a>(
     job: &Job,
     supply: &[Supply<'a>],
     room: impl Fn(&Supply) -> Room,
@@ -55,7 +55,7 @@
 
 impl Core {
     /// The machines that are up or come, with the room that batches can use.
-    pub(super) fn supply(&self, now: Time) -> Vec<Supply<'_>> {
+    pub(crate) fn supply(&self, now: Time) -> Vec<Supply<'_>> {
         let mut supply = Vec::new();
         for r in self.fleet.renting.values() {
             let coming = self.type_of(&r.kind).map(|kind| Supply {
@@ -90,7 +90,7 @@
 
     /// Waiting jobs by the machines that they may use: types on which a task fits, zone, and whether
     /// the cloud may take them back.
-    pub(super) fn by_choice<'a>(
+    pub(crate) fn by_choice<'a>(
         &'a self,
         batches: &[&'a Job],
     ) -> BTreeMap<Choice<'a>, Vec<&'a Job>> {
--- a/src/coordination/traffic.rs
+++ b/src/coordination/autoscaling/replica_rates.rs
@@ -1,6 +1,6 @@
 //! How many replicas of a class of services come and go.
 
-use super::Time;
+use crate::coordination::Time;
 use crate::protocol::job::JobSpec;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,13 +28,13 @@
 }
 
 /// Replicas that come and go in the time that a machine takes to boot, on average.
-pub(super) struct Rates {
+pub(crate) struct Rates {
     pub came: f64,
     pub went: f64,
 }
 
 /// How many replicas of a class came and went of late.
-pub(super) struct Traffic {
+pub(crate) struct Traffic {
     /// The class's latest job.
     pub spec: Arc<JobSpec>,
     /// What was there at first is no sign of what comes.
--- a/src/coordination/retiring.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -1,10 +1,10 @@
 //! Which machines to give back: those that stand idle, and those whose replicas fit elsewhere.
 
-use super::core::Core;
-use super::fleet::LEAST_CHARGE_S;
-use super::placement::may_use;
-use super::state::*;
-use super::Time;
+use crate::coordination::autoscaling::scale_out::LEAST_CHARGE_S;
+use crate::coordination::cluster::Core;
+use crate::coordination::scheduling::placement::may_use;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use std::collections::HashMap;
 use tracing::info;
 
@@ -50,7 +50,7 @@
 
 impl Core {
     /// Gives back machines that stand idle, if what is expected fits without them.
-    pub(super) fn return_idle(&mut self, now: Time) {
+    pub(crate) fn return_idle(&mut self, now: Time) {
         let mut idle = self.idle_machines(now);
         if idle.is_empty() {
             return;
@@ -146,7 +146,7 @@
 
     /// Moves replicas off machines that hold nothing else, where others have room for them and
     /// their images, so that these can be returned.
-    pub(super) fn consolidate(&mut self, now: Time) {
+    pub(crate) fn consolidate(&mut self, now: Time) {
         let up = self.machines.values().filter(|m| m.phase == Phase::Up);
         let (mut count, mut moving) = (0, 0);
         for m in up {
--- a/src/coordination/fleet.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -1,10 +1,10 @@
 //! Which machines are rented for a demand, and what the cloud says of them.
 
-use super::core::{Core, Effect};
-use super::demand::{merged, Demand};
-use super::state::*;
-use super::traffic::Traffic;
-use super::Time;
+use crate::coordination::autoscaling::demand::{merged, Demand};
+use crate::coordination::autoscaling::replica_rates::Traffic;
+use crate::coordination::cluster::{Core, Effect};
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::cloud::*;
 use crate::protocol::job::{JobSpec, Kind};
 use std::collections::BTreeMap;
@@ -14,21 +14,21 @@
 /// The share of an earlier leader's machines that must have been heard before any are rented.
 const SETTLED_SHARE: f64 = 0.9;
 /// What a machine costs at least, in seconds of its price.
-pub(super) const LEAST_CHARGE_S: f64 = 60.0;
+pub(crate) const LEAST_CHARGE_S: f64 = 60.0;
 
 #[derive(Default)]
 pub struct Fleet {
-    pub(super) services: BTreeMap<String, Traffic>,
+    pub(crate) services: BTreeMap<String, Traffic>,
     /// Type, zone and kind of rentals that the cloud refused, and until when that is remembered.
-    pub(super) refused: BTreeMap<(Name, Name, bool), Time>,
-    pub(super) renting: BTreeMap<String, Rent>,
+    pub(crate) refused: BTreeMap<(Name, Name, bool), Time>,
+    pub(crate) renting: BTreeMap<String, Rent>,
     /// Whether a rental was answered, so that the next one need not wait for the next tick.
     again: bool,
     managed: Time,
 }
 
 impl Fleet {
-    pub(super) fn arrived(&mut self, spec: &Arc<JobSpec>, now: Time) {
+    pub(crate) fn arrived(&mut self, spec: &Arc<JobSpec>, now: Time) {
         if spec.kind == Kind::Service {
             let entry = self.services.entry(spec.class.clone());
             let traffic = entry.or_insert_with(|| Traffic::new(spec.clone(), now));
@@ -36,7 +36,7 @@
         }
     }
 
-    pub(super) fn left(&mut self, spec: &JobSpec, now: Time) {
+    pub(crate) fn left(&mut self, spec: &JobSpec, now: Time) {
         if let Some(traffic) = self.services.get_mut(&spec.class) {
             traffic.left(spec.tasks, now);
         }
@@ -44,7 +44,7 @@
 
     /// Replicas that are expected within the time that a machine takes to boot, beyond those whose
     /// room comes free by then: their shape, number and image.
-    pub(super) fn expected(&self, core: &Core, now: Time) -> Vec<(Room, u32, String)> {
+    pub(crate) fn expected(&self, core: &Core, now: Time) -> Vec<(Room, u32, String)> {
         let Some(boot_s) = core.shortest_boot_s() else {
             return Vec::new();
         };
@@ -76,14 +76,14 @@
     }
 
     /// Rents on as soon as answers are in, but not more often than the cloud takes calls.
-    pub(super) fn rent_on(&mut self, now: Time) {
+    pub(crate) fn rent_on(&mut self, now: Time) {
         let pause_s = 1.0 / self.settings.cluster.cloud.rps;
         if self.fleet.again && now - self.fleet.managed >= pause_s {
             self.manage_fleet(now);
         }
     }
 
-    pub(super) fn manage_fleet(&mut self, now: Time) {
+    pub(crate) fn manage_fleet(&mut self, now: Time) {
         if self.types.is_empty() {
             return;
         }
--- a/src/coordination/places.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -5,9 +5,9 @@
 //! report ([`Core::tasks_not_shown`]), a new session, a lease that is over by our clock, or the
 //! cloud's word.
 
-use super::core::*;
-use super::state::*;
-use super::Time;
+use crate::coordination::cluster::*;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::job::Kind;
 use crate::protocol::worker::Report;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 
 impl Core {
     /// Puts a task on a machine. The launch leaves once the record is written.
-    pub(super) fn add_place(&mut self, key: PlaceKey, machine: &Name, stage: Stage, now: Time) {
+    pub(crate) fn add_place(&mut self, key: PlaceKey, machine: &Name, stage: Stage, now: Time) {
         let placement_record = self.choose_placement_record(&key, machine);
         let place = NewPlace {
             key,
@@ -90,7 +90,7 @@
     /// Moves places that a record is too small for into others, as after a leader whose records may
     /// be larger. Until those are written, the old record stays as it is: what it told of must not be
     /// forgotten in between.
-    pub(super) fn split_placement_record(&mut self, placement_record: usize, now: Time) {
+    pub(crate) fn split_placement_record(&mut self, placement_record: usize, now: Time) {
         while self.placement_records[placement_record].bytes() > self.record_bytes
             && self.placement_records[placement_record].entries().len() > 1
         {
@@ -130,7 +130,7 @@
     }
 
     /// A record is written: those that waited for it to take over may shrink.
-    pub(super) fn taken_over(&mut self, by: usize) {
+    pub(crate) fn taken_over(&mut self, by: usize) {
         let placement_records = &mut self.placement_records;
         self.shrinking.retain(|i| {
             placement_records[*i].shrinks_after.remove(&by);
@@ -163,7 +163,7 @@
     }
 
     /// The record of which tasks have completed is out of date.
-    pub(super) fn touch(&mut self, id: &Name, task: u32, now: Time) {
+    pub(crate) fn touch(&mut self, id: &Name, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -177,7 +177,7 @@
 
     /// The task is surely not on the machine any more (or, `done`, has completed): it counts no
     /// longer, and may be placed anew.
-    pub(super) fn clear_place(&mut self, key: &PlaceKey, machine: &Name, ran: bool, now: Time) {
+    pub(crate) fn clear_place(&mut self, key: &PlaceKey, machine: &Name, ran: bool, now: Time) {
         let (id, task, attempt) = key;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -209,7 +209,7 @@
         self.drop_ended(id);
     }
 
-    pub(super) fn stop(&mut self, machine: &Name, key: &PlaceKey, grace_s: f64, now: Time) {
+    pub(crate) fn stop(&mut self, machine: &Name, key: &PlaceKey, grace_s: f64, now: Time) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -238,7 +238,7 @@
     }
 
     /// The machine and all on it are gone, by the cloud's word.
-    pub(super) fn machine_gone(&mut self, name: &Name, now: Time) {
+    pub(crate) fn machine_gone(&mut self, name: &Name, now: Time) {
         let Some(m) = self.machines.remove(name) else {
             return;
         };
@@ -251,7 +251,7 @@
         self.gone.insert(name.clone(), now);
     }
 
-    pub(super) fn replica_lost(&mut self, id: &Name, now: Time) {
+    pub(crate) fn replica_lost(&mut self, id: &Name, now: Time) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -262,7 +262,7 @@
     }
 
     /// Forgets what was on a machine whose worker has begun a new session.
-    pub(super) fn clear_session(&mut self, name: &Name, now: Time) {
+    pub(crate) fn clear_session(&mut self, name: &Name, now: Time) {
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
@@ -288,7 +288,7 @@
         }
     }
 
-    pub(super) fn tasks_not_shown(
+    pub(crate) fn tasks_not_shown(
         &mut self,
         name: &Name,
         shown: &BTreeSet<PlaceKey>,
@@ -345,7 +345,7 @@
     /// still renew it. A worker that has seen our token is renewed by us alone, and so is every
     /// worker once the other controllers have promised as much. A session that was heard of may
     /// have begun just then, and what is sent to it runs in no later one.
-    pub(super) fn renewed_by(&self, m: &Machine) -> Option<Time> {
+    pub(crate) fn renewed_by(&self, m: &Machine) -> Option<Time> {
         let known = m.answered.max(m.heard.unwrap_or(m.answered));
         match m.token >= self.first_token {
             true => Some(known.max(self.leads_since)),
@@ -354,7 +354,7 @@
     }
 
     /// When a worker's lease is over by our clock, it has killed and forgotten every task.
-    pub(super) fn expire_sessions(&mut self, now: Time) {
+    pub(crate) fn expire_sessions(&mut self, now: Time) {
         let lease_s = self.settings.cluster.workers.lease_s;
         let over: Vec<Name> = self
             .machines
@@ -382,7 +382,7 @@
     }
 
     /// Loads a place that an earlier leader recorded.
-    pub(super) fn recover_place(
+    pub(crate) fn recover_place(
         &mut self,
         placement_record: usize,
         key: PlaceKey,
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -16,10 +16,10 @@
 //!
 //! That the leadership lease was renewed proves nothing here: the news of changes may lag behind.
 
-use super::core::DRIFT;
-use super::Time;
-use crate::bookkeeping::cancellations::{CancellationPage, Cursor};
+use crate::coordination::cluster::DRIFT;
+use crate::coordination::Time;
 use crate::settings::Workers;
+use crate::storage::cancellation_log::{CancellationPage, Cursor};
 use std::collections::BTreeMap;
 
 /// The share of the time between the end of a lease and the end of a cancellation that is used; the
--- a/src/coordination/orders.rs
+++ b/src/coordination/cluster/commands.rs
@@ -1,10 +1,10 @@
 //! Commands to workers, and the tokens that they carry.
 
-use super::core::*;
-use super::state::*;
-use super::Time;
-use crate::bookkeeping::records::Cut;
+use crate::coordination::cluster::*;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::worker::{Cause, Command, Orders};
+use crate::storage::records::Cut;
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
@@ -12,7 +12,7 @@
 const EXITED_A_MACHINE: usize = 4;
 
 /// Whether a task's completion is known here only: its worker must not forget it yet.
-pub(super) fn unrecorded(jobs: &BTreeMap<Name, Job>, id: &Name, task: u32, cut: Cut) -> bool {
+pub(crate) fn unrecorded(jobs: &BTreeMap<Name, Job>, id: &Name, task: u32, cut: Cut) -> bool {
     jobs.get(id).is_some_and(|j| {
         let completion_record = j.completion_records.get(task as usize / cut.tasks);
         !j.ended && completion_record.is_some_and(|c| c.dirty.is_some() || c.in_flight)
@@ -22,7 +22,7 @@
 impl Core {
     /// What a worker should be told now: in the answer to its report `reply`, or directly. Only
     /// what was never sent goes directly, and `forget` never does: it must not overtake a launch.
-    pub(super) fn commands(&mut self, name: &Name, reply: Option<u64>, now: Time) -> Vec<Command> {
+    pub(crate) fn commands(&mut self, name: &Name, reply: Option<u64>, now: Time) -> Vec<Command> {
         let Some(m) = self.machines.get_mut(name) else {
             return Vec::new();
         };
@@ -88,7 +88,7 @@
 
     /// Sends straight to workers what should not wait for their next report. A leader whose lease
     /// may be over still stops tasks by this, but starts none.
-    pub(super) fn send_orders(&mut self, now: Time) {
+    pub(crate) fn send_orders(&mut self, now: Time) {
         if self.deposed {
             return;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Sends commands (perhaps none: then only the token and a report are exchanged).
-    pub(super) fn order(&mut self, name: &Name, commands: Vec<Command>) {
+    pub(crate) fn order(&mut self, name: &Name, commands: Vec<Command>) {
         let token = self.token;
         let Some(m) = self.machines.get_mut(name) else {
             return;
@@ -161,7 +161,7 @@
     }
 
     /// Draws a new token when launches that may still arrive hold something up.
-    pub(super) fn raise_token(&mut self, now: Time) {
+    pub(crate) fn raise_token(&mut self, now: Time) {
         let workers = &self.settings.cluster.workers;
         if self.raising || now - self.raised_at < workers.lease_s / 2.0 {
             return;
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -7,11 +7,11 @@
 //! only, has the others looked up, each once. Once a job is cancelled, all that need it are doomed,
 //! however far: each gets its end on record, and users are told of it then.
 
-use super::core::{Core, Effect};
-use super::state::*;
-use super::Time;
-use crate::bookkeeping::records::EndRecord;
+use crate::coordination::cluster::{Core, Effect};
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::job::JobState;
+use crate::storage::records::EndRecord;
 use std::collections::{BTreeSet, HashMap};
 use tracing::{debug, info};
 
@@ -32,19 +32,19 @@
 
 impl Core {
     /// Whether jobs wait for this one.
-    pub(super) fn is_needed(&self, id: &Name) -> bool {
+    pub(crate) fn is_needed(&self, id: &Name) -> bool {
         self.pipelines.needed_by.contains_key(id)
     }
 
     /// Whether it is not known what has become of a job that this one needs.
-    pub(super) fn needs_unknown_job(&self, job: &Job) -> bool {
+    pub(crate) fn needs_unknown_job(&self, job: &Job) -> bool {
         job.needs
             .iter()
             .any(|id| self.pipelines.unknown.contains(id))
     }
 
     /// A new job: what it waits for, and who waits for it.
-    pub(super) fn enlist(&mut self, id: &Name, now: Time) {
+    pub(crate) fn enlist(&mut self, id: &Name, now: Time) {
         self.pipelines.unknown.remove(id);
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -80,7 +80,7 @@
     }
 
     /// Places and completed tasks on record prove that all that a job needs was done then.
-    pub(super) fn waits_no_more(&mut self) {
+    pub(crate) fn waits_no_more(&mut self) {
         let begun = self.jobs.values().filter(|j| j.live > 0 || j.done > 0);
         let begun: Vec<Name> = begun.map(|j| j.id.clone()).collect();
         for id in begun {
@@ -89,7 +89,7 @@
     }
 
     /// The job waits for nothing any more, whatever it has waited for.
-    pub(super) fn leave(&mut self, id: &Name) {
+    pub(crate) fn leave(&mut self, id: &Name) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -106,7 +106,7 @@
 
     /// The end of a job is on record, since then at the latest: what waits for it goes on, or ends
     /// with it.
-    pub(super) fn resolve(&mut self, id: &Name, state: JobState, since: Time) {
+    pub(crate) fn resolve(&mut self, id: &Name, state: JobState, since: Time) {
         self.pipelines.unknown.remove(id);
         for waiting in self.pipelines.needed_by.remove(id).unwrap_or_default() {
             if state == JobState::Cancelled {
@@ -205,7 +205,7 @@
     }
 
     /// Asks for the ends of jobs that are needed and not known.
-    pub(super) fn seek_ends(&mut self, now: Time) {
+    pub(crate) fn seek_ends(&mut self, now: Time) {
         if self.pipelines.seeking || now < self.pipelines.seek_at || !self.leads(now) {
             return;
         }
--- a/src/coordination/redirects.rs
+++ b/src/coordination/cluster/heartbeat_routing.rs
@@ -1,7 +1,7 @@
 //! Where a follower sends the reports of workers that come to it.
 
-use super::core::LOST_AT_A_NODE_S;
-use super::Time;
+use crate::coordination::cluster::LOST_AT_A_NODE_S;
+use crate::coordination::Time;
 use crate::settings::{Workers, LONGEST_REPORT_INTERVAL};
 use std::collections::HashMap;
 
--- a/src/coordination/reports.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -1,9 +1,9 @@
 //! What workers report, and how they are answered.
 
-use super::core::*;
-use super::orders::unrecorded;
-use super::state::*;
-use super::Time;
+use crate::coordination::cluster::commands::unrecorded;
+use crate::coordination::cluster::*;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::job::{parse_task, Kind};
 use crate::protocol::worker::{Cause, Command, Report, ReportAnswer, TaskReport, TaskState};
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
     /// Whether a report is newer than all before it. A worker keeps the highest token that it has
     /// seen: with a lower one it is from before its process ended, or a new process that must first
     /// prove itself; its counters do not tell which.
-    pub(super) fn is_newer(&self, r: &Report) -> bool {
+    pub(crate) fn is_newer(&self, r: &Report) -> bool {
         self.machines
             .get(r.machine.as_str())
             .is_none_or(|m| (r.session, r.seq) > (m.session, m.seq) && r.token >= m.token)
@@ -138,7 +138,7 @@
         true
     }
 
-    pub(super) fn task_shown(&mut self, name: &Name, key: &PlaceKey, t: &TaskReport, now: Time) {
+    pub(crate) fn task_shown(&mut self, name: &Name, key: &PlaceKey, t: &TaskReport, now: Time) {
         let Some(job) = self.jobs.get(&key.0) else {
             return;
         };
--- a/src/coordination/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -1,15 +1,15 @@
 //! Jobs: their descriptions, their state as users are told it, and their completed tasks.
 
-use super::core::*;
-use super::state::*;
-use super::Time;
-use crate::bookkeeping::records::OpenRecord;
+use crate::coordination::cluster::*;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::job::{JobState, JobStatus, Kind};
+use crate::storage::records::OpenRecord;
 use std::sync::Arc;
 use tracing::{debug, info};
 
 impl Core {
-    pub(super) fn owner(job: &Job) -> String {
+    pub(crate) fn owner(job: &Job) -> String {
         format!("{}/{}", job.spec.team, job.spec.class)
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Nothing is left of the job but the record of its end.
-    pub(super) fn mark_over(&mut self, id: &Name) {
+    pub(crate) fn mark_over(&mut self, id: &Name) {
         let first = self.is_needed(id) || self.jobs.get(id).is_some_and(|j| j.doomed);
         self.over.insert((!first, id.clone()));
     }
@@ -75,7 +75,7 @@
     }
 
     /// Stops whatever is or may be of a job on any machine.
-    pub(super) fn stop_all(&mut self, id: &Name, grace_s: f64, now: Time) {
+    pub(crate) fn stop_all(&mut self, id: &Name, grace_s: f64, now: Time) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -110,7 +110,7 @@
         })
     }
 
-    pub(super) fn task_done(&mut self, id: &Name, task: u32, now: Time) {
+    pub(crate) fn task_done(&mut self, id: &Name, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -153,7 +153,7 @@
         }
     }
 
-    pub(super) fn recover_done(&mut self, id: &Name, task: u32) {
+    pub(crate) fn recover_done(&mut self, id: &Name, task: u32) {
         if let Some(job) = self.jobs.get_mut(id) {
             if let Some(slot) = job.tasks.get_mut(task as usize).filter(|t| !t.done) {
                 slot.done = true;
--- a/src/coordination/health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -1,8 +1,8 @@
 //! Machines that are silent, faulty or about to be taken; jobs that fail wherever they run.
 
-use super::core::{Core, Effect, DRIFT};
-use super::state::*;
-use super::Time;
+use crate::coordination::cluster::{Core, Effect, DRIFT};
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::cloud::MOST_RETURNED;
 use crate::protocol::job::Kind;
 use tracing::{info, warn};
@@ -34,7 +34,7 @@
 const MASS_FAILURE_LEAST: usize = 2;
 
 impl Core {
-    pub(super) fn succeeded_on(&mut self, name: &Name, image: &str) {
+    pub(crate) fn succeeded_on(&mut self, name: &Name, image: &str) {
         if let Some(m) = self.machines.get_mut(name) {
             m.failures.clear();
             m.faults.clear();
@@ -45,7 +45,7 @@
     /// A task failed that had been placed at `since`. The job pauses when it fails on several
     /// machines, or again where it failed before. Tasks that fail together count once. The machine
     /// comes last from now on; whether it is at fault shows once the job runs elsewhere.
-    pub(super) fn failed_on(&mut self, id: &Name, name: &Name, since: Time, now: Time) {
+    pub(crate) fn failed_on(&mut self, id: &Name, name: &Name, since: Time, now: Time) {
         let report_s = self.settings.cluster.workers.report_s;
         if let Some(m) = self.machines.get_mut(name) {
             m.failures.insert(id.clone());
@@ -69,7 +69,7 @@
 
     /// A task of the job has completed, so the job is sound: machines on which it failed before are
     /// faulty, if others prove the same. A job that never completes anything proves nothing.
-    pub(super) fn proves_faults(&mut self, id: &Name) {
+    pub(crate) fn proves_faults(&mut self, id: &Name) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -91,7 +91,7 @@
     }
 
     /// A start was refused: the next try waits for a newer picture of the machine.
-    pub(super) fn refused_on(&mut self, id: &Name, now: Time) {
+    pub(crate) fn refused_on(&mut self, id: &Name, now: Time) {
         let pause_s = self.settings.cluster.workers.report_s / 2.0;
         if let Some(job) = self.jobs.get_mut(id) {
             job.retry_at = job.retry_at.max(now + pause_s);
@@ -99,7 +99,7 @@
     }
 
     /// The cloud takes the machine soon: what can save does, the rest moves.
-    pub(super) fn drain(&mut self, name: &Name, now: Time) {
+    pub(crate) fn drain(&mut self, name: &Name, now: Time) {
         let Some(m) = self.machines.get(name) else {
             return;
         };
@@ -132,7 +132,7 @@
     }
 
     /// Looks after machines that are silent, failed or never came up.
-    pub(super) fn check_machines(&mut self, now: Time) {
+    pub(crate) fn check_machines(&mut self, now: Time) {
         let cut_off = now - self.last_heard > self.silence_of_all_s();
         self.survey_machines(now);
         self.return_silent(cut_off, now);
@@ -279,7 +279,7 @@
     }
 
     /// Decides that a machine is to be returned; it counts until the cloud has confirmed it.
-    pub(super) fn give_back(&mut self, name: &Name) {
+    pub(crate) fn give_back(&mut self, name: &Name) {
         if let Some(m) = self.machines.get_mut(name) {
             m.phase = Phase::Returning;
         }
--- a/src/coordination/core.rs
+++ b/src/coordination/cluster/mod.rs
@@ -5,16 +5,27 @@
 //! not grow with the fleet: what an event leaves to do is kept in indices (`urgent`, `lagging`,
 //! `over`, `to_order`), and passes over all that waits are paced by what they cost.
 
-use super::predict::Predictor;
-use super::state::*;
-use super::Time;
-use crate::bookkeeping::budget::Budget;
-use crate::bookkeeping::records::*;
+pub mod allocations;
+pub mod cancellation_evidence;
+pub mod commands;
+pub mod dependencies;
+pub mod heartbeat_routing;
+pub mod heartbeats;
+pub mod jobs;
+pub mod machine_health;
+pub mod recovery;
+pub mod writes;
+
+use crate::coordination::prediction::Predictor;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::cloud::{MachineType, Rent};
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Item, Transaction};
 use crate::protocol::worker::*;
 use crate::settings::{Settings, Team, LONGEST_REPORT_INTERVAL};
+use crate::storage::records::*;
+use crate::storage::token_bucket::Budget;
 use serde_json::Value;
 use stairstage_upgrade::fence::Clearance;
 use std::cell::Cell;
@@ -79,10 +90,10 @@
 }
 
 /// A record of places on its way, with those that it makes known for the first time.
-pub(super) type SentPlacementRecord = (usize, Vec<(PlaceKey, Name)>);
+pub(crate) type SentPlacementRecord = (usize, Vec<(PlaceKey, Name)>);
 
 #[derive(Default)]
-pub(super) struct InFlight {
+pub(crate) struct InFlight {
     pub placement_records: Vec<SentPlacementRecord>,
     pub completion_records: Vec<(Name, usize)>,
     pub ends: Option<Name>,
@@ -91,7 +102,7 @@
 
 /// Changes at the state service, and the launches that they allow.
 #[derive(Default)]
-pub(super) struct Spent {
+pub(crate) struct Spent {
     pub ends: usize,
     pub places: usize,
     pub launches: usize,
@@ -100,102 +111,102 @@
 }
 
 pub struct Core {
-    pub(super) settings: Arc<Settings>,
+    pub(crate) settings: Arc<Settings>,
     pub token: u64,
     /// What may be written at the active cluster version.
     pub clearance: Clearance,
     /// Tokens of this leadership start here: a report at or above it was sent after we took over.
-    pub(super) first_token: u64,
+    pub(crate) first_token: u64,
     counter: u64,
-    pub(super) types: Vec<MachineType>,
-    pub(super) jobs: BTreeMap<Name, Job>,
-    pub(super) machines: BTreeMap<Name, Machine>,
-    pub(super) team_use: HashMap<String, (f64, f64)>,
-    pub(super) predictor: Predictor,
-    pub(super) gone: BTreeMap<Name, Time>,
-    pub(super) effects: Vec<Effect>,
-    pub(super) fleet: super::fleet::Fleet,
+    pub(crate) types: Vec<MachineType>,
+    pub(crate) jobs: BTreeMap<Name, Job>,
+    pub(crate) machines: BTreeMap<Name, Machine>,
+    pub(crate) team_use: HashMap<String, (f64, f64)>,
+    pub(crate) predictor: Predictor,
+    pub(crate) gone: BTreeMap<Name, Time>,
+    pub(crate) effects: Vec<Effect>,
+    pub(crate) fleet: crate::coordination::autoscaling::scale_out::Fleet,
     /// The records of places, and those that launches wait for.
-    pub(super) placement_records: Vec<PlacementRecord>,
-    pub(super) urgent: BTreeSet<usize>,
+    pub(crate) placement_records: Vec<PlacementRecord>,
+    pub(crate) urgent: BTreeSet<usize>,
     /// The record that new places go into.
-    pub(super) open_placement_record: usize,
+    pub(crate) open_placement_record: usize,
     /// Records of completed tasks that are out of date, the oldest first.
-    pub(super) lagging: VecDeque<(Time, Name, usize)>,
+    pub(crate) lagging: VecDeque<(Time, Name, usize)>,
     /// Jobs of which nothing is left but the record of their end; false for those that others wait
     /// for, or must end with, which come first.
-    pub(super) over: BTreeSet<(bool, Name)>,
-    pub(super) pipelines: super::pipelines::Pipelines,
+    pub(crate) over: BTreeSet<(bool, Name)>,
+    pub(crate) pipelines: dependencies::Pipelines,
     /// The time of day when our clock was at 0, in milliseconds.
-    pub(super) day_ms: f64,
+    pub(crate) day_ms: f64,
     /// Machines for which there may be something to say that should not wait for their reports.
-    pub(super) to_order: BTreeSet<Name>,
+    pub(crate) to_order: BTreeSet<Name>,
     /// Whether anything has changed that a pass could use, when the last one was, and before when
     /// the next one would cost too much.
-    pub(super) stirred: bool,
+    pub(crate) stirred: bool,
     passed_at: Time,
     next_pass: Time,
     chores_at: Time,
     explained: Time,
     /// Jobs that the reservation alone keeps from room, and since when.
-    pub(super) withheld: BTreeMap<Name, Time>,
+    pub(crate) withheld: BTreeMap<Name, Time>,
     /// Machines and places that passes have looked at so far.
-    pub(super) looks: Cell<u64>,
-    pub(super) in_flight: BTreeMap<u64, InFlight>,
+    pub(crate) looks: Cell<u64>,
+    pub(crate) in_flight: BTreeMap<u64, InFlight>,
     /// Changes since the last summary in the log, by what they were for.
-    pub(super) spent: Spent,
+    pub(crate) spent: Spent,
     /// Records that are of no use any more.
-    pub(super) stale_keys: BTreeSet<String>,
-    pub(super) budget: Budget,
-    pub(super) write_pause: Time,
+    pub(crate) stale_keys: BTreeSet<String>,
+    pub(crate) budget: Budget,
+    pub(crate) write_pause: Time,
     /// Until when the lease surely holds.
     pub valid_until: Time,
     pub leads_since: Time,
-    pub(super) raised_at: Time,
-    pub(super) raising: bool,
+    pub(crate) raised_at: Time,
+    pub(crate) raising: bool,
     pub deposed: bool,
     /// Whether this leader has launched a task yet.
-    pub(super) launched: bool,
+    pub(crate) launched: bool,
     /// When every other controller had promised to answer no report with a lower token.
-    pub(super) promised: Option<Time>,
+    pub(crate) promised: Option<Time>,
     /// How many machines are up, whether most of them have ever known this leader's token, and when any
     /// was last heard.
-    pub(super) up: usize,
-    pub(super) known_to_most: bool,
-    pub(super) last_heard: Time,
+    pub(crate) up: usize,
+    pub(crate) known_to_most: bool,
+    pub(crate) last_heard: Time,
     /// When a worker last reported to this node itself, in this term.
-    pub(super) reported_here: Option<Time>,
+    pub(crate) reported_here: Option<Time>,
     /// The ends of the last gap that may be, and of the last that is, a fault of our own network.
-    pub(super) gap_ended: Time,
-    pub(super) hears_since: Time,
+    pub(crate) gap_ended: Time,
+    pub(crate) hears_since: Time,
     /// Since when many machines have left commands unanswered: others may have failed with them.
-    pub(super) mass_failure_since: Option<Time>,
-    pub(super) cut: Cut,
+    pub(crate) mass_failure_since: Option<Time>,
+    pub(crate) cut: Cut,
     /// What a record and a transaction may hold.
-    pub(super) record_bytes: usize,
-    pub(super) most_changes: usize,
+    pub(crate) record_bytes: usize,
+    pub(crate) most_changes: usize,
     /// Records of places that wait for others to take over some of what they told of.
-    pub(super) shrinking: BTreeSet<usize>,
+    pub(crate) shrinking: BTreeSet<usize>,
 }
 
-pub(super) const WRITES_IN_FLIGHT: usize = 3;
+pub(crate) const WRITES_IN_FLIGHT: usize = 3;
 /// The share of the state service's budget for records; the rest is for users and leases.
 const RECORD_SHARE: f64 = 0.6;
 /// Bytes of a transaction that may be filled, of the 64 KiB allowed.
-pub(super) const TXN_BYTES: usize = 48 * 1024;
+pub(crate) const TXN_BYTES: usize = 48 * 1024;
 /// Commands in one answer, which must not be longer than 64 KiB.
-pub(super) const MOST_COMMANDS: usize = 400;
+pub(crate) const MOST_COMMANDS: usize = 400;
 /// A worker gives up on an answer after this time and on a node after one second more.
-pub(super) const WORKER_PATIENCE_S: f64 = 4.0;
-pub(super) const WORKER_RETRY_S: f64 = 1.0;
+pub(crate) const WORKER_PATIENCE_S: f64 = 4.0;
+pub(crate) const WORKER_RETRY_S: f64 = 1.0;
 /// What a worker loses at a node that does not answer.
-pub(super) const LOST_AT_A_NODE_S: f64 = WORKER_PATIENCE_S + WORKER_RETRY_S;
+pub(crate) const LOST_AT_A_NODE_S: f64 = WORKER_PATIENCE_S + WORKER_RETRY_S;
 /// A gap in all workers' reports shows that this node is cut off when it is so many times as long
 /// as the mean time between two reports, but never when shorter than this share of an interval.
 const GAP_REPORTS: f64 = 8.0;
 const LEAST_GAP: f64 = 0.25;
 /// Steady clocks of different machines may differ by this much.
-pub(super) const DRIFT: f64 = 1.001;
+pub(crate) const DRIFT: f64 = 1.001;
 /// Seconds between passes while nothing is known to have changed, and between checks of leases.
 const PASS_PAUSE_S: f64 = 0.5;
 /// Seconds between summaries in the log.
@@ -286,16 +297,16 @@
     }
 
     /// A number that no other leader, and no other call, gives out.
-    pub(super) fn unique(&mut self) -> u64 {
+    pub(crate) fn unique(&mut self) -> u64 {
         self.counter += 1;
         (self.first_token << 20) + self.counter
     }
 
-    pub(super) fn type_of(&self, name: &str) -> Option<&MachineType> {
+    pub(crate) fn type_of(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|t| t.name == name)
     }
 
-    pub(super) fn silence_s(&self) -> f64 {
+    pub(crate) fn silence_s(&self) -> f64 {
         let report_s = self.settings.cluster.workers.report_s;
         let patience = LOST_AT_A_NODE_S + report_s;
         (self.settings.policy.silence * report_s).max(patience)
@@ -303,7 +314,7 @@
 
     /// How long it takes until hearing no worker at all is no chance any more: they report at times
     /// of their own, so that many leave short gaps only.
-    pub(super) fn silence_of_all_s(&self) -> f64 {
+    pub(crate) fn silence_of_all_s(&self) -> f64 {
         let gap = GAP_REPORTS / self.up.max(1) as f64;
         gap.max(LEAST_GAP) * self.settings.cluster.workers.report_s
     }
@@ -311,7 +322,7 @@
     /// A worker is heard by this node itself. After a gap, what others did not answer in it says nothing of them; after
     /// one in which each should have reported, their silence counts from now. A shorter one may be
     /// chance when many report at the same time, again and again.
-    pub(super) fn hears(&mut self, now: Time) {
+    pub(crate) fn hears(&mut self, now: Time) {
         let gap = now - self.last_heard;
         if gap > self.silence_of_all_s() {
             self.gap_ended = now;
@@ -323,7 +334,7 @@
     }
 
     /// Whether new tasks may be placed on a machine.
-    pub(super) fn takes_tasks(&self, m: &Machine, now: Time) -> bool {
+    pub(crate) fn takes_tasks(&self, m: &Machine, now: Time) -> bool {
         m.takes_tasks(now, self.silence_s(), self.first_token)
     }
 
@@ -380,7 +391,7 @@
         self.looks.get()
     }
 
-    pub(super) fn look(&self, count: usize) {
+    pub(crate) fn look(&self, count: usize) {
         self.looks.set(self.looks.get() + count as u64);
     }
 
@@ -390,20 +401,20 @@
     }
 
     /// The moment of our clock that a time of day was, as far as clocks agree.
-    pub(super) fn time_of(&self, wall_ms: u64) -> Time {
+    pub(crate) fn time_of(&self, wall_ms: u64) -> Time {
         (wall_ms as f64 - self.day_ms) / 1000.0
     }
 
-    pub(super) fn wall_ms(&self, now: Time) -> u64 {
+    pub(crate) fn wall_ms(&self, now: Time) -> u64 {
         (self.day_ms + 1000.0 * now).max(0.0) as u64
     }
 
-    pub(super) fn team(&self, name: &str) -> Option<&Team> {
+    pub(crate) fn team(&self, name: &str) -> Option<&Team> {
         self.settings.team(name)
     }
 
     /// The value of a record, if it can be read.
-    pub(super) fn decode<T: serde::de::DeserializeOwned>(key: &str, value: Value) -> Option<T> {
+    pub(crate) fn decode<T: serde::de::DeserializeOwned>(key: &str, value: Value) -> Option<T> {
         serde_json::from_value(value)
             .map_err(|e| warn!("{key}: cannot be read: {e}"))
             .ok()
--- a/src/coordination/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -1,10 +1,10 @@
 //! How a new leader rebuilds its picture: from the records, then from the workers themselves.
 
-use super::core::Core;
-use super::state::*;
-use super::Time;
-use crate::bookkeeping::records::*;
+use crate::coordination::cluster::Core;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::store::Item;
+use crate::storage::records::*;
 use std::collections::BTreeMap;
 use tracing::info;
 
--- a/src/coordination/writes.rs
+++ b/src/coordination/cluster/writes.rs
@@ -1,15 +1,15 @@
 //! What the state service is told, within its budget, and what became of it.
 
-use super::core::*;
-use super::state::*;
-use super::Time;
-use crate::bookkeeping::records::{
-    end_key, open_key, parse_place_key, parse_run_key, place_key, run_key, EndRecord, PlaceRecord,
-    RunRecord, LEADER,
-};
+use crate::coordination::cluster::*;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Item, Transaction};
 use crate::settings::CONDITIONS_A_CHANGE;
+use crate::storage::records::{
+    end_key, open_key, parse_place_key, parse_run_key, place_key, run_key, EndRecord, PlaceRecord,
+    RunRecord, LEADER,
+};
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{VersionRange, VersionRecord};
 use std::collections::BTreeSet;
@@ -25,7 +25,7 @@
 
 impl Core {
     /// Writes what is out of date, as far as the budget allows.
-    pub(super) fn flush(&mut self, now: Time) {
+    pub(crate) fn flush(&mut self, now: Time) {
         if now < self.write_pause || !self.leads(now) {
             return;
         }
@@ -47,19 +47,19 @@
         }
     }
 
-    pub(super) fn submit_write(&mut self, transaction: Transaction, what: InFlight) {
+    pub(crate) fn submit_write(&mut self, transaction: Transaction, what: InFlight) {
         let id = self.unique();
         self.in_flight.insert(id, what);
         self.effects.push(Effect::Write { id, transaction });
     }
 
-    pub(super) fn begin(&self) -> Transaction {
+    pub(crate) fn begin(&self) -> Transaction {
         Transaction::at_version(&self.clearance).version(LEADER, self.token)
     }
 
     /// Ends a job: a write-once key, and its description closes. Its other records are of no use
     /// from then on; they are removed when there is time.
-    pub(super) fn write_end(&mut self, now: Time) -> bool {
+    pub(crate) fn write_end(&mut self, now: Time) -> bool {
         let idle = |(_, id): &&(bool, Name)| {
             let job = self.jobs.get(id);
             job.is_none_or(|j| {
@@ -275,7 +275,7 @@
         true
     }
 
-    pub(super) fn write_removals(&mut self, now: Time) -> bool {
+    pub(crate) fn write_removals(&mut self, now: Time) -> bool {
         let ops = self.most_changes;
         let keys: Vec<String> = self.stale_keys.iter().take(ops).cloned().collect();
         // Nothing hurries them: they leave room for what does, until they are too many.
@@ -408,7 +408,7 @@
 
     /// Its end is recorded. What may still be of it on a machine, such as a copy of a task that
     /// completed elsewhere, counts until it is proven gone.
-    pub(super) fn job_ended(&mut self, id: &Name, now: Time) {
+    pub(crate) fn job_ended(&mut self, id: &Name, now: Time) {
         let Some(job) = self.jobs.get_mut(id).filter(|j| !j.ended) else {
             return;
         };
@@ -455,7 +455,7 @@
     }
 
     /// Drops a job that has ended, once no machine may hold anything of it.
-    pub(super) fn drop_ended(&mut self, id: &Name) {
+    pub(crate) fn drop_ended(&mut self, id: &Name) {
         if self.jobs.get(id).is_some_and(|j| j.ended && j.live == 0) {
             self.jobs.remove(id);
         }
@@ -485,7 +485,7 @@
 
     /// A write failed or went unanswered: take the versions from what the keys hold now. A copy of
     /// that write which is applied later fails by the version that the next write changes.
-    pub(super) fn reread(&mut self, items: Vec<(String, Option<Item>)>, now: Time) {
+    pub(crate) fn reread(&mut self, items: Vec<(String, Option<Item>)>, now: Time) {
         for (key, item) in items {
             let version = item.as_ref().map_or(0, |i| i.version);
             if key == LEADER {
--- a/src/coordination/election/messages.rs
+++ b/src/coordination/election/messages.rs
@@ -1,8 +1,8 @@
 //! What an election is told, what it asks its driver to do, and what it tells the controller.
 
-use crate::bookkeeping::store::{Outcome, Renewal, Unavailable};
 use crate::coordination::Time;
 use crate::protocol::store::{Events, Transaction};
+use crate::storage::key_value_store::{Outcome, Renewal, Unavailable};
 use std::time::Duration;
 
 /// What the election tells the controller.
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -10,9 +10,9 @@
 pub use messages::{CurrentLeader, ElectionEvent, ElectionRequest, Input, Operation, Step};
 
 use super::Time;
-use crate::bookkeeping::records::{LeaderRecord, LEADER};
-use crate::bookkeeping::store::{Outcome, Unavailable};
 use crate::protocol::store::{Events, Transaction};
+use crate::storage::key_value_store::{Outcome, Unavailable};
+use crate::storage::records::{LeaderRecord, LEADER};
 use std::time::Duration;
 use term::{Term, TermEnd};
 use tracing::{debug, error, info, warn};
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -9,8 +9,8 @@
     leader_transaction, lease_event, CurrentLeader, ElectionEvent, ElectionRequest, Input,
     Operation, RENEWALS, RETRIES,
 };
-use crate::bookkeeping::store::{Outcome, Renewal, Unavailable};
 use crate::coordination::Time;
+use crate::storage::key_value_store::{Outcome, Renewal, Unavailable};
 use std::time::Duration;
 use tracing::error;
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,34 +1,21 @@
-//! Leadership and the scheduler.
+//! Leadership, scheduling and users' requests, without clocks, threads or sockets.
 //!
-//! Everything here is clock-free: it takes events with their time, and returns effects for other
-//! actors to carry out. [`election`] decides who leads; [`core`] owns the state; [`places`] guards the
-//! invariants that the rules rest on; [`jobs`], [`reports`], [`orders`] and [`writes`] change and tell
-//! it; [`queue`], [`pipelines`], [`deadlines`], [`backfill`], [`placement`], [`predict`], `demand`,
-//! [`fleet`], `traffic`, [`retiring`] and [`health`] decide. [`redirects`] is a follower's; [`requests`] are users', on any node.
+//! Everything here takes events with their time and returns effects for other actors to carry out.
+//!
+//! - [`election`] decides which controller leads;
+//! - [`state`] holds the types for jobs, machines and allocations;
+//! - [`cluster`] is the leader's view of the cluster: heartbeats, reconciliation, records;
+//! - [`scheduling`] decides which task runs on which machine, by [`prediction`] of run times;
+//! - [`autoscaling`] decides which machines to rent and which to return;
+//! - [`requests`] answers users, on any controller.
 
-pub mod backfill;
-pub mod cancellations;
-pub mod core;
-pub mod deadlines;
-mod demand;
+pub mod autoscaling;
+pub mod cluster;
 pub mod election;
-pub mod fleet;
-pub mod health;
-pub mod jobs;
-pub mod orders;
-pub mod pipelines;
-pub mod placement;
-pub mod places;
-pub mod predict;
-pub mod queue;
-pub mod recovery;
-pub mod redirects;
-pub mod reports;
+pub mod prediction;
 pub mod requests;
-pub mod retiring;
+pub mod scheduling;
 pub mod state;
-mod traffic;
-pub mod writes;
 
-/// Seconds of the steady clock since the process began.
+/// Seconds of the monotonic clock since the process began.
 pub type Time = f64;
--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -3,10 +3,10 @@
 use super::lookup::Lookup;
 use super::steps::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
 use super::TRIES;
-use crate::bookkeeping::records::{end_key, open_key};
-use crate::bookkeeping::store::Outcome;
 use crate::protocol::job::JobStatus;
 use crate::protocol::store::Transaction;
+use crate::storage::key_value_store::Outcome;
+use crate::storage::records::{end_key, open_key};
 use serde_json::Value;
 use stairstage_upgrade::fence::Clearance;
 
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -1,10 +1,10 @@
 //! Why a submission is not taken, as far as that shows without asking the state service.
 
 use super::{Answer, Context, Reason};
-use crate::bookkeeping::records::OpenRecord;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, Kind};
 use crate::settings::Settings;
+use crate::storage::records::OpenRecord;
 use stairstage_upgrade::Gate;
 
 /// The answer to a submission that is not taken, unless the job was accepted before.
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -4,10 +4,10 @@
 use super::lookup::Lookup;
 use super::steps::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
 use super::{Answer, Context, TRIES};
-use crate::bookkeeping::records::{end_key, open_key, EndRecord, OpenRecord};
-use crate::bookkeeping::store::Outcome;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
+use crate::storage::key_value_store::Outcome;
+use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use stairstage_upgrade::fence::Clearance;
 
 /// Records that a job's user has taken it back, unless it has ended.
--- a/src/coordination/requests/lookup.rs
+++ b/src/coordination/requests/lookup.rs
@@ -2,9 +2,9 @@
 
 use super::answers::without_counts;
 use super::steps::{Progress, Step, Stop, StoreAnswer, StoreCall};
-use crate::bookkeeping::records::{end_key, open_key, EndRecord, OpenRecord};
-use crate::bookkeeping::store::Unavailable;
 use crate::protocol::job::{JobState, JobStatus};
+use crate::storage::key_value_store::Unavailable;
+use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 
 /// Jobs that are read at the most to see whether one that another needs is cancelled.
 const MOST_FOLLOWED: usize = 24;
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -27,10 +27,10 @@
 pub use answers::{Answer, PeerAnswer, Reason};
 pub use steps::{StoreAnswer, StoreCall};
 
-use crate::bookkeeping::records::OpenRecord;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, JobState, JobStatus};
 use crate::settings::Settings;
+use crate::storage::records::OpenRecord;
 use cancellation::Cancellation;
 use polls::Poll;
 use stairstage_upgrade::fence::Clearance;
--- a/src/coordination/requests/polls/comparison.rs
+++ b/src/coordination/requests/polls/comparison.rs
@@ -3,10 +3,10 @@
 use super::known_jobs::{KnownJobs, Prerequisites};
 use super::reads::Read;
 use super::{Poll, WaitingPoll};
-use crate::bookkeeping::records::{end_key, open_key};
 use crate::coordination::requests::answers::without_counts;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
+use crate::storage::records::{end_key, open_key};
 use std::collections::{BTreeSet, HashSet};
 
 /// How a poll is decided.
--- a/src/coordination/requests/polls/known_jobs.rs
+++ b/src/coordination/requests/polls/known_jobs.rs
@@ -1,8 +1,8 @@
 //! What a node remembers of jobs, none of which ever changes: that they were accepted, what they
 //! wait for, and how they ended.
 
-use crate::bookkeeping::index::{EndIndex, RecentJobs};
 use crate::protocol::job::JobState;
+use crate::storage::recent_jobs::{EndIndex, RecentJobs};
 
 /// The most recent jobs.
 pub(super) struct KnownJobs {
--- a/src/coordination/requests/polls/read_results.rs
+++ b/src/coordination/requests/polls/read_results.rs
@@ -2,12 +2,12 @@
 
 use super::reads::{self, is_covered, Found, Read, RecordKind};
 use super::{take_where, Effect, PollBatcher, WaitingPoll};
-use crate::bookkeeping::store::Unavailable;
 use crate::coordination::requests::answers::without_counts;
 use crate::coordination::requests::steps::StoreAnswer;
 use crate::coordination::requests::Answer;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
+use crate::storage::key_value_store::Unavailable;
 use std::collections::HashSet;
 
 impl PollBatcher {
--- a/src/coordination/requests/polls/reads.rs
+++ b/src/coordination/requests/polls/reads.rs
@@ -1,10 +1,10 @@
 //! Records that are read for polls, and in which order.
 
-use crate::bookkeeping::records::{EndRecord, OpenRecord, END, OPEN};
-use crate::bookkeeping::store::Unavailable;
 use crate::coordination::requests::steps::{StoreAnswer, StoreCall};
 use crate::protocol::job::JobState;
 use crate::protocol::store::Item;
+use crate::storage::key_value_store::Unavailable;
+use crate::storage::records::{EndRecord, OpenRecord, END, OPEN};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::BTreeSet;
--- a/src/coordination/requests/prerequisites.rs
+++ b/src/coordination/requests/prerequisites.rs
@@ -2,10 +2,10 @@
 
 use super::lookup::{is_cancelled, Lookup};
 use super::steps::{Progress, Step, Stop, StoreAnswer, StoreCall};
-use crate::bookkeeping::records::{end_key, open_key};
-use crate::bookkeeping::store::Outcome;
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::Transaction;
+use crate::storage::key_value_store::Outcome;
+use crate::storage::records::{end_key, open_key};
 use std::collections::VecDeque;
 
 /// Compares the records of all jobs that a submission names: one request tells for several, since a
--- a/src/coordination/requests/steps.rs
+++ b/src/coordination/requests/steps.rs
@@ -1,7 +1,7 @@
 //! Calls to the state service, one at a time, and what a part of a request makes of the answers.
 
-use crate::bookkeeping::store::{Outcome, Unavailable};
 use crate::protocol::store::{Item, Page, Transaction};
+use crate::storage::key_value_store::{Outcome, Unavailable};
 use serde::de::DeserializeOwned;
 use stairstage_upgrade::records::VERSION;
 
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -6,8 +6,8 @@
 use super::prerequisites::{Needed, Prerequisites};
 use super::steps::{Progress, Step, StoreAnswer, StoreCall};
 use super::{Answer, Context, Decision, Reason};
-use crate::bookkeeping::records::{end_key, open_key, EndRecord, OpenRecord};
 use crate::protocol::job::{JobSpec, JobState};
+use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use stairstage_upgrade::fence::Clearance;
 
 /// Accepts a job, unless it is known or can't be taken.
--- a/src/coordination/backfill.rs
+++ b/src/coordination/scheduling/backfill.rs
@@ -1,7 +1,7 @@
 //! The head's reservation, and what may be started without delaying it.
 
-use super::state::Room;
-use super::Time;
+use crate::coordination::state::Room;
+use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine as the reservation sees it: what is free now and what comes free when.
--- a/src/coordination/deadlines.rs
+++ b/src/coordination/scheduling/deadlines.rs
@@ -4,7 +4,7 @@
 //! late by a little. So the largest of those that cannot all be met yield: Moore's rule, which
 //! keeps the number of late jobs least when each needs all machines, as large arrays nearly do.
 
-use super::Time;
+use crate::coordination::Time;
 use std::collections::BinaryHeap;
 
 /// What is left of a job that has a deadline.
--- a/src/coordination/placement/arrays.rs
+++ b/src/coordination/scheduling/placement/arrays.rs
@@ -1,8 +1,8 @@
 //! Where the tasks of arrays go.
 
 use super::Pass;
-use crate::coordination::backfill::Reservation;
-use crate::coordination::queue::Blocked;
+use crate::coordination::scheduling::backfill::Reservation;
+use crate::coordination::scheduling::queue::Blocked;
 use crate::coordination::state::*;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -40,7 +40,7 @@
 
 /// The machines that have room for a task, the best first. A job takes few of them, so that they are
 /// put in order only as far as it asks.
-pub(in crate::coordination) struct MachinesByCost(BinaryHeap<Reverse<Candidate>>);
+pub(crate) struct MachinesByCost(BinaryHeap<Reverse<Candidate>>);
 
 impl MachinesByCost {
     pub fn is_empty(&self) -> bool {
@@ -53,7 +53,7 @@
 }
 
 /// A shape of tasks that has found no room in this pass.
-pub(super) struct Full {
+pub(crate) struct Full {
     need: Room,
     /// Whether it could have used machines that the cloud may take back.
     spot: bool,
--- a/src/coordination/placement/gangs.rs
+++ b/src/coordination/scheduling/placement/gangs.rs
@@ -1,8 +1,8 @@
 //! Where the tasks of gangs go: all at once, or none.
 
 use super::{failure_penalty_s, Pass};
-use crate::coordination::backfill::Reservation;
-use crate::coordination::queue::Blocked;
+use crate::coordination::scheduling::backfill::Reservation;
+use crate::coordination::scheduling::queue::Blocked;
 use crate::coordination::state::*;
 use std::collections::{BTreeSet, HashMap};
 
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/scheduling/placement/mod.rs
@@ -4,13 +4,13 @@
 mod gangs;
 mod services;
 
-use super::core::Core;
-use super::state::*;
-use super::Time;
+use crate::coordination::cluster::Core;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-pub(super) struct Plan {
+pub(crate) struct Plan {
     pub job: Name,
     pub task: u32,
     pub machine: Name,
@@ -19,7 +19,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Plans {
+pub(crate) struct Plans {
     pub places: Vec<Plan>,
     pub stops: Vec<(Name, PlaceKey)>,
     /// Jobs of which nothing runs, and that found room but for the reservation.
@@ -27,7 +27,7 @@
 }
 
 /// One pass of placing: rooms and limits as they will be once its plans are carried out.
-pub(super) struct Pass<'a> {
+pub(crate) struct Pass<'a> {
     core: &'a Core,
     pub now: Time,
     machines: Vec<&'a Machine>,
@@ -218,7 +218,7 @@
 }
 
 /// Whether the job's description lets its tasks use the machine.
-pub(super) fn may_use(job: &Job, m: &Machine) -> bool {
+pub(crate) fn may_use(job: &Job, m: &Machine) -> bool {
     let spec = &job.spec;
     let kind = spec
         .types
@@ -264,7 +264,7 @@
 
 impl Core {
     /// What is free on a machine.
-    pub(super) fn free_room(&self, m: &Machine) -> Room {
+    pub(crate) fn free_room(&self, m: &Machine) -> Room {
         room_left(m, self.type_of(&m.kind))
     }
 }
--- a/src/coordination/placement/services.rs
+++ b/src/coordination/scheduling/placement/services.rs
@@ -1,7 +1,7 @@
 //! Where replicas of services go, and the room that is kept for those to come.
 
 use super::Pass;
-use crate::coordination::queue::{outranks, Blocked};
+use crate::coordination::scheduling::queue::{outranks, Blocked};
 use crate::coordination::state::*;
 
 /// Seconds of waiting that a free start is worth against stopping other work.
--- a/src/coordination/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -1,11 +1,11 @@
 //! One pass over what waits: services first, then the queue in its order with backfilling.
 
-use super::backfill::{reserve, reserve_gang, Frees, Reservation};
-use super::core::Core;
-use super::deadlines::{met, Remaining};
-use super::placement::Pass;
-use super::state::*;
-use super::Time;
+use crate::coordination::cluster::Core;
+use crate::coordination::scheduling::backfill::{reserve, reserve_gang, Frees, Reservation};
+use crate::coordination::scheduling::deadlines::{met, Remaining};
+use crate::coordination::scheduling::placement::Pass;
+use crate::coordination::state::*;
+use crate::coordination::Time;
 use crate::protocol::job::{Kind, Priority};
 use crate::protocol::worker::TaskState;
 use std::cmp::{Ordering, Reverse};
@@ -17,7 +17,7 @@
 
 /// Why a job's next task was not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Blocked {
+pub(crate) enum Blocked {
     /// Its team's limit, a rule about zones, or a pause after failures: it holds up nobody else.
     Rule,
     Room,
@@ -45,7 +45,7 @@
 
 impl Core {
     /// Decides what to place now. Plans are recorded before any launch leaves.
-    pub(super) fn schedule(&mut self, now: Time) {
+    pub(crate) fn schedule(&mut self, now: Time) {
         if self.types.is_empty() || !self.jobs.values().any(|j| waits(j, now)) {
             return;
         }
@@ -113,7 +113,7 @@
     /// The turns of the jobs that wait. Jobs without a deadline come in the order of arrival. A
     /// deadline brings a job forward to the latest start that meets it; what can no longer be met
     /// yields to what can, in tiers of lateness.
-    pub(super) fn turns(&self, queue: &[&Job], cpus: f64, now: Time) -> Turns {
+    pub(crate) fn turns(&self, queue: &[&Job], cpus: f64, now: Time) -> Turns {
         let mut turns = Turns::new();
         let mut left: Vec<(&Job, &Due, Vec<f64>)> = Vec::new();
         let mut taken = 0.0;
@@ -310,7 +310,7 @@
     }
 
     /// Which jobs fit into their team's guarantee along with its earlier unfinished ones.
-    pub(super) fn within_guarantee(&self) -> HashMap<Name, bool> {
+    pub(crate) fn within_guarantee(&self) -> HashMap<Name, bool> {
         if self.settings.cluster.teams.iter().all(|t| t.cpus <= 0.0) {
             return HashMap::new();
         }
@@ -333,7 +333,7 @@
     }
 
     /// What the machines are used for, and why jobs stall: for people who read the log.
-    pub(super) fn explain(&mut self, now: Time) {
+    pub(crate) fn explain(&mut self, now: Time) {
         let (left, most) = (self.budget.level(now), self.budget.burst());
         let (mut up, mut cpus, mut free, mut booting) = (0, 0.0, 0.0, 0);
         let (mut planned, mut started, mut fetching, mut running) = (0, 0, 0, 0);
@@ -403,10 +403,10 @@
 }
 
 /// A job's turn among those of its priority: by tier, then in time.
-pub(super) type Turns = HashMap<Name, (usize, Time)>;
+pub(crate) type Turns = HashMap<Name, (usize, Time)>;
 
 /// The order of the queue: by priority, then in turn.
-pub(super) fn in_turn(a: &Job, b: &Job, turns: &Turns) -> Ordering {
+pub(crate) fn in_turn(a: &Job, b: &Job, turns: &Turns) -> Ordering {
     let turn = |j: &Job| turns.get(&j.id).copied().unwrap_or((0, j.ready));
     let ((a_tier, a_time), (b_tier, b_time)) = (turn(a), turn(b));
     let by_turn = a_tier.cmp(&b_tier).then(a_time.total_cmp(&b_time));
@@ -419,6 +419,6 @@
 }
 
 /// Whether work may be stopped for other work of a higher priority.
-pub(super) fn outranks(a: Priority, b: Priority) -> bool {
+pub(crate) fn outranks(a: Priority, b: Priority) -> bool {
     a > b
 }
--- a/src/coordination/state/place.rs
+++ b/src/coordination/state/allocation.rs
@@ -1,7 +1,7 @@
 //! Places: tasks that are or may be on a machine.
 
 use super::{Name, Room};
-use crate::coordination::predict::corrected;
+use crate::coordination::prediction::corrected;
 use crate::coordination::Time;
 use crate::protocol::job::Priority;
 use crate::protocol::worker::{Cause, TaskState};
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -12,7 +12,7 @@
 const OVERDUE_SHARE: f64 = 0.5;
 
 /// The users' check: no job waits for this long while a machine that fits has room.
-pub(in crate::coordination) const WAITS_WITH_ROOM_S: f64 = 90.0;
+pub(crate) const WAITS_WITH_ROOM_S: f64 = 90.0;
 
 /// The share of that time for which a job that has failed wherever it ran, and completed nothing, runs
 /// one task at a time after a pause: it may have been submitted with a mistake.
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -1,20 +1,20 @@
-//! Jobs, machines, and the places that tasks have or may have on machines.
+//! Jobs, machines, and the allocations that tasks have or may have on machines.
 
+mod allocation;
 mod deadline;
 mod job;
 mod machine;
-mod place;
 mod placement_record;
-mod room;
+mod resources;
 mod task;
 
+pub use allocation::{Load, Place, PlaceKey, Stage, Stop};
 pub use deadline::Due;
 pub use job::Job;
-pub(super) use job::WAITS_WITH_ROOM_S;
+pub(crate) use job::WAITS_WITH_ROOM_S;
 pub use machine::{Machine, Phase, MOST_UNACKNOWLEDGED};
-pub use place::{Load, Place, PlaceKey, Stage, Stop};
 pub use placement_record::PlacementRecord;
-pub use room::Room;
+pub use resources::Room;
 use std::sync::Arc;
 pub use task::{CompletionRecord, Task, TaskLocation};
 
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -1,9 +1,9 @@
 //! Records of places at the state service.
 
 use super::{Name, PlaceKey};
-use crate::bookkeeping::records::{job_bytes, place_bytes, EMPTY_BYTES};
 use crate::coordination::Time;
 use crate::protocol::job::Priority;
+use crate::storage::records::{job_bytes, place_bytes, EMPTY_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A record of places. Those of many jobs share one, as a launch costs a change of its record.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,13 +7,13 @@
 //! - [`service`]: starts the actors and joins them by channels;
 //! - [`transport`]: the HTTP front, HTTP clients and the gRPC between controllers;
 //! - [`coordination`]: leadership, recovery and the clock-free scheduler;
-//! - [`bookkeeping`]: what is kept in the state service, and within which budget;
+//! - [`storage`]: what is kept in the state service, and within which budget;
 //! - [`protocol`]: wire types and their validation.
 
-pub mod bookkeeping;
 pub mod cli;
 pub mod coordination;
 pub mod protocol;
 pub mod service;
 pub mod settings;
+pub mod storage;
 pub mod transport;
--- a/src/service/cloud_calls.rs
+++ b/src/service/cloud_calls.rs
@@ -3,12 +3,12 @@
 use super::gateway::SharedTypes;
 use super::messages::Message;
 use super::spawn;
-use crate::bookkeeping::records::TYPES;
-use crate::bookkeeping::store::{Outcome, Store};
 use crate::protocol::cloud::*;
 use crate::protocol::store::Transaction;
 use crate::protocol::TOO_MANY_REQUESTS;
 use crate::settings::Settings;
+use crate::storage::key_value_store::{Outcome, Store};
+use crate::storage::records::TYPES;
 use crate::transport::client::{Answer, Client};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use serde_json::json;
--- a/src/service/controller/leadership.rs
+++ b/src/service/controller/leadership.rs
@@ -1,10 +1,10 @@
 //! How the controller comes to lead, and how it hands leadership over.
 
 use super::{wall_ms, Controller, Role};
-use crate::coordination::cancellations::CancellationEvidence;
-use crate::coordination::core::Core;
+use crate::coordination::cluster::cancellation_evidence::CancellationEvidence;
+use crate::coordination::cluster::recovery::Records;
+use crate::coordination::cluster::Core;
 use crate::coordination::election::{ElectionEvent, ElectionRequest};
-use crate::coordination::recovery::Records;
 use crate::coordination::Time;
 use crate::service::cloud_calls::CloudCall;
 use crate::service::messages::PeerReachability;
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -10,14 +10,10 @@
 use super::peer_queries::CancellationQueries;
 use super::upgrade::SharedClearance;
 use super::workers::Pool;
-use crate::bookkeeping::cancellations::{CancellationLog, Cursor};
-use crate::bookkeeping::index::EndIndex;
-use crate::bookkeeping::records::OpenRecord;
-use crate::bookkeeping::store::Store;
-use crate::coordination::cancellations::CancellationEvidence;
-use crate::coordination::core::{Core, Effect};
+use crate::coordination::cluster::cancellation_evidence::CancellationEvidence;
+use crate::coordination::cluster::heartbeat_routing::Redirects;
+use crate::coordination::cluster::{Core, Effect};
 use crate::coordination::election::ElectionRequest;
-use crate::coordination::redirects::Redirects;
 use crate::coordination::requests::Located;
 use crate::coordination::state::Name;
 use crate::coordination::Time;
@@ -25,6 +21,10 @@
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::worker::Report;
 use crate::settings::Settings;
+use crate::storage::cancellation_log::{CancellationLog, Cursor};
+use crate::storage::key_value_store::Store;
+use crate::storage::recent_jobs::EndIndex;
+use crate::storage::records::OpenRecord;
 use crate::transport::peers::Peers;
 use crate::transport::{Reply, Respond};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, TrySendError};
@@ -362,7 +362,7 @@
                 status = core.status(id);
             }
         }
-        // A user may be told so: see `bookkeeping::cancellations`.
+        // A user may be told so: see `storage::cancellation_log`.
         if status
             .as_ref()
             .is_some_and(|s| s.state == JobState::Cancelled)
--- a/src/service/controller/reports.rs
+++ b/src/service/controller/reports.rs
@@ -1,10 +1,10 @@
 //! How workers' reports are answered, and what is known of cancellations when they are.
 
 use super::{Controller, Role};
-use crate::coordination::cancellations::{CancellationEvidence, PeerAnswer};
-use crate::coordination::core::ReportOutcome;
-use crate::coordination::redirects::Route;
-use crate::coordination::reports::ReportSource;
+use crate::coordination::cluster::cancellation_evidence::{CancellationEvidence, PeerAnswer};
+use crate::coordination::cluster::heartbeat_routing::Route;
+use crate::coordination::cluster::heartbeats::ReportSource;
+use crate::coordination::cluster::ReportOutcome;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::protocol::worker::{Elsewhere, Report};
--- a/src/service/election.rs
+++ b/src/service/election.rs
@@ -1,12 +1,12 @@
 //! Carries out the operations of an [`Election`], on a thread of its own.
 
-use crate::bookkeeping::records::{LeaderRecord, LEADER};
-use crate::bookkeeping::store::{Store, Unavailable};
 use crate::coordination::election::{
     CurrentLeader, Election, ElectionEvent, ElectionRequest, Input, Operation,
 };
 use crate::coordination::Time;
 use crate::service::upgrade::SharedClearance;
+use crate::storage::key_value_store::{Store, Unavailable};
+use crate::storage::records::{LeaderRecord, LEADER};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use stairstage_upgrade::fence::Refusal;
 use std::time::{Duration, Instant};
--- a/src/service/end_notifier.rs
+++ b/src/service/end_notifier.rs
@@ -1,8 +1,8 @@
 //! Where every end goes that is told to a user, before the user is told.
 
 use super::messages::Message;
-use crate::bookkeeping::cancellations::CancellationLog;
 use crate::protocol::job::JobState;
+use crate::storage::cancellation_log::CancellationLog;
 use crossbeam::channel::Sender;
 
 /// Notes ends that are on record for the controller and, if they are cancellations, for the other
--- a/src/service/end_watch.rs
+++ b/src/service/end_watch.rs
@@ -4,11 +4,11 @@
 use super::messages::Message;
 use super::polls::Polls;
 use super::spawn;
-use crate::bookkeeping::records::{EndRecord, END, LEADER};
-use crate::bookkeeping::store::{Store, Unavailable};
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Event, Events};
 use crate::settings::Settings;
+use crate::storage::key_value_store::{Store, Unavailable};
+use crate::storage::records::{EndRecord, END, LEADER};
 use crossbeam::channel::Sender;
 use std::time::Duration;
 
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -6,13 +6,13 @@
 use super::messages::Message;
 use super::polls::{Polls, UserPoll};
 use super::upgrade::SharedClearance;
-use crate::bookkeeping::store::Store;
 use crate::coordination::requests::polls::Poll;
 use crate::coordination::requests::{
     self, Context, Effect, Event, Located, PeerAnswer, Request, StoreAnswer, StoreCall,
 };
 use crate::protocol::cloud::MachineType;
 use crate::settings::Settings;
+use crate::storage::key_value_store::Store;
 use crate::transport::front::Call;
 use crate::transport::peers::{Asked, Kind, Peers};
 use crate::transport::{Reply, Respond};
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -4,7 +4,7 @@
 //! the state service alone is no reason to leave: all nodes would, and the way back is slow.
 
 use super::spawn;
-use crate::bookkeeping::store::Store;
+use crate::storage::key_value_store::Store;
 use crate::transport::front::Health;
 use crate::transport::peers::Peers;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -1,16 +1,16 @@
 //! What the other actors tell the controller.
 
-use crate::bookkeeping::records::{EndRecord, OpenRecord};
-use crate::coordination::cancellations::PeerAnswer;
-use crate::coordination::core::{Ordered, Written};
+use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
+use crate::coordination::cluster::recovery::Records;
+use crate::coordination::cluster::{Ordered, Written};
 use crate::coordination::election::ElectionEvent;
-use crate::coordination::recovery::Records;
 use crate::coordination::requests::Located;
 use crate::coordination::state::Name;
 use crate::coordination::Time;
 use crate::protocol::cloud::{ListedMachine, MachineType};
 use crate::protocol::job::JobState;
 use crate::protocol::worker::Report;
+use crate::storage::records::{EndRecord, OpenRecord};
 use crate::transport::Respond;
 use crossbeam::channel::Sender;
 use stairstage_upgrade::fence::Clearance;
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -18,11 +18,11 @@
 pub mod upgrade;
 pub mod workers;
 
-use crate::bookkeeping::cancellations::CancellationLog;
-use crate::bookkeeping::store::Store;
 use crate::coordination::election::Election;
 use crate::settings::sockets::GATEWAYS;
 use crate::settings::Settings;
+use crate::storage::cancellation_log::CancellationLog;
+use crate::storage::key_value_store::Store;
 use crate::transport::front::{self, Bounds, Call};
 use crate::transport::peers::{PeerCall, Peers};
 use crate::transport::runtime::Runtime;
--- a/src/service/peer_queries.rs
+++ b/src/service/peer_queries.rs
@@ -1,9 +1,9 @@
 //! Questions of a leader to the other controllers, each asked on a thread of its own.
 
 use super::messages::{Message, PeerReachability};
-use crate::bookkeeping::cancellations::Cursor;
-use crate::coordination::cancellations::PeerAnswer;
+use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
 use crate::coordination::Time;
+use crate::storage::cancellation_log::Cursor;
 use crate::transport::peers::Peers;
 use crossbeam::channel::{bounded, Receiver, Sender};
 use std::collections::BTreeMap;
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -3,12 +3,12 @@
 use super::end_notifier::EndNotifier;
 use super::gateway::{self, reply_of, store_answer, Task};
 use super::{busy, spawn};
-use crate::bookkeeping::store::Store;
 use crate::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
 use crate::coordination::requests::{Answer, Reason};
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::settings::Settings;
+use crate::storage::key_value_store::Store;
 use crate::transport::Respond;
 use crossbeam::channel::{bounded, Receiver, RecvTimeoutError, Sender, TrySendError};
 use std::collections::{HashMap, VecDeque};
--- a/src/service/record_reader.rs
+++ b/src/service/record_reader.rs
@@ -1,11 +1,11 @@
 //! Reads the records for a new leader, then follows the open jobs for as long as its term lasts.
 
 use super::messages::Message;
-use crate::bookkeeping::records::{OpenRecord, OPEN, PLACE, RUN};
-use crate::bookkeeping::store::{Store, Unavailable};
-use crate::coordination::recovery::Records;
+use crate::coordination::cluster::recovery::Records;
 use crate::coordination::Time;
 use crate::protocol::store::Events;
+use crate::storage::key_value_store::{Store, Unavailable};
+use crate::storage::records::{OpenRecord, OPEN, PLACE, RUN};
 use crossbeam::channel::Sender;
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -2,12 +2,12 @@
 
 use super::records;
 use super::SharedClearance;
-use crate::bookkeeping::store::{Outcome, Renewal, Store, Unavailable};
 use crate::protocol::store::Transaction;
 use crate::service::controller::wall_ms;
 use crate::service::messages::Message;
 use crate::service::spawn;
 use crate::settings::Settings;
+use crate::storage::key_value_store::{Outcome, Renewal, Store, Unavailable};
 use crossbeam::channel::Sender;
 use stairstage_upgrade::operation::{Outcome as Finalized, Request};
 use stairstage_upgrade::plan::{Asked, Plan};
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -1,8 +1,8 @@
 //! The records of upgrades in the state service, and the operations on them.
 
-use crate::bookkeeping::store::{Outcome, Store, Unavailable};
 use crate::protocol::store::{Item, Transaction};
 use crate::settings::Settings;
+use crate::storage::key_value_store::{Outcome, Store, Unavailable};
 use serde::de::DeserializeOwned;
 use stairstage_upgrade::operation::{self, Change, Committed, Operation, Request, Step};
 use stairstage_upgrade::plan::Timing;
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -2,7 +2,7 @@
 
 use super::runtime::Runtime;
 use super::{Reply, Respond};
-use crate::bookkeeping::cancellations::{CancellationLog, CancellationPage, Cursor};
+use crate::storage::cancellation_log::{CancellationLog, CancellationPage, Cursor};
 use crossbeam::channel::bounded;
 use std::collections::HashMap;
 use std::future::Future;
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -2,9 +2,11 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stairstage::bookkeeping::cancellations::{CancellationLog, Cursor};
-use stairstage::coordination::cancellations::{renewal_s, CancellationEvidence, PeerAnswer};
+use stairstage::coordination::cluster::cancellation_evidence::{
+    renewal_s, CancellationEvidence, PeerAnswer,
+};
 use stairstage::settings::Workers;
+use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 use std::collections::BTreeSet;
 
 /// Entries that a log keeps in these histories: few, so that gaps come about.
@@ -69,7 +71,7 @@
 type Question = (
     Cursor,
     f64,
-    Option<stairstage::bookkeeping::cancellations::CancellationPage>,
+    Option<stairstage::storage::cancellation_log::CancellationPage>,
 );
 
 struct World {
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -5,8 +5,8 @@
 mod standins;
 
 use serde_json::{json, Value};
-use stairstage::bookkeeping::records::OpenRecord;
 use stairstage::protocol::job::JobSpec;
+use stairstage::storage::records::OpenRecord;
 use standins::*;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -5,9 +5,9 @@
     SLOW_SHARE,
 };
 use crate::lease_store::{Micros, SECOND};
-use stairstage::bookkeeping::store::{Outcome, Renewal, Unavailable};
 use stairstage::coordination::election::{Input, Operation};
 use stairstage::protocol::store::Events;
+use stairstage::storage::key_value_store::{Outcome, Renewal, Unavailable};
 use std::time::Duration;
 
 impl Cluster {
--- a/tests/common/election_cluster/checks.rs
+++ b/tests/common/election_cluster/checks.rs
@@ -2,7 +2,7 @@
 
 use super::{Cluster, UnknownRecord};
 use crate::lease_store::LATEST_END;
-use stairstage::bookkeeping::records::LEADER;
+use stairstage::storage::records::LEADER;
 
 impl Cluster {
     /// What must hold at every moment.
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -3,10 +3,10 @@
 use super::{
     Call, Cluster, ModelTerm, Occurrence, ProcessId, SETTING_KEY, SLOW_CONTROLLER, WRITE_INTERVAL,
 };
-use stairstage::bookkeeping::records::LEADER;
-use stairstage::bookkeeping::store::Outcome;
 use stairstage::coordination::election::{ElectionEvent, ElectionRequest, Input, Operation, Step};
 use stairstage::protocol::store::Transaction;
+use stairstage::storage::key_value_store::Outcome;
+use stairstage::storage::records::LEADER;
 
 impl Cluster {
     /// The controller hands over, if it leads.
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -3,10 +3,10 @@
 
 use super::random::SplitMix64;
 use serde_json::Value;
-use stairstage::bookkeeping::records::{LeaderRecord, LEADER};
-use stairstage::bookkeeping::store::{Outcome, Renewal};
 use stairstage::coordination::election::CurrentLeader;
 use stairstage::protocol::store::{Change, Event, Events, Transaction};
+use stairstage::storage::key_value_store::{Outcome, Renewal};
+use stairstage::storage::records::{LeaderRecord, LEADER};
 use std::collections::BTreeMap;
 
 /// Real time in microseconds.
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stairstage::coordination::backfill::{reserve, Frees};
-use stairstage::coordination::predict::{corrected, Predictor};
+use stairstage::coordination::prediction::{corrected, Predictor};
+use stairstage::coordination::scheduling::backfill::{reserve, Frees};
 use stairstage::coordination::state::Room;
 
 fn cpus(n: u32) -> Room {
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -5,10 +5,10 @@
 
 use common::*;
 use serde_json::{json, Value};
-use stairstage::bookkeeping::records::OpenRecord;
-use stairstage::coordination::core::{Core, Effect, ReportOutcome};
+use stairstage::coordination::cluster::{Core, Effect, ReportOutcome};
 use stairstage::protocol::cloud::{MachineType, Rent};
 use stairstage::protocol::worker::{Command, TaskReport, TaskState};
+use stairstage::storage::records::OpenRecord;
 
 /// Seconds after which a job that has not begun is overdue, and a little more.
 const OVERDUE_S: i32 = 140;
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -4,12 +4,12 @@
 
 use common::*;
 use serde_json::json;
-use stairstage::bookkeeping::records::{end_key, open_key, LEADER};
-use stairstage::bookkeeping::store::Outcome;
-use stairstage::coordination::core::{Core, Effect as CoreEffect, Written};
+use stairstage::coordination::cluster::{Core, Effect as CoreEffect, Written};
 use stairstage::coordination::requests::{Effect, Event, Request, StoreAnswer, StoreCall};
 use stairstage::protocol::store::{Item, Transaction};
 use stairstage::settings::{Settings, CONDITIONS_A_CHANGE};
+use stairstage::storage::key_value_store::Outcome;
+use stairstage::storage::records::{end_key, open_key, LEADER};
 use stairstage_upgrade::fence::Clearance;
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{ClusterVersion, Fence, VersionRange, VersionRecord};
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -4,9 +4,9 @@
 use super::worker::{Worker, CPUS};
 use super::world::World;
 use serde_json::json;
-use stairstage::bookkeeping::records::*;
 use stairstage::coordination::state::Name;
 use stairstage::protocol::job::{JobSpec, JobState};
+use stairstage::storage::records::*;
 use std::collections::BTreeMap;
 
 /// Seconds that a job may be left waiting though it could run, once all troubles are over.
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -5,11 +5,11 @@
 use super::worker::Worker;
 use super::world::{World, WriteFate};
 use serde_json::json;
-use stairstage::bookkeeping::records::LEADER;
-use stairstage::coordination::core::{Effect, Ordered, ReportOutcome, Written};
+use stairstage::coordination::cluster::{Effect, Ordered, ReportOutcome, Written};
 use stairstage::protocol::cloud::Rent;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
+use stairstage::storage::records::LEADER;
 
 impl World {
     pub fn worker_named(&self, name: &str) -> Option<usize> {
@@ -87,7 +87,7 @@
     pub fn with_core(
         &mut self,
         id: u64,
-        act: impl FnOnce(&mut stairstage::coordination::core::Core),
+        act: impl FnOnce(&mut stairstage::coordination::cluster::Core),
     ) {
         if let Some(leader) = self.controller(id) {
             act(&mut leader.core);
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -1,8 +1,8 @@
 //! A controller that leads or has led, and for how long it may renew the leases of workers.
 
 use super::peers::Peers;
-use stairstage::coordination::cancellations::CancellationEvidence;
-use stairstage::coordination::core::Core;
+use stairstage::coordination::cluster::cancellation_evidence::CancellationEvidence;
+use stairstage::coordination::cluster::Core;
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Workers;
 
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -3,12 +3,12 @@
 use super::random::Random;
 use super::worker::RETRY_S;
 use super::world::World;
-use stairstage::bookkeeping::records::OpenRecord;
-use stairstage::coordination::core::{Ordered, Written};
+use stairstage::coordination::cluster::{Ordered, Written};
 use stairstage::coordination::state::Name;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
+use stairstage::storage::records::OpenRecord;
 
 /// A sender of direct commands gives up on an answer after this time, and so does one of writes.
 const COMMAND_TIMEOUT_S: f64 = 2.0;
@@ -355,7 +355,7 @@
     }
 
     /// News of jobs comes from the state service.
-    fn news_arrives(&mut self, tell: impl FnOnce(&mut stairstage::coordination::core::Core)) {
+    fn news_arrives(&mut self, tell: impl FnOnce(&mut stairstage::coordination::cluster::Core)) {
         if let Some(leader) = self.leader.as_mut().filter(|l| l.reaches_store) {
             tell(&mut leader.core);
         }
--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -1,7 +1,7 @@
 //! The other controllers, as far as they confirm cancellations to users and tell the leader of them.
 
-use stairstage::bookkeeping::cancellations::{CancellationLog, Cursor};
-use stairstage::coordination::cancellations::PeerAnswer;
+use stairstage::coordination::cluster::cancellation_evidence::PeerAnswer;
+use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 
 /// Cancellations that a controller keeps: more than any history has.
 const CAPACITY: usize = 10_000;
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -7,7 +7,7 @@
 use super::world::{World, WriteFate};
 use proptest::prelude::*;
 use serde_json::json;
-use stairstage::coordination::core::{Effect, ReportOutcome};
+use stairstage::coordination::cluster::{Effect, ReportOutcome};
 use stairstage::protocol::worker::*;
 
 /// Jobs that a history may submit.
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -6,7 +6,7 @@
 use super::settings::machine_types;
 use super::worker::{AwaitedAnswer, Worker, ANSWER_TIMEOUT_S, RETRY_S};
 use super::world::World;
-use stairstage::coordination::core::{Effect, ReportOutcome};
+use stairstage::coordination::cluster::{Effect, ReportOutcome};
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::Kind;
 use stairstage::protocol::worker::{Command, Orders};
@@ -394,7 +394,7 @@
         while self.now < until
             && !self
                 .store
-                .under(stairstage::bookkeeping::records::OPEN)
+                .under(stairstage::storage::records::OPEN)
                 .is_empty()
         {
             self.run_for(1.0);
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -9,13 +9,13 @@
 use super::tasks::GangRun;
 use super::worker::Worker;
 use serde_json::{json, Value};
-use stairstage::bookkeeping::records::*;
-use stairstage::coordination::core::Core;
+use stairstage::coordination::cluster::Core;
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
 use stairstage::settings::Settings;
+use stairstage::storage::records::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/tests/lookups.rs
+++ b/tests/lookups.rs
@@ -4,12 +4,12 @@
 
 use common::*;
 use serde_json::json;
-use stairstage::bookkeeping::records::{end_key, open_key, OpenRecord};
-use stairstage::bookkeeping::store::Outcome;
 use stairstage::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
 use stairstage::coordination::requests::{self, Event, Request, StoreAnswer, StoreCall};
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Settings;
+use stairstage::storage::key_value_store::Outcome;
+use stairstage::storage::records::{end_key, open_key, OpenRecord};
 use stairstage_upgrade::fence::Clearance;
 
 fn settings() -> Settings {
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use stairstage::bookkeeping::records::OpenRecord;
-use stairstage::coordination::core::{Core, Effect, Written};
+use stairstage::coordination::cluster::{Core, Effect, Written};
 use stairstage::protocol::worker::*;
+use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
 const MACHINES: u64 = 20;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::*;
-use stairstage::bookkeeping::store::Outcome;
 use stairstage::coordination::requests::polls::{self, Limits, Poll, PollBatcher};
 use stairstage::coordination::requests::{
     Context, Effect, Event, Located, Request, StoreAnswer, StoreCall,
 };
 use stairstage::settings::{Peer, Settings};
+use stairstage::storage::key_value_store::Outcome;
 use stairstage_upgrade::fence::Clearance;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Calls between controllers, also with one of the version before, which lacks some of them.
 
-use stairstage::bookkeeping::cancellations::{CancellationLog, Cursor};
+use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 use stairstage::transport::peers::wire::peer_server::{Peer, PeerServer};
 use stairstage::transport::peers::wire::*;
 use stairstage::transport::peers::{Asked, Kind, Peers};
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use serde_json::{json, Value};
-use stairstage::bookkeeping::records::*;
-use stairstage::coordination::core::{Core, Effect, Written};
+use stairstage::coordination::cluster::{Core, Effect, Written};
 use stairstage::protocol::job::{JobSpec, JobState};
 use stairstage::protocol::store::{Change, Transaction};
 use stairstage::protocol::worker::*;
+use stairstage::storage::records::*;
 use std::collections::BTreeMap;
 
 /// A core with the records that it writes, and the ends that it has looked up.
@@ -118,13 +118,13 @@
         let tasks = self.launched.iter().map(show).collect();
         let report = worker_report("m-1", seq, self.core.token, tasks);
         let mut answer = self.core.report(&report, now);
-        if let stairstage::coordination::core::ReportOutcome::Answer(answer) = &mut answer {
+        if let stairstage::coordination::cluster::ReportOutcome::Answer(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
         }
         // A direct command has been answered by that as well.
         self.core.ordered(
             &"m-1".into(),
-            stairstage::coordination::core::Ordered::Executed(report),
+            stairstage::coordination::cluster::Ordered::Executed(report),
             now,
         );
     }
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -5,9 +5,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
-use stairstage::bookkeeping::records::OpenRecord;
-use stairstage::coordination::core::{Core, Effect, Ordered, ReportOutcome, Written};
+use stairstage::coordination::cluster::{Core, Effect, Ordered, ReportOutcome, Written};
 use stairstage::protocol::worker::*;
+use stairstage::storage::records::OpenRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -4,10 +4,10 @@
 use crate::common::Refusal;
 use crate::services::Fate;
 use serde_json::json;
-use stairstage::bookkeeping::records::*;
-use stairstage::coordination::core::{Core, Effect, Ordered, Written};
+use stairstage::coordination::cluster::{Core, Effect, Ordered, Written};
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
+use stairstage::storage::records::*;
 
 /// A write whose answer is under way.
 pub(super) struct PendingWrite {
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -2,7 +2,7 @@
 
 use super::Simulation;
 use crate::worker::Worker;
-use stairstage::coordination::core::ReportOutcome;
+use stairstage::coordination::cluster::ReportOutcome;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::parse_task;
 use stairstage::protocol::worker::*;
--- a/tests/play/simulation/mod.rs
+++ b/tests/play/simulation/mod.rs
@@ -9,7 +9,7 @@
 use crate::worker::Worker;
 use crate::workload::{JobPlan, Random};
 use leader::PendingWrite;
-use stairstage::coordination::core::Core;
+use stairstage::coordination::cluster::Core;
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::store::Transaction;
 use stairstage::settings::Settings;
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -4,9 +4,9 @@
 use crate::common::parsed;
 use crate::worker::Worker;
 use crate::workload::JobPlan;
-use stairstage::bookkeeping::records::*;
 use stairstage::protocol::job::{parse_task, JobState};
 use stairstage::protocol::store::Transaction;
+use stairstage::storage::records::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of a job.
--- a/tests/polls/jobs.rs
+++ b/tests/polls/jobs.rs
@@ -3,8 +3,8 @@
 use crate::common::random::SplitMix64;
 use crate::common::{parsed, submission};
 use serde_json::{json, Value};
-use stairstage::bookkeeping::records::{EndRecord, OpenRecord};
 use stairstage::protocol::job::JobState;
+use stairstage::storage::records::{EndRecord, OpenRecord};
 
 /// Every so many jobs, one waits for the one before it, and one is never submitted.
 const WAITS_EVERY: usize = 10;
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -2,10 +2,10 @@
 
 use crate::jobs;
 use crate::state_service::StateService;
-use stairstage::bookkeeping::store::{Outcome, Unavailable};
 use stairstage::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
 use stairstage::coordination::requests::{Answer, Reason, StoreAnswer, StoreCall};
 use stairstage::protocol::job::{JobState, JobStatus};
+use stairstage::storage::key_value_store::{Outcome, Unavailable};
 use std::collections::{BTreeMap, VecDeque};
 
 pub const NODES: usize = 3;
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -4,11 +4,11 @@
 use crate::common::Store;
 use crate::jobs;
 use serde_json::Value;
-use stairstage::bookkeeping::budget::Budget;
-use stairstage::bookkeeping::records::{end_key, open_key};
-use stairstage::bookkeeping::store::{Outcome, Unavailable};
 use stairstage::coordination::requests::{StoreAnswer, StoreCall};
 use stairstage::protocol::job::JobState;
+use stairstage::storage::key_value_store::{Outcome, Unavailable};
+use stairstage::storage::records::{end_key, open_key};
+use stairstage::storage::token_bucket::Budget;
 use std::collections::BTreeMap;
 
 /// Jobs that end in a second.
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -20,14 +20,14 @@
 
 use rules::{Kind, Told};
 use schedule::Troubles;
-use stairstage::bookkeeping::records::{end_key, EndRecord};
-use stairstage::bookkeeping::store::{Outcome, Unavailable};
 use stairstage::coordination::requests::polls::{self, Limits, Poll, PollBatcher};
 use stairstage::coordination::requests::{
     Answer, Context, Effect, Event, Located, PeerAnswer, Request, StoreAnswer, StoreCall,
 };
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Change;
+use stairstage::storage::key_value_store::{Outcome, Unavailable};
+use stairstage::storage::records::{end_key, EndRecord};
 use stairstage_upgrade::fence::Clearance;
 
 /// What a combination has to come about for, over all schedules.
--- a/tests/requests/jobs.rs
+++ b/tests/requests/jobs.rs
@@ -2,8 +2,8 @@
 
 use crate::common::submission;
 use serde_json::{json, Value};
-use stairstage::bookkeeping::records::{end_key, EndRecord};
 use stairstage::protocol::job::JobState;
+use stairstage::storage::records::{end_key, EndRecord};
 
 /// Jobs bear the numbers below this.
 pub const JOBS: u8 = 8;
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -4,12 +4,12 @@
 use crate::parts::{Fate, Leader};
 use crate::world::{name_of, World};
 use serde_json::json;
-use stairstage::bookkeeping::records::*;
-use stairstage::bookkeeping::store::Outcome;
-use stairstage::coordination::core::Core;
+use stairstage::coordination::cluster::Core;
 use stairstage::coordination::requests::Located;
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::protocol::store::Transaction;
+use stairstage::storage::key_value_store::Outcome;
+use stairstage::storage::records::*;
 
 impl World {
     fn leads(&mut self, node: usize) -> Option<&mut Core> {
--- a/tests/requests/parts.rs
+++ b/tests/requests/parts.rs
@@ -1,11 +1,11 @@
 //! What a world of nodes and their requests is made of.
 
 use crate::rules::{Kind, Question};
-use stairstage::bookkeeping::index::EndIndex;
-use stairstage::coordination::core::Core;
+use stairstage::coordination::cluster::Core;
 use stairstage::coordination::requests::polls::PollBatcher;
 use stairstage::coordination::requests::{Request, StoreCall};
 use stairstage::protocol::store::Transaction;
+use stairstage::storage::recent_jobs::EndIndex;
 use std::collections::BTreeMap;
 
 /// What becomes of a call, or of a request that is handed to another node.
--- a/tests/requests/rules.rs
+++ b/tests/requests/rules.rs
@@ -3,9 +3,9 @@
 use crate::common::Store;
 use crate::jobs::*;
 use serde_json::Value;
-use stairstage::bookkeeping::records::open_key;
 use stairstage::coordination::requests::PeerAnswer;
 use stairstage::protocol::job::{JobState, JobStatus};
+use stairstage::storage::records::open_key;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/tests/requests/world.rs
+++ b/tests/requests/world.rs
@@ -5,8 +5,6 @@
 use crate::parts::*;
 use crate::rules::{Kind, Ledger, Question, Told};
 use crate::seen::Seen;
-use stairstage::bookkeeping::index::EndIndex;
-use stairstage::bookkeeping::store::{Outcome, Unavailable};
 use stairstage::coordination::requests::polls::{self, Limits, PollBatcher};
 use stairstage::coordination::requests::{
     Answer, Context, Effect, Event, PeerAnswer, Request, StoreAnswer, StoreCall,
@@ -14,6 +12,8 @@
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::settings::Settings;
+use stairstage::storage::key_value_store::{Outcome, Unavailable};
+use stairstage::storage::recent_jobs::EndIndex;
 use stairstage_upgrade::fence::Clearance;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use stairstage::coordination::core::{Effect, Written};
+use stairstage::coordination::cluster::{Effect, Written};
 use stairstage::protocol::worker::*;
 
 #[test]
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use stairstage::bookkeeping::records::OpenRecord;
-use stairstage::coordination::core::{Core, Effect, Ordered, ReportOutcome};
-use stairstage::coordination::reports::ReportSource;
+use stairstage::coordination::cluster::heartbeats::ReportSource;
+use stairstage::coordination::cluster::{Core, Effect, Ordered, ReportOutcome};
 use stairstage::protocol::worker::*;
+use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
 /// A leader of forty machines, each with a running task, that report one after the other; what
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::*;
-use stairstage::bookkeeping::records::OpenRecord;
-use stairstage::coordination::core::{Core, Effect, Ordered, ReportOutcome, Written};
-use stairstage::coordination::redirects::{Redirects, Route};
+use stairstage::coordination::cluster::heartbeat_routing::{Redirects, Route};
+use stairstage::coordination::cluster::{Core, Effect, Ordered, ReportOutcome, Written};
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Change;
 use stairstage::protocol::worker::*;
 use stairstage::settings::Workers;
+use stairstage::storage::records::OpenRecord;
 
 /// A job whose four tasks run on the one machine, which has reported twice.
 fn running_on_one() -> (Core, Vec<(String, u64)>) {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -7,12 +7,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
-use stairstage::bookkeeping::records::*;
-use stairstage::coordination::core::{Core, Effect, Ordered, Written};
+use stairstage::coordination::cluster::{Core, Effect, Ordered, Written};
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
 use stairstage::settings::Settings;
+use stairstage::storage::records::*;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
