--- a/crates/upgrade/src/fence.rs
+++ b/crates/upgrade/src/fence.rs
@@ -57,7 +57,7 @@
 
 /// What a controller knows of the active version, and so may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Clearance {
+pub enum WriteFence {
     /// Upgrades are not staged here.
     Unstaged,
     /// The record has not been read yet.
@@ -85,29 +85,29 @@
     }
 }
 
-impl Clearance {
+impl WriteFence {
     /// The stamp that transactions must name, if any.
     pub fn stamp(&self) -> Option<u64> {
         match self {
-            Clearance::Read(fence) => Some(fence.stamp()),
-            Clearance::Unstaged | Clearance::Unread => None,
+            WriteFence::Read(fence) => Some(fence.stamp()),
+            WriteFence::Unstaged | WriteFence::Unread => None,
         }
     }
 
     pub fn gates(&self) -> Gates {
         match self {
-            Clearance::Unstaged => Gates::AllOpen,
-            Clearance::Unread => Gates::At(ClusterVersion::FIRST),
-            Clearance::Read(fence) => fence.gates(),
+            WriteFence::Unstaged => Gates::AllOpen,
+            WriteFence::Unread => Gates::At(ClusterVersion::FIRST),
+            WriteFence::Read(fence) => fence.gates(),
         }
     }
 
     /// Why the controller must neither lead nor answer users now, if so.
     pub fn refusal(&self) -> Option<Refusal> {
         match self {
-            Clearance::Unstaged => None,
-            Clearance::Unread => Some(Refusal::VersionUnread),
-            Clearance::Read(fence) => fence
+            WriteFence::Unstaged => None,
+            WriteFence::Unread => Some(Refusal::VersionUnread),
+            WriteFence::Read(fence) => fence
                 .must_withdraw()
                 .then(|| Refusal::Withdrawn(fence.active())),
         }
@@ -121,9 +121,9 @@
     /// Takes in a record that was read; nothing where upgrades are not staged.
     pub fn read(&mut self, range: VersionRange, record: &VersionRecord, stamp: u64) {
         match self {
-            Clearance::Unstaged => {}
-            Clearance::Unread => *self = Clearance::Read(Fence::new(range, record, stamp)),
-            Clearance::Read(fence) => fence.read(record, stamp),
+            WriteFence::Unstaged => {}
+            WriteFence::Unread => *self = WriteFence::Read(Fence::new(range, record, stamp)),
+            WriteFence::Read(fence) => fence.read(record, stamp),
         }
     }
 }
--- a/crates/upgrade/tests/histories.rs
+++ b/crates/upgrade/tests/histories.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::operation::{Change, Committed, Operation, Outcome, Request, Step};
 use stairstage_upgrade::plan::{Asked, Timing};
 use stairstage_upgrade::records::{member_key, Controller, VERSION};
@@ -67,7 +67,7 @@
 /// A process of a controller.
 struct Process {
     versions: VersionRange,
-    clearance: Clearance,
+    clearance: WriteFence,
 }
 
 #[derive(Default)]
@@ -187,7 +187,7 @@
         };
         self.members
             .insert(name_of(controller), (member, self.stamp));
-        let clearance = Clearance::Unread;
+        let clearance = WriteFence::Unread;
         self.processes[controller] = Some(Process {
             versions,
             clearance,
--- a/crates/upgrade/tests/records.rs
+++ b/crates/upgrade/tests/records.rs
@@ -1,7 +1,7 @@
 //! The records' texts, which later releases must go on reading, and what a controller makes of them.
 
 use serde_json::{json, Value};
-use stairstage_upgrade::fence::{Clearance, Refusal};
+use stairstage_upgrade::fence::{Refusal, WriteFence};
 use stairstage_upgrade::records::{member_key, seen_key, VERSION};
 use stairstage_upgrade::{
     ClusterVersion, Gate, Gates, MemberRecord, SeenRecord, VersionRange, VersionRecord,
@@ -53,7 +53,7 @@
 
 #[test]
 fn what_was_read_earlier_takes_nothing_back() {
-    let mut clearance = Clearance::Unread;
+    let mut clearance = WriteFence::Unread;
     assert_eq!(clearance.refusal(), Some(Refusal::VersionUnread));
     assert!(!clearance.gates().is_open(Gate::Pipelines));
     let second = version_record(json!({"active": 2, "since_ms": 5}));
@@ -72,10 +72,10 @@
 
 #[test]
 fn where_upgrades_are_not_staged_nothing_is_fenced_and_all_gates_are_open() {
-    let mut clearance = Clearance::Unstaged;
+    let mut clearance = WriteFence::Unstaged;
     let later = version_record(json!({"active": 9, "since_ms": 6}));
     clearance.read(range(1, 2), &later, 10);
-    assert_eq!(clearance, Clearance::Unstaged);
+    assert_eq!(clearance, WriteFence::Unstaged);
     assert_eq!(clearance.stamp(), None);
     assert_eq!(clearance.gates(), Gates::AllOpen);
     assert!(clearance.gates().is_open(Gate::Pipelines));
--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -4,7 +4,7 @@
 use crate::service::controller::wall_ms;
 use crate::service::upgrade::records;
 use crate::settings::Settings;
-use crate::storage::key_value_store::Store;
+use crate::storage::key_value_store::KeyValueStore;
 use clap::{Args, Subcommand, ValueEnum};
 use stairstage_upgrade::operation::{Outcome, Request};
 use stairstage_upgrade::plan::{Asked, Plan};
@@ -51,7 +51,7 @@
 struct Session {
     settings: Settings,
     policy: UpgradePolicy,
-    store: Store,
+    store: KeyValueStore,
     format: Format,
 }
 
@@ -64,7 +64,7 @@
     with_settings(&files.config, None, files.upgrade.as_deref(), |settings| {
         let session = Session {
             policy: settings.upgrade.clone().unwrap_or_default(),
-            store: Store::new(settings.endpoints.state, CONNECTIONS),
+            store: KeyValueStore::new(settings.endpoints.state, CONNECTIONS),
             format: files.format,
             settings,
         };
--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -2,7 +2,7 @@
 
 use super::supply::{slots_by_zone, Supply};
 use super::Demand;
-use crate::coordination::cluster::Core;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::scheduling::placement::may_use;
 use crate::coordination::state::*;
 use crate::coordination::Time;
@@ -64,7 +64,7 @@
     }
 }
 
-impl Core {
+impl ClusterState {
     /// What the queue needs: enough that each job, after those before it, ends in its time, on
     /// machines that it may use; and for a gang, room for all of its tasks at once.
     pub(crate) fn batch_demands(&self, supply: &[Supply], now: Time) -> Vec<Demand> {
@@ -73,7 +73,7 @@
             .values()
             .filter(|j| !j.is_service() && j.may_begin() && now >= j.retry_at)
             .collect();
-        batches.sort_by_key(|j| j.seq);
+        batches.sort_by_key(|j| j.arrival_order);
         let running = self.work_running(now);
         let mut demands = Vec::new();
         let mut groups = RestrictedGroups::default();
@@ -108,7 +108,7 @@
             .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(&job.spec.class))
             .filter_map(|o| o.within_s)
             .fold(f64::INFINITY, f64::min);
-        let due = job.due.as_ref().map_or(f64::INFINITY, Due::latest);
+        let due = job.due.as_ref().map_or(f64::INFINITY, Deadline::latest);
         let end = due.min(job.ready + within);
         let predicted = job.predicted_s.max(1.0);
         if !end.is_finite() {
--- a/src/coordination/autoscaling/demand/gangs.rs
+++ b/src/coordination/autoscaling/demand/gangs.rs
@@ -2,18 +2,18 @@
 
 use super::supply::may_use_type;
 use super::Demand;
-use crate::coordination::cluster::Core;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::*;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::job::{JobSpec, Kind};
+use crate::protocol::job::{JobKind, JobSpec};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-impl Core {
+impl ClusterState {
     /// The gang with the most work left that its team's limit lets start.
     pub(crate) fn largest_gang<'a>(&self, jobs: &[&'a Job]) -> Option<&'a Job> {
-        let gangs = jobs.iter().filter(|j| j.spec.kind == Kind::Gang);
+        let gangs = jobs.iter().filter(|j| j.spec.kind == JobKind::Gang);
         let startable = gangs.filter(|j| self.wanted(j, j.spec.tasks) == j.spec.tasks);
         let largest = startable.max_by(|a, b| a.work_left().total_cmp(&b.work_left()));
         largest.copied()
--- a/src/coordination/autoscaling/demand/mod.rs
+++ b/src/coordination/autoscaling/demand/mod.rs
@@ -4,10 +4,10 @@
 mod gangs;
 mod supply;
 
-use crate::coordination::cluster::Core;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::job::{JobSpec, Kind};
+use crate::protocol::job::{JobKind, JobSpec};
 use std::sync::Arc;
 use supply::slots_by_zone;
 
@@ -35,7 +35,7 @@
         let same = merged.iter_mut().find(|m| {
             let (a, b) = (&m.spec, &demand.spec);
             m.spot == demand.spot
-                && Room::of(a) == Room::of(b)
+                && Resources::of(a) == Resources::of(b)
                 && (&a.types, &a.zone) == (&b.types, &b.zone)
         });
         match same {
@@ -46,25 +46,29 @@
     merged
 }
 
-impl Core {
+impl ClusterState {
     /// What is wanted beyond the machines that are up or coming.
     pub(crate) fn demands(&self, now: Time) -> Vec<Demand> {
         let mut demands = Vec::new();
-        // Room on machines that are on their way.
-        let mut coming: Vec<(bool, Room)> = Vec::new();
-        for m in self.machines.values().filter(|m| m.phase == Phase::Booting) {
+        // Resources on machines that are on their way.
+        let mut coming: Vec<(bool, Resources)> = Vec::new();
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Booting)
+        {
             if let Some(t) = self.type_of(&m.kind) {
-                coming.push((m.spot, Room::of_type(t)));
+                coming.push((m.spot, Resources::of_type(t)));
             }
         }
         for r in self.fleet.renting.values() {
             if let Some(t) = self.type_of(&r.kind) {
                 for _ in 0..r.count {
-                    coming.push((r.spot, Room::of_type(t)));
+                    coming.push((r.spot, Resources::of_type(t)));
                 }
             }
         }
-        let mut absorb = |need: &Room, spot: bool, count: u32| {
+        let mut absorb = |need: &Resources, spot: bool, count: u32| {
             let mut left = count;
             for (_, room) in coming.iter_mut().filter(|c| spot || !c.0) {
                 while left > 0 && room.fits(need) {
@@ -101,7 +105,7 @@
                 .fleet
                 .services
                 .values()
-                .find(|a| Room::of(&a.spec) == need);
+                .find(|a| Resources::of(&a.spec) == need);
             if let (Some(a), true) = (class, left > 0) {
                 demands.push(Demand {
                     spec: a.spec.clone(),
@@ -112,13 +116,13 @@
         }
         let supply = self.supply(now);
         for job in self.overdue_batches(now) {
-            if job.spec.kind == Kind::Gang && (job.spec.one_zone || job.spec.spread) {
+            if job.spec.kind == JobKind::Gang && (job.spec.one_zone || job.spec.spread) {
                 let free = slots_by_zone(job, &supply, |machine| machine.free);
                 demands.extend(self.gang_demands(job, &free));
                 continue;
             }
             let tasks = match job.spec.kind {
-                Kind::Gang => job.spec.tasks,
+                JobKind::Gang => job.spec.tasks,
                 _ => 1,
             };
             let left = absorb(&job.need(), job.spec.spot, self.wanted(job, tasks));
--- a/src/coordination/autoscaling/demand/supply.rs
+++ b/src/coordination/autoscaling/demand/supply.rs
@@ -1,6 +1,6 @@
 //! The machines that are at hand or on their way, and which jobs may use them.
 
-use crate::coordination::cluster::Core;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::*;
 use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
@@ -15,8 +15,8 @@
     pub kind: &'a MachineType,
     pub zone: &'a str,
     pub spot: bool,
-    pub room: Room,
-    pub free: Room,
+    pub room: Resources,
+    pub free: Resources,
 }
 
 impl Supply<'_> {
@@ -37,14 +37,14 @@
 /// Whether a task fits a type of machine that the job's description allows.
 pub(crate) fn may_use_type(spec: &JobSpec, kind: &MachineType) -> bool {
     let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&kind.name));
-    allowed && Room::of_type(kind).fits(&Room::of(spec))
+    allowed && Resources::of_type(kind).fits(&Resources::of(spec))
 }
 
 /// How many tasks of a job fit machines of each zone, by the room that counts.
 pub(crate) fn slots_by_zone<'a>(
     job: &Job,
     supply: &[Supply<'a>],
-    room: impl Fn(&Supply) -> Room,
+    room: impl Fn(&Supply) -> Resources,
 ) -> BTreeMap<&'a str, u32> {
     let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in supply.iter().filter(|s| s.suits(&job.spec)) {
@@ -53,7 +53,7 @@
     slots
 }
 
-impl Core {
+impl ClusterState {
     /// The machines that are up or come, with the room that batches can use.
     pub(crate) fn supply(&self, now: Time) -> Vec<Supply<'_>> {
         let mut supply = Vec::new();
@@ -62,18 +62,18 @@
                 kind,
                 zone: &r.zone,
                 spot: r.spot,
-                room: Room::of_type(kind),
-                free: Room::of_type(kind),
+                room: Resources::of_type(kind),
+                free: Resources::of_type(kind),
             });
             let count = r.count as usize;
             supply.extend(coming.into_iter().flat_map(|s| repeat_n(s, count)));
         }
         let present = self.machines.values();
-        for m in present.filter(|m| m.phase == Phase::Booting || self.takes_tasks(m, now)) {
+        for m in present.filter(|m| m.phase == MachinePhase::Booting || self.takes_tasks(m, now)) {
             let Some(kind) = self.type_of(&m.kind) else {
                 continue;
             };
-            let mut room = Room::of_type(kind);
+            let mut room = Resources::of_type(kind);
             for (_, place) in m.live().filter(|(_, p)| p.load.run_s.is_none()) {
                 room.take(&place.load.need);
             }
--- a/src/coordination/autoscaling/replica_rates.rs
+++ b/src/coordination/autoscaling/replica_rates.rs
@@ -34,7 +34,7 @@
 }
 
 /// How many replicas of a class came and went of late.
-pub(crate) struct Traffic {
+pub(crate) struct ReplicaRates {
     /// The class's latest job.
     pub spec: Arc<JobSpec>,
     /// What was there at first is no sign of what comes.
@@ -43,9 +43,9 @@
     went: CountsBySecond,
 }
 
-impl Traffic {
-    pub fn new(spec: Arc<JobSpec>, now: Time) -> Traffic {
-        Traffic {
+impl ReplicaRates {
+    pub fn new(spec: Arc<JobSpec>, now: Time) -> ReplicaRates {
+        ReplicaRates {
             spec,
             first: now,
             came: CountsBySecond::default(),
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -1,7 +1,7 @@
 //! Which machines to give back: those that stand idle, and those whose replicas fit elsewhere.
 
-use crate::coordination::autoscaling::scale_out::LEAST_CHARGE_S;
-use crate::coordination::cluster::Core;
+use crate::coordination::autoscaling::scale_out::MIN_CHARGE_S;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::scheduling::placement::may_use;
 use crate::coordination::state::*;
 use crate::coordination::Time;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Core {
+impl ClusterState {
     /// Gives back machines that stand idle, if what is expected fits without them.
     pub(crate) fn return_idle(&mut self, now: Time) {
         let mut idle = self.idle_machines(now);
@@ -89,7 +89,7 @@
             let t = self.type_of(&m.kind)?;
             let price = if m.spot { t.spot_price } else { t.price };
             let long = now - m.idle_since > idle_share * t.boot_s;
-            let paid = now - m.rented > LEAST_CHARGE_S;
+            let paid = now - m.rented > MIN_CHARGE_S;
             (long && paid).then_some((price, m))
         });
         priced.collect()
@@ -131,7 +131,7 @@
         let Some(kind) = self.type_of(&m.kind) else {
             return surplus;
         };
-        let room = Room::of_type(kind);
+        let room = Resources::of_type(kind);
         let suited = waiting
             .iter()
             .filter(|w| may_use(w.job, m) && room.fits(&w.job.need()));
@@ -147,7 +147,10 @@
     /// Moves replicas off machines that hold nothing else, where others have room for them and
     /// their images, so that these can be returned.
     pub(crate) fn consolidate(&mut self, now: Time) {
-        let up = self.machines.values().filter(|m| m.phase == Phase::Up);
+        let up = self
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Up);
         let (mut count, mut moving) = (0, 0);
         for m in up {
             count += 1;
@@ -176,8 +179,8 @@
         // The fullest others come first: what they take leaves the emptier ones to follow.
         steady.sort_by(|a, b| self.free_room(a).cpus.total_cmp(&self.free_room(b).cpus));
         let expected = self.fleet.expected(self, now);
-        let mut taken: HashMap<usize, Room> = HashMap::new();
-        let mut leaving: Vec<(Name, Vec<PlaceKey>)> = Vec::new();
+        let mut taken: HashMap<usize, Resources> = HashMap::new();
+        let mut leaving: Vec<(Name, Vec<AllocationId>)> = Vec::new();
         for m in candidates.into_iter().take(MOVE_CANDIDATES) {
             if moving + leaving.len() >= most {
                 break;
@@ -222,11 +225,11 @@
         m: &Machine,
         steady: &[&Machine],
         others: &dyn Fn(usize) -> bool,
-        taken: &HashMap<usize, Room>,
-        expected: &[(Room, u32, String)],
-    ) -> Option<HashMap<usize, Room>> {
+        taken: &HashMap<usize, Resources>,
+        expected: &[(Resources, u32, String)],
+    ) -> Option<HashMap<usize, Resources>> {
         let mut taken = taken.clone();
-        let room = |i: usize, taken: &HashMap<usize, Room>| {
+        let room = |i: usize, taken: &HashMap<usize, Resources>| {
             let mut room = self.free_room(steady[i]);
             room.take(&taken.get(&i).copied().unwrap_or_default());
             room
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -1,12 +1,12 @@
 //! Which machines are rented for a demand, and what the cloud says of them.
 
 use crate::coordination::autoscaling::demand::{merged, Demand};
-use crate::coordination::autoscaling::replica_rates::Traffic;
-use crate::coordination::cluster::{Core, Effect};
+use crate::coordination::autoscaling::replica_rates::ReplicaRates;
+use crate::coordination::cluster::{ClusterState, Effect};
 use crate::coordination::state::*;
 use crate::coordination::Time;
 use crate::protocol::cloud::*;
-use crate::protocol::job::{JobSpec, Kind};
+use crate::protocol::job::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tracing::{debug, info, warn};
@@ -14,11 +14,11 @@
 /// The share of an earlier leader's machines that must have been heard before any are rented.
 const SETTLED_SHARE: f64 = 0.9;
 /// What a machine costs at least, in seconds of its price.
-pub(crate) const LEAST_CHARGE_S: f64 = 60.0;
+pub(crate) const MIN_CHARGE_S: f64 = 60.0;
 
 #[derive(Default)]
-pub struct Fleet {
-    pub(crate) services: BTreeMap<String, Traffic>,
+pub struct Autoscaler {
+    pub(crate) services: BTreeMap<String, ReplicaRates>,
     /// Type, zone and kind of rentals that the cloud refused, and until when that is remembered.
     pub(crate) refused: BTreeMap<(Name, Name, bool), Time>,
     pub(crate) renting: BTreeMap<String, Rent>,
@@ -27,11 +27,11 @@
     managed: Time,
 }
 
-impl Fleet {
+impl Autoscaler {
     pub(crate) fn arrived(&mut self, spec: &Arc<JobSpec>, now: Time) {
-        if spec.kind == Kind::Service {
+        if spec.kind == JobKind::Service {
             let entry = self.services.entry(spec.class.clone());
-            let traffic = entry.or_insert_with(|| Traffic::new(spec.clone(), now));
+            let traffic = entry.or_insert_with(|| ReplicaRates::new(spec.clone(), now));
             traffic.arrived(spec, now);
         }
     }
@@ -44,18 +44,18 @@
 
     /// Replicas that are expected within the time that a machine takes to boot, beyond those whose
     /// room comes free by then: their shape, number and image.
-    pub(crate) fn expected(&self, core: &Core, now: Time) -> Vec<(Room, u32, String)> {
+    pub(crate) fn expected(&self, core: &ClusterState, now: Time) -> Vec<(Resources, u32, String)> {
         let Some(boot_s) = core.shortest_boot_s() else {
             return Vec::new();
         };
         let warm = core.settings.policy.warm;
         let report_s = core.settings.cluster.workers.report_s;
-        let of_class = |traffic: &Traffic| {
+        let of_class = |traffic: &ReplicaRates| {
             let rates = traffic.within_a_boot(boot_s, report_s, now);
             let growth = (rates.came - rates.went).max(0.0);
             let count = (growth + warm * rates.came.sqrt()).ceil() as u32;
             let spec = &traffic.spec;
-            (Room::of(spec), count, spec.image.clone())
+            (Resources::of(spec), count, spec.image.clone())
         };
         self.services.values().map(of_class).collect()
     }
@@ -68,7 +68,7 @@
     }
 }
 
-impl Core {
+impl ClusterState {
     /// How long the machine type that boots soonest takes; `None` while no types are known.
     fn shortest_boot_s(&self) -> Option<f64> {
         let boots = self.types.iter().map(|t| t.boot_s);
@@ -107,11 +107,15 @@
     /// to report. Until then their room is not known: a new leader that went by what it sees would
     /// rent all of it anew.
     fn has_settled(&self, now: Time) -> bool {
-        if now - self.leads_since > self.silence_s() {
+        if now - self.elected_at > self.silence_s() {
             return true;
         }
         let (mut up, mut known) = (0, 0);
-        for m in self.machines.values().filter(|m| m.phase == Phase::Up) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Up)
+        {
             up += 1;
             known += usize::from(m.heard.is_some() && m.token >= self.first_token);
         }
@@ -120,7 +124,7 @@
 
     /// Rents the cheapest machines that suit, as far as the cloud has not lately refused them.
     fn rent_for(&mut self, demand: &Demand) {
-        let need = Room::of(&demand.spec);
+        let need = Resources::of(&demand.spec);
         let mut left = demand.count;
         let spec = &demand.spec;
         // An offer is asked for once at a time: its answer tells whether there is more.
@@ -133,7 +137,7 @@
         while left > 0 {
             let mut best: Option<(f64, &MachineType, &String, bool, u32)> = None;
             for t in &self.types {
-                let slots = Room::of_type(t).slots(&need);
+                let slots = Resources::of_type(t).slots(&need);
                 if slots == 0 || spec.types.as_ref().is_some_and(|l| !l.contains(&t.name)) {
                     continue;
                 }
@@ -162,7 +166,7 @@
                 debug!("{}: no machines to be had for {left} tasks", spec.id);
                 return;
             };
-            let count = left.div_ceil(slots).min(MOST_RENTED);
+            let count = left.div_ceil(slots).min(MAX_RENTED);
             let (kind, zone) = (t.name.clone(), zone.clone());
             tried.push((kind.as_str().into(), zone.as_str().into(), spot));
             left = left.saturating_sub(count * slots);
@@ -183,13 +187,13 @@
                 spec.class
             );
             self.fleet.renting.insert(request, rent.clone());
-            self.effects.push(Effect::Rent(rent));
+            self.effects.push(Effect::RentMachines(rent));
         }
     }
 
     /// What the cloud answered to a rental: the machines, perhaps none; `None` when it has no
     /// answer to give.
-    pub fn rented(&mut self, request: &str, machines: Option<Vec<String>>, now: Time) {
+    pub fn machines_rented(&mut self, request: &str, machines: Option<Vec<String>>, now: Time) {
         let Some(rent) = self.fleet.renting.remove(request) else {
             return;
         };
@@ -209,9 +213,7 @@
                 rent.zone.as_str().into(),
                 rent.spot,
             );
-            let boot_s = self
-                .type_of(&rent.kind)
-                .map_or(LEAST_CHARGE_S, |t| t.boot_s);
+            let boot_s = self.type_of(&rent.kind).map_or(MIN_CHARGE_S, |t| t.boot_s);
             self.fleet.refused.insert(offer, now + boot_s);
         }
         for name in names {
@@ -229,7 +231,7 @@
     }
 
     /// Takes in the cloud's list. It lags: it shows what we do not know, and proves nothing else.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Time) {
+    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Time) {
         for l in list {
             let name: Name = l.name.as_str().into();
             if self.gone.contains_key(&name) {
--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -1,28 +1,34 @@
 //! Places of tasks on machines, and the proofs by which they are cleared.
 //!
-//! Every change to a place goes through [`Core::add_place`] and [`Core::clear_place`]; a place is
+//! Every change to a place goes through [`ClusterState::add_place`] and [`ClusterState::clear_place`]; a place is
 //! cleared only on proof that its task is gone and that no launch of it may still arrive: a newer
-//! report ([`Core::tasks_not_shown`]), a new session, a lease that is over by our clock, or the
+//! report ([`ClusterState::tasks_not_shown`]), a new incarnation, a lease that is over by our clock, or the
 //! cloud's word.
 
 use crate::coordination::cluster::*;
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::job::Kind;
-use crate::protocol::worker::Report;
+use crate::protocol::job::JobKind;
+use crate::protocol::worker::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{debug, warn};
 
 /// A task that is put on a machine.
 struct NewPlace<'a> {
-    key: PlaceKey,
+    key: AllocationId,
     machine: &'a Name,
-    stage: Stage,
+    stage: AllocationState,
 }
 
-impl Core {
+impl ClusterState {
     /// Puts a task on a machine. The launch leaves once the record is written.
-    pub(crate) fn add_place(&mut self, key: PlaceKey, machine: &Name, stage: Stage, now: Time) {
+    pub(crate) fn add_place(
+        &mut self,
+        key: AllocationId,
+        machine: &Name,
+        stage: AllocationState,
+        now: Time,
+    ) {
         let placement_record = self.choose_placement_record(&key, machine);
         let place = NewPlace {
             key,
@@ -46,20 +52,20 @@
         if m.places.contains_key(&new.key) {
             return;
         }
-        let place = Place {
+        let place = Allocation {
             stage: new.stage,
             since: now,
             running_since: None,
             recovered: false,
-            orders_token: None,
-            reply_seq: None,
+            direct_launch_token: None,
+            launch_response_sequence: None,
             stop: None,
             missing: false,
             load,
         };
         m.places.insert(new.key.clone(), place);
         m.places_changed();
-        slot.at.push(TaskLocation {
+        slot.at.push(AllocationRef {
             machine: new.machine.clone(),
             attempt: *attempt,
             placement_record,
@@ -77,7 +83,7 @@
         let entry = &mut self.placement_records[placement_record];
         entry.insert(new.key.clone(), new.machine.clone());
         match (new.stage, priority) {
-            (Stage::Planned, Some(priority)) => {
+            (AllocationState::Pending, Some(priority)) => {
                 entry.plan((new.key, new.machine.clone()), priority, now);
                 self.urgent.insert(placement_record);
             }
@@ -105,14 +111,14 @@
             let slot = self.jobs.get_mut(&key.0);
             let slot = slot.and_then(|j| j.tasks.get_mut(key.1 as usize));
             let at = slot.and_then(|t| {
-                let held = |a: &&mut TaskLocation| a.machine == machine && a.attempt == key.2;
+                let held = |a: &&mut AllocationRef| a.machine == machine && a.attempt == key.2;
                 t.at.iter_mut().find(held)
             });
             if let Some(at) = at {
                 at.placement_record = to;
             }
             let place = self.machines.get(&machine).and_then(|m| m.places.get(&key));
-            let stage = place.map_or(Stage::Started, |p| p.stage);
+            let stage = place.map_or(AllocationState::Launching, |p| p.stage);
             let moved = NewPlace {
                 key,
                 machine: &machine,
@@ -141,7 +147,7 @@
     /// The record that a new place goes into: the open one, until it is full or on its way; then one
     /// that is half empty, or a new one. Small gaps are left: places that fill them would each cost a
     /// change of a record of their own.
-    fn choose_placement_record(&mut self, key: &PlaceKey, machine: &Name) -> usize {
+    fn choose_placement_record(&mut self, key: &AllocationId, machine: &Name) -> usize {
         let most = self.record_bytes;
         let takes =
             |s: &PlacementRecord| s.is_idle() && s.bytes() + s.bytes_for(key, machine) <= most;
@@ -177,7 +183,7 @@
 
     /// The task is surely not on the machine any more (or, `done`, has completed): it counts no
     /// longer, and may be placed anew.
-    pub(crate) fn clear_place(&mut self, key: &PlaceKey, machine: &Name, ran: bool, now: Time) {
+    pub(crate) fn clear_place(&mut self, key: &AllocationId, machine: &Name, ran: bool, now: Time) {
         let (id, task, attempt) = key;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -185,7 +191,7 @@
         let Some(slot) = job.tasks.get_mut(*task as usize) else {
             return;
         };
-        let held = |a: &TaskLocation| a.machine == *machine && a.attempt == *attempt;
+        let held = |a: &AllocationRef| a.machine == *machine && a.attempt == *attempt;
         let Some(i) = slot.at.iter().position(held) else {
             return;
         };
@@ -209,7 +215,7 @@
         self.drop_ended(id);
     }
 
-    pub(crate) fn stop(&mut self, machine: &Name, key: &PlaceKey, grace_s: f64, now: Time) {
+    pub(crate) fn stop(&mut self, machine: &Name, key: &AllocationId, grace_s: f64, now: Time) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -217,14 +223,14 @@
             return;
         };
         match place.stage {
-            Stage::Exited(_) => {}
-            Stage::Planned => {
+            AllocationState::Exited(_) => {}
+            AllocationState::Pending => {
                 // The launch has not left, and never will.
                 m.places.remove(key);
                 m.places_changed();
                 self.clear_place(key, machine, false, now);
             }
-            Stage::Started | Stage::Seen(_) => {
+            AllocationState::Launching | AllocationState::Observed(_) => {
                 if place.stop.is_none_or(|s| grace_s < s.grace_s) {
                     place.stop = Some(Stop {
                         grace_s,
@@ -255,14 +261,14 @@
         let Some(job) = self.jobs.get(id) else {
             return;
         };
-        if job.spec.kind == Kind::Gang && !job.cancelled {
+        if job.spec.kind == JobKind::Gang && !job.cancelled {
             // The rest of a gang is of no use without this task.
             self.stop_all(id, 0.0, now);
         }
     }
 
-    /// Forgets what was on a machine whose worker has begun a new session.
-    pub(crate) fn clear_session(&mut self, name: &Name, now: Time) {
+    /// Forgets what was on a machine whose worker has begun a new incarnation.
+    pub(crate) fn end_incarnation(&mut self, name: &Name, now: Time) {
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
@@ -270,8 +276,8 @@
         let mut kept = BTreeMap::new();
         let mut cleared = Vec::new();
         for (key, place) in places {
-            // What has not been sent can still be sent to the new session.
-            if place.stage == Stage::Planned {
+            // What has not been sent can still be sent to the new incarnation.
+            if place.stage == AllocationState::Pending {
                 kept.insert(key, place);
             } else if place.is_live() {
                 cleared.push((key, place.running_since.is_some()));
@@ -280,7 +286,7 @@
         m.places = kept;
         m.places_changed();
         if !cleared.is_empty() {
-            warn!("{name}: new session, {} tasks lost", cleared.len());
+            warn!("{name}: new incarnation, {} tasks lost", cleared.len());
         }
         for (key, ran) in cleared {
             self.clear_place(&key, name, ran, now);
@@ -291,8 +297,8 @@
     pub(crate) fn tasks_not_shown(
         &mut self,
         name: &Name,
-        shown: &BTreeSet<PlaceKey>,
-        r: &Report,
+        shown: &BTreeSet<AllocationId>,
+        r: &Heartbeat,
         now: Time,
     ) {
         let first_token = self.first_token;
@@ -301,8 +307,11 @@
         let reported = m.reported;
         // An answer brought a launch, and a report after it shows nothing of that.
         let unacknowledged = m.places.iter().any(|(key, p)| {
-            let answered = p.reply_seq.is_some_and(|s| s < reported);
-            p.stage == Stage::Started && p.stop.is_none() && answered && !shown.contains(key)
+            let answered = p.launch_response_sequence.is_some_and(|s| s < reported);
+            p.stage == AllocationState::Launching
+                && p.stop.is_none()
+                && answered
+                && !shown.contains(key)
         });
         if unacknowledged {
             m.acknowledges(false, now);
@@ -314,20 +323,20 @@
             }
             let over = place.launches_are_over(r.token, reported);
             let gone = match place.stage {
-                Stage::Planned => false,
+                AllocationState::Pending => false,
                 // The worker forgot it as it was told.
-                Stage::Exited(_) => return !over,
+                AllocationState::Exited(_) => return !over,
                 // Launched by an earlier leader: nothing of it arrives once the worker has seen
                 // our token.
-                Stage::Started if place.recovered => r.token >= first_token,
-                Stage::Started => {
+                AllocationState::Launching if place.recovered => r.token >= first_token,
+                AllocationState::Launching => {
                     let unwanted =
                         place.stop.is_some() || jobs.get(&key.0).is_none_or(|j| j.cancelled);
                     unwanted && over
                 }
-                Stage::Seen(_) => over && r.token >= first_token,
+                AllocationState::Observed(_) => over && r.token >= first_token,
             };
-            place.missing = !gone && matches!(place.stage, Stage::Seen(_));
+            place.missing = !gone && matches!(place.stage, AllocationState::Observed(_));
             if gone {
                 lost.push((key.clone(), place.running_since.is_some()));
             }
@@ -343,38 +352,42 @@
 
     /// When a worker's lease was last renewed at the latest; `None` where an earlier leader may
     /// still renew it. A worker that has seen our token is renewed by us alone, and so is every
-    /// worker once the other controllers have promised as much. A session that was heard of may
+    /// worker once the other controllers have promised as much. An incarnation that was heard of may
     /// have begun just then, and what is sent to it runs in no later one.
     pub(crate) fn renewed_by(&self, m: &Machine) -> Option<Time> {
         let known = m.answered.max(m.heard.unwrap_or(m.answered));
         match m.token >= self.first_token {
-            true => Some(known.max(self.leads_since)),
+            true => Some(known.max(self.elected_at)),
             false => self.promised.map(|t| t.max(known)),
         }
     }
 
     /// When a worker's lease is over by our clock, it has killed and forgotten every task.
-    pub(crate) fn expire_sessions(&mut self, now: Time) {
+    pub(crate) fn expire_leases(&mut self, now: Time) {
         let lease_s = self.settings.cluster.workers.lease_s;
         let over: Vec<Name> = self
             .machines
             .values()
-            .filter(|m| m.phase != Phase::Booting)
+            .filter(|m| m.phase != MachinePhase::Booting)
             .filter(|m| {
                 let renewed = self.renewed_by(m);
                 renewed.is_some_and(|t| now - t > lease_s * DRIFT + WORKER_RETRY_S)
             })
-            .filter(|m| m.places.values().any(|p| p.stage != Stage::Planned))
+            .filter(|m| {
+                m.places
+                    .values()
+                    .any(|p| p.stage != AllocationState::Pending)
+            })
             .map(|m| m.name.clone())
             .collect();
         for name in over {
             warn!("{name}: silent for longer than its lease");
-            self.clear_session(&name, now);
+            self.end_incarnation(&name, now);
             if let Some(m) = self.machines.get_mut(&name) {
-                // Whatever it says of that session is of the past. Nothing is sent to the next one
+                // Whatever it says of that incarnation is of the past. Nothing is sent to the next one
                 // before it is heard of: when it begins, and so when it ends, is not known.
-                m.session += 1;
-                m.seq = 0;
+                m.incarnation += 1;
+                m.sequence = 0;
                 m.reported = 0;
                 m.heard = None;
             }
@@ -385,20 +398,20 @@
     pub(crate) fn recover_place(
         &mut self,
         placement_record: usize,
-        key: PlaceKey,
+        key: AllocationId,
         machine: &Name,
         now: Time,
     ) {
         // The record names the machine only: its own report or the cloud's list tells the rest.
         self.machines.entry(machine.clone()).or_insert_with(|| {
             let mut m = Machine::new(machine.clone(), "".into(), "".into(), false, now);
-            m.phase = Phase::Up;
+            m.phase = MachinePhase::Up;
             m
         });
         let place = NewPlace {
             key: key.clone(),
             machine,
-            stage: Stage::Started,
+            stage: AllocationState::Launching,
         };
         self.add_place_in(placement_record, place, now);
         let m = self.machines.get_mut(machine);
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -3,8 +3,8 @@
 use crate::coordination::cluster::*;
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::worker::{Cause, Command, Orders};
-use crate::storage::records::Cut;
+use crate::protocol::worker::{Cause, Command, CommandBatch};
+use crate::storage::records::CompletionShards;
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
@@ -12,33 +12,38 @@
 const EXITED_A_MACHINE: usize = 4;
 
 /// Whether a task's completion is known here only: its worker must not forget it yet.
-pub(crate) fn unrecorded(jobs: &BTreeMap<Name, Job>, id: &Name, task: u32, cut: Cut) -> bool {
+pub(crate) fn unrecorded(
+    jobs: &BTreeMap<Name, Job>,
+    id: &Name,
+    task: u32,
+    cut: CompletionShards,
+) -> bool {
     jobs.get(id).is_some_and(|j| {
         let completion_record = j.completion_records.get(task as usize / cut.tasks);
         !j.ended && completion_record.is_some_and(|c| c.dirty.is_some() || c.in_flight)
     })
 }
 
-impl Core {
+impl ClusterState {
     /// What a worker should be told now: in the answer to its report `reply`, or directly. Only
     /// what was never sent goes directly, and `forget` never does: it must not overtake a launch.
     pub(crate) fn commands(&mut self, name: &Name, reply: Option<u64>, now: Time) -> Vec<Command> {
         let Some(m) = self.machines.get_mut(name) else {
             return Vec::new();
         };
-        let (token, session_token) = (self.token, m.token);
+        let (token, acknowledged_token) = (self.token, m.token);
         // A leader whose lease may be over keeps tasks alive, but starts nothing.
-        let starts = now < self.valid_until;
+        let starts = now < self.lease_valid_until;
         let cut = self.cut;
         let mut commands = Vec::new();
         for (key, place) in m.places.iter_mut() {
-            if commands.len() >= MOST_COMMANDS {
+            if commands.len() >= MAX_COMMANDS {
                 break;
             }
             let (task, attempt) = (format!("{}/{}", key.0, key.1), key.2);
             match place.stage {
-                Stage::Planned => {}
-                Stage::Started | Stage::Seen(_) => {
+                AllocationState::Pending => {}
+                AllocationState::Launching | AllocationState::Observed(_) => {
                     if let Some(stop) = &mut place.stop {
                         if reply.is_some() || !stop.sent {
                             stop.sent = true;
@@ -49,22 +54,28 @@
                                 grace_s,
                             });
                         }
-                    } else if place.stage == Stage::Started && !place.recovered && starts {
-                        let sent = place.orders_token.is_some() || place.reply_seq.is_some();
-                        if let Some(seq) = reply {
-                            place.reply_seq = Some(seq);
+                    } else if place.stage == AllocationState::Launching
+                        && !place.recovered
+                        && starts
+                    {
+                        let sent = place.direct_launch_token.is_some()
+                            || place.launch_response_sequence.is_some();
+                        if let Some(sequence) = reply {
+                            place.launch_response_sequence = Some(sequence);
                         } else if !sent {
-                            place.orders_token = Some(token);
+                            place.direct_launch_token = Some(token);
                         } else {
                             continue;
                         }
                         commands.push(Command::Start { task, attempt });
                     }
                 }
-                Stage::Exited(cause) => {
+                AllocationState::Exited(cause) => {
                     // A launch that went straight to the worker may come again, and after a
                     // `forget` it would start the task anew.
-                    let safe = place.orders_token.is_none_or(|t| session_token > t);
+                    let safe = place
+                        .direct_launch_token
+                        .is_none_or(|t| acknowledged_token > t);
                     let kept = cause == Cause::Done && unrecorded(&self.jobs, &key.0, key.1, cut);
                     if reply.is_some() && safe && !kept {
                         commands.push(Command::Forget { task, attempt });
@@ -74,7 +85,7 @@
         }
         if !self.launched && commands.iter().any(Command::is_start) {
             self.launched = true;
-            let after_s = now - self.leads_since;
+            let after_s = now - self.elected_at;
             info!("the first launch, {after_s:.2} s after the records were read");
         }
         // Stops first: what they free, a launch behind them may take.
@@ -101,7 +112,8 @@
                 // Its answer brings the machine back here.
                 continue;
             }
-            let reachable = m.phase == Phase::Up && m.endpoint.is_some() && m.heard.is_some();
+            let reachable =
+                m.phase == MachinePhase::Up && m.endpoint.is_some() && m.heard.is_some();
             if !reachable || now < m.no_orders_until {
                 // The answer to its next report brings what there is.
                 continue;
@@ -123,37 +135,37 @@
             return;
         };
         m.order_in_flight = true;
-        self.effects.push(Effect::Orders {
+        self.effects.push(Effect::SendCommands {
             machine: name.clone(),
             endpoint,
-            orders: Orders {
+            orders: CommandBatch {
                 token,
-                session: m.session,
+                incarnation: m.incarnation,
                 commands,
             },
         });
     }
 
-    pub fn ordered(&mut self, name: &Name, result: Ordered, now: Time) {
+    pub fn commands_answered(&mut self, name: &Name, result: CommandOutcome, now: Time) {
         let pause = self.settings.cluster.workers.report_s;
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
         m.order_in_flight = false;
         self.to_order.insert(name.clone());
-        if let Ordered::Executed(_) = result {
+        if let CommandOutcome::Executed(_) = result {
             m.acknowledges(true, now);
         }
         match result {
-            Ordered::Executed(r) | Ordered::Rejected(Some(r)) => {
+            CommandOutcome::Executed(r) | CommandOutcome::Rejected(Some(r)) => {
                 if r.token > self.token {
                     self.deposed = true;
                 } else if r.machine == **name {
-                    self.absorb(&r, now);
+                    self.apply_command_response(&r, now);
                 }
             }
             // The rest goes with the answers to its reports; nothing is concluded.
-            Ordered::Rejected(None) | Ordered::NotSent | Ordered::Unknown => {
+            CommandOutcome::Rejected(None) | CommandOutcome::NotSent | CommandOutcome::Unknown => {
                 m.no_orders_until = now + pause;
                 m.unanswered = Some(now);
             }
@@ -167,28 +179,28 @@
             return;
         }
         let token = self.token;
-        let held = |p: &Place| p.orders_token == Some(token);
+        let held = |p: &Allocation| p.direct_launch_token == Some(token);
         let (mut exited, mut most, mut unwanted) = (0, 0, false);
         for m in self.machines.values() {
             let mut here = 0;
             for (key, p) in m.places.iter().filter(|(_, p)| held(p)) {
                 match p.stage {
-                    Stage::Exited(_) => here += 1,
-                    Stage::Started => {
+                    AllocationState::Exited(_) => here += 1,
+                    AllocationState::Launching => {
                         let cancelled = || self.jobs.get(&key.0).is_none_or(|j| j.cancelled);
                         unwanted |= p.stop.is_some() || cancelled();
                     }
                     // Its process was back at once: only a new token proves the task gone.
-                    Stage::Seen(_) => unwanted |= p.missing,
-                    Stage::Planned => {}
+                    AllocationState::Observed(_) => unwanted |= p.missing,
+                    AllocationState::Pending => {}
                 }
             }
             exited += here;
             most = most.max(here);
         }
         // Every worker reports a new token at once, so exited tasks must be worth it.
-        let many = exited > (EXITED_A_MACHINE * self.machines.len()).max(MOST_COMMANDS / 4);
-        if unwanted || many || most > MOST_COMMANDS / 4 {
+        let many = exited > (EXITED_A_MACHINE * self.machines.len()).max(MAX_COMMANDS / 4);
+        if unwanted || many || most > MAX_COMMANDS / 4 {
             self.raising = true;
             self.effects.push(Effect::RaiseToken);
         }
--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -7,7 +7,7 @@
 //! only, has the others looked up, each once. Once a job is cancelled, all that need it are doomed,
 //! however far: each gets its end on record, and users are told of it then.
 
-use crate::coordination::cluster::{Core, Effect};
+use crate::coordination::cluster::{ClusterState, Effect};
 use crate::coordination::state::*;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
@@ -16,12 +16,12 @@
 use tracing::{debug, info};
 
 /// Ends that are looked up in one go, and seconds before one that was not there is asked for again.
-const MOST_SOUGHT: usize = 32;
+const MAX_SOUGHT: usize = 32;
 const SEEK_AGAIN_S: f64 = 1.0;
 
 /// What is known of jobs that others need.
 #[derive(Default)]
-pub struct Pipelines {
+pub struct DependencyGraph {
     /// For each job that is needed and not known to have ended: those that name it.
     needed_by: HashMap<Name, BTreeSet<Name>>,
     /// Jobs of which neither the description nor the end is known here.
@@ -30,7 +30,7 @@
     seek_at: Time,
 }
 
-impl Core {
+impl ClusterState {
     /// Whether jobs wait for this one.
     pub(crate) fn is_needed(&self, id: &Name) -> bool {
         self.pipelines.needed_by.contains_key(id)
@@ -162,7 +162,7 @@
             return false;
         };
         let mut priority = job.spec.priority;
-        let mut due = job.spec.deadline_s.map(|due_s| Due {
+        let mut due = job.spec.deadline_s.map(|due_s| Deadline {
             arrived: job.arrived,
             due_s,
             class: job.spec.class.as_str().into(),
@@ -175,7 +175,7 @@
             };
             priority = priority.max(next.priority);
             if let Some(theirs) = &next.due {
-                let earlier = Due {
+                let earlier = Deadline {
                     after_s: theirs.after_s + self.takes_s(next),
                     ..theirs.clone()
                 };
@@ -206,7 +206,7 @@
 
     /// Asks for the ends of jobs that are needed and not known.
     pub(crate) fn seek_ends(&mut self, now: Time) {
-        if self.pipelines.seeking || now < self.pipelines.seek_at || !self.leads(now) {
+        if self.pipelines.seeking || now < self.pipelines.seek_at || !self.is_leader(now) {
             return;
         }
         let needed_by = &self.pipelines.needed_by;
@@ -217,17 +217,17 @@
             .pipelines
             .unknown
             .iter()
-            .take(MOST_SOUGHT)
+            .take(MAX_SOUGHT)
             .cloned()
             .collect();
         if !ids.is_empty() {
             self.pipelines.seeking = true;
-            self.effects.push(Effect::FindEnds(ids));
+            self.effects.push(Effect::ReadEnds(ids));
         }
     }
 
     /// The ends that were asked for; none for a job whose end is not on record, or not to be had.
-    pub fn found(&mut self, ends: Vec<(Name, Option<EndRecord>)>, now: Time) {
+    pub fn ends_found(&mut self, ends: Vec<(Name, Option<EndRecord>)>, now: Time) {
         self.pipelines.seeking = false;
         for (id, end) in ends {
             match end {
@@ -241,7 +241,7 @@
     }
 
     /// The end of a job is on record, as some node has read.
-    pub fn ended(&mut self, id: &str, state: JobState, now: Time) {
+    pub fn job_end_recorded(&mut self, id: &str, state: JobState, now: Time) {
         match state {
             JobState::Cancelled if self.jobs.contains_key(id) => self.cancel(id, now),
             _ => self.resolve(&id.into(), state, now),
--- a/src/coordination/cluster/heartbeat_routing.rs
+++ b/src/coordination/cluster/heartbeat_routing.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 
 /// A worker that comes back so often has not got through to the leader.
-const MOST_REDIRECTS: u32 = 3;
-/// Report intervals after which a worker that came back is a new one.
+const MAX_REDIRECTS: u32 = 3;
+/// Heartbeat intervals after which a worker that came back is a new one.
 const RECENT_REPORTS: f64 = 4.0;
 
 /// How a follower treats a report.
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Visits {
     count: u32,
-    /// The session and number of its newest report.
+    /// The incarnation and number of its newest report.
     newest: (u64, u64),
     at: Time,
 }
@@ -60,7 +60,7 @@
         }
         visits.at = now;
         let first = visits.count == 1 && !self.lease_outlasts_redirect;
-        match first || visits.count >= MOST_REDIRECTS {
+        match first || visits.count >= MAX_REDIRECTS {
             true => Route::PassOn,
             false => Route::Redirect,
         }
--- a/src/coordination/cluster/heartbeats.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -4,14 +4,16 @@
 use crate::coordination::cluster::*;
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::job::{parse_task, Kind};
-use crate::protocol::worker::{Cause, Command, Report, ReportAnswer, TaskReport, TaskState};
+use crate::protocol::job::{parse_task, JobKind};
+use crate::protocol::worker::{
+    Cause, Command, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+};
 use std::collections::BTreeSet;
 use tracing::{debug, info, warn};
 
 /// How a worker's report came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportSource {
+pub enum HeartbeatSource {
     /// The worker sent it to this node.
     Worker,
     /// The worker sent it to another controller, which passed it on. It says nothing of the way
@@ -22,18 +24,18 @@
     CommandAnswer,
 }
 
-impl Core {
+impl ClusterState {
     /// Whether a report is newer than all before it. A worker keeps the highest token that it has
     /// seen: with a lower one it is from before its process ended, or a new process that must first
     /// prove itself; its counters do not tell which.
-    pub(crate) fn is_newer(&self, r: &Report) -> bool {
-        self.machines
-            .get(r.machine.as_str())
-            .is_none_or(|m| (r.session, r.seq) > (m.session, m.seq) && r.token >= m.token)
+    pub(crate) fn is_newer(&self, r: &Heartbeat) -> bool {
+        self.machines.get(r.machine.as_str()).is_none_or(|m| {
+            (r.incarnation, r.sequence) > (m.incarnation, m.sequence) && r.token >= m.token
+        })
     }
 
     /// What completed stays completed, however old the report that says so.
-    fn completed_by(&mut self, r: &Report, now: Time) {
+    fn completed_by(&mut self, r: &Heartbeat, now: Time) {
         for t in r.tasks.iter().filter(|t| t.cause == Some(Cause::Done)) {
             let Some((job, task)) = parse_task(&t.task) else {
                 continue;
@@ -47,23 +49,23 @@
     }
 
     /// Takes in the report that answered a direct command.
-    pub fn absorb(&mut self, r: &Report, now: Time) -> bool {
-        self.take_in(r, ReportSource::CommandAnswer, now)
+    pub fn apply_command_response(&mut self, r: &Heartbeat, now: Time) -> bool {
+        self.take_in(r, HeartbeatSource::CommandAnswer, now)
     }
 
     /// Takes in a report of any origin, if it is newer than all before it. A late copy proves
     /// nothing but what has completed.
-    fn take_in(&mut self, r: &Report, source: ReportSource, now: Time) -> bool {
+    fn take_in(&mut self, r: &Heartbeat, source: HeartbeatSource, now: Time) -> bool {
         let name: Name = r.machine.as_str().into();
         let lease_s = self.settings.cluster.workers.lease_s;
         if !self.is_newer(r) || self.gone.contains_key(&name) {
             self.completed_by(r, now);
             return false;
         }
-        if source != ReportSource::Peer {
+        if source != HeartbeatSource::Peer {
             self.hears(now);
         }
-        if source == ReportSource::Worker {
+        if source == HeartbeatSource::Worker {
             self.reported_here = Some(now);
         }
         if !self.machines.contains_key(&name) {
@@ -73,20 +75,20 @@
             self.machines.insert(name.clone(), m);
         }
         let m = self.machines.get_mut(&name).expect("inserted above");
-        let new_session = m.session != 0 && r.session > m.session;
+        let is_new_incarnation = m.incarnation != 0 && r.incarnation > m.incarnation;
         m.describe(&r.kind, &r.zone, r.spot);
         // Its lease ran out though its reports were answered: the answers do not reach it.
-        if new_session && m.told > 0 && now - m.answered < lease_s {
-            m.unacknowledged = MOST_UNACKNOWLEDGED;
+        if is_new_incarnation && m.told > 0 && now - m.answered < lease_s {
+            m.unacknowledged = MAX_UNACKNOWLEDGED;
             m.acknowledges(false, now);
         }
-        if new_session {
+        if is_new_incarnation {
             m.told = 0;
         } else if m.told > m.token {
             m.acknowledges(r.token >= m.told, now);
         }
-        if m.phase == Phase::Booting {
-            m.phase = Phase::Up;
+        if m.phase == MachinePhase::Booting {
+            m.phase = MachinePhase::Up;
             m.idle_since = now;
             self.stirred = true;
             info!(
@@ -96,14 +98,14 @@
                 now - m.rented
             );
         }
-        if new_session {
+        if is_new_incarnation {
             m.reported = 0;
         }
-        if source != ReportSource::CommandAnswer {
-            m.reported = r.seq;
+        if source != HeartbeatSource::CommandAnswer {
+            m.reported = r.sequence;
         }
-        m.session = r.session;
-        m.seq = r.seq;
+        m.incarnation = r.incarnation;
+        m.sequence = r.sequence;
         m.token = m.token.max(r.token);
         m.heard = Some(now);
         m.no_orders_until = 0.0;
@@ -112,13 +114,13 @@
             m.endpoint = Some(r.endpoint.clone());
         }
         m.taken_at = r.notice_s.map(|s| now + s);
-        if new_session {
-            self.clear_session(&name, now);
+        if is_new_incarnation {
+            self.end_incarnation(&name, now);
         }
         let mut shown = BTreeSet::new();
         for t in &r.tasks {
             if let Some((job, task)) = parse_task(&t.task) {
-                let key: PlaceKey = (job.into(), task, t.attempt);
+                let key: AllocationId = (job.into(), task, t.attempt);
                 // Most tasks are as they were: a large fleet shows tens of thousands a second.
                 let m = self.machines.get(&name);
                 if !m.is_some_and(|m| m.is_known_so(&key, t.state)) {
@@ -138,7 +140,13 @@
         true
     }
 
-    pub(crate) fn task_shown(&mut self, name: &Name, key: &PlaceKey, t: &TaskReport, now: Time) {
+    pub(crate) fn task_shown(
+        &mut self,
+        name: &Name,
+        key: &AllocationId,
+        t: &TaskStatus,
+        now: Time,
+    ) {
         let Some(job) = self.jobs.get(&key.0) else {
             return;
         };
@@ -157,11 +165,11 @@
             }
             let taken = job.tasks[key.1 as usize].done || !job.tasks[key.1 as usize].at.is_empty();
             warn!("{name}: shows {}/{} that was not expected", key.0, key.1);
-            self.add_place(key.clone(), name, Stage::Started, now);
+            self.add_place(key.clone(), name, AllocationState::Launching, now);
             if taken || cancelled {
                 let m = self.machines.get_mut(name).expect("known machine");
                 let place = m.places.get_mut(key).expect("just added");
-                place.stage = Stage::Seen(t.state);
+                place.stage = AllocationState::Observed(t.state);
                 m.places_changed();
                 self.stop(name, key, 0.0, now);
             }
@@ -173,8 +181,9 @@
         }
         if t.state != TaskState::Exited {
             let was = place.stage;
-            let launched = was == Stage::Started && place.reply_seq.is_some();
-            place.stage = Stage::Seen(t.state);
+            let launched =
+                was == AllocationState::Launching && place.launch_response_sequence.is_some();
+            place.stage = AllocationState::Observed(t.state);
             place.recovered = false;
             place.missing = false;
             if t.state == TaskState::Running && place.running_since.is_none() {
@@ -188,7 +197,7 @@
             if t.state != TaskState::Fetching {
                 m.images.insert(spec.image.clone());
             }
-            if was == Stage::Started && cancelled && place.stop.is_none() {
+            if was == AllocationState::Launching && cancelled && place.stop.is_none() {
                 place.stop = Some(Stop {
                     grace_s: 0.0,
                     sent: false,
@@ -202,7 +211,7 @@
             return;
         }
         let cause = t.cause.unwrap_or(Cause::Error);
-        place.stage = Stage::Exited(cause);
+        place.stage = AllocationState::Exited(cause);
         let ran = place.running_since.map(|s| now - s);
         let (learnable, since) = (place.stop.is_none(), place.since);
         debug!("{}/{}: exited on {name}: {cause:?}", key.0, key.1);
@@ -213,7 +222,7 @@
             Cause::Done => {
                 self.task_done(&key.0, key.1, now);
                 self.succeeded_on(name, &spec.image);
-                if let (Some(ran), true, false) = (ran, learnable, spec.kind == Kind::Service) {
+                if let (Some(ran), true, false) = (ran, learnable, spec.kind == JobKind::Service) {
                     let owner = format!("{}/{}", spec.team, spec.class);
                     self.predictor
                         .learn(&owner, spec.estimate_s, spec.cpus, ran);
@@ -229,22 +238,27 @@
     }
 
     /// Takes in a report that its worker sent to this node, and answers it.
-    pub fn report(&mut self, r: &Report, now: Time) -> ReportOutcome {
-        self.report_from(ReportSource::Worker, r, now)
+    pub fn heartbeat(&mut self, r: &Heartbeat, now: Time) -> HeartbeatOutcome {
+        self.heartbeat_from(HeartbeatSource::Worker, r, now)
     }
 
     /// Takes in a worker's own report, sent here or passed on, and answers it.
-    pub fn report_from(&mut self, source: ReportSource, r: &Report, now: Time) -> ReportOutcome {
+    pub fn heartbeat_from(
+        &mut self,
+        source: HeartbeatSource,
+        r: &Heartbeat,
+        now: Time,
+    ) -> HeartbeatOutcome {
         if r.token > self.token {
             warn!(
                 "{}: has seen token {}, ours is {}",
                 r.machine, r.token, self.token
             );
             self.deposed = true;
-            return ReportOutcome::Deposed;
+            return HeartbeatOutcome::Deposed;
         }
         if !self.take_in(r, source, now) {
-            return ReportOutcome::Stale;
+            return HeartbeatOutcome::Stale;
         }
         let name: Name = r.machine.as_str().into();
         let mut commands = Vec::new();
@@ -275,9 +289,9 @@
                 }
             }
         }
-        commands.extend(self.commands(&name, Some(r.seq), now));
-        commands.truncate(MOST_COMMANDS);
-        ReportOutcome::Answer(ReportAnswer {
+        commands.extend(self.commands(&name, Some(r.sequence), now));
+        commands.truncate(MAX_COMMANDS);
+        HeartbeatOutcome::Answer(HeartbeatResponse {
             token: self.token,
             commands,
         })
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -3,21 +3,21 @@
 use crate::coordination::cluster::*;
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::job::{JobState, JobStatus, Kind};
+use crate::protocol::job::{JobKind, JobState, JobStatus};
 use crate::storage::records::OpenRecord;
 use std::sync::Arc;
 use tracing::{debug, info};
 
-impl Core {
+impl ClusterState {
     pub(crate) fn owner(job: &Job) -> String {
         format!("{}/{}", job.spec.team, job.spec.class)
     }
 
     /// A job's description, as recorded; `cancelled` when its user has taken it back.
-    pub fn job_open(&mut self, record: OpenRecord, seq: u64, now: Time, arrived: Time) {
+    pub fn job_open(&mut self, record: OpenRecord, arrival_order: u64, now: Time, arrived: Time) {
         let id: Name = record.spec.id.as_str().into();
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.seq = job.seq.min(seq);
+            job.arrival_order = job.arrival_order.min(arrival_order);
             if record.cancelled && !job.cancelled {
                 self.cancel(&id, now);
             }
@@ -29,7 +29,13 @@
         if !record.cancelled {
             self.fleet.arrived(&spec, arrived);
         }
-        let mut job = Job::new(spec, seq, arrived, completion_records, f64::INFINITY);
+        let mut job = Job::new(
+            spec,
+            arrival_order,
+            arrived,
+            completion_records,
+            f64::INFINITY,
+        );
         job.cancelled = record.cancelled;
         if !job.is_service() {
             let spec = &job.spec;
@@ -68,7 +74,7 @@
         self.resolve(&id, JobState::Cancelled, now);
         self.mark_over(&id);
         self.fleet.left(&spec, now);
-        self.effects.push(Effect::Ended {
+        self.effects.push(Effect::JobEnded {
             id,
             state: JobState::Cancelled,
         });
@@ -83,7 +89,7 @@
             let at = task.at.iter();
             at.map(move |a| (a.machine.clone(), (id.clone(), i as u32, a.attempt)))
         });
-        let places: Vec<(Name, PlaceKey)> = places.collect();
+        let places: Vec<(Name, AllocationId)> = places.collect();
         for (machine, key) in places {
             self.stop(&machine, &key, grace_s, now);
         }
@@ -114,7 +120,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let is_gang = job.spec.kind == Kind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         // The tasks of a gang complete together.
         let tasks = match is_gang {
             true => 0..job.tasks.len() as u32,
@@ -133,7 +139,7 @@
         }
         job.setbacks = 0;
         // Another place of a task that is done is of no use.
-        let rest: Vec<TaskLocation> = match is_gang {
+        let rest: Vec<AllocationRef> = match is_gang {
             true => Vec::new(),
             false => job
                 .tasks
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -1,10 +1,10 @@
 //! Machines that are silent, faulty or about to be taken; jobs that fail wherever they run.
 
-use crate::coordination::cluster::{Core, Effect, DRIFT};
+use crate::coordination::cluster::{ClusterState, Effect, DRIFT};
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::cloud::MOST_RETURNED;
-use crate::protocol::job::Kind;
+use crate::protocol::cloud::MAX_RETURNED;
+use crate::protocol::job::JobKind;
 use tracing::{info, warn};
 
 /// Distinct jobs that must fail on a machine, and then complete a task elsewhere, before it is held to
@@ -14,15 +14,15 @@
 const FAULTY_JOB_MACHINES: usize = 3;
 /// Each further failure of a job doubles its pause, up to this share of the time for which no job
 /// waits while there is room.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 const LONGEST_PAUSE_SHARE: f64 = 0.5;
 
-/// Report intervals without a report after which a machine is asked, and after which it is held to
+/// Heartbeat intervals without a report after which a machine is asked, and after which it is held to
 /// hang if it did not answer. An interval may be a quarter longer by itself: few are, and asking
 /// those costs less than hearing of the others later.
 const LATE_REPORTS: f64 = 1.15;
 const SUSPECT_REPORTS: f64 = 1.3;
-/// Report intervals without a report of any worker to this node itself after which its own network may
+/// Heartbeat intervals without a report of any worker to this node itself after which its own network may
 /// be at fault; for a leader that most machines know, at the latest after so many times as long as chance
 /// explains. Before, workers may still wait for an answer of the former leader.
 const UNHEARD_REPORTS: f64 = 1.3;
@@ -33,7 +33,7 @@
 const MASS_FAILURE_SHARE: f64 = 0.02;
 const MASS_FAILURE_LEAST: usize = 2;
 
-impl Core {
+impl ClusterState {
     pub(crate) fn succeeded_on(&mut self, name: &Name, image: &str) {
         if let Some(m) = self.machines.get_mut(name) {
             m.failures.clear();
@@ -58,7 +58,7 @@
         let count = job.failed_on.len();
         if (count >= FAULTY_JOB_MACHINES || again) && now >= job.retry_at {
             job.setbacks += 1;
-            let pause_s = report_s * f64::from(1 << job.setbacks.min(MOST_DOUBLINGS));
+            let pause_s = report_s * f64::from(1 << job.setbacks.min(MAX_DOUBLINGS));
             let pause_s = pause_s.min(LONGEST_PAUSE_SHARE * WAITS_WITH_ROOM_S);
             job.retry_at = now + pause_s;
             // A pause and a reservation behind it must not add up: it counts as waiting with room.
@@ -123,9 +123,9 @@
 
     /// Stops a task so that it can save. The tasks of a gang save together or not at all: those
     /// that are not told within `gang_peer_s` of the first fail, and the save with them.
-    fn stop_orderly(&mut self, name: &Name, key: &PlaceKey, grace_s: f64, now: Time) {
+    fn stop_orderly(&mut self, name: &Name, key: &AllocationId, grace_s: f64, now: Time) {
         let job = self.jobs.get(&key.0);
-        match job.is_some_and(|j| j.spec.kind == Kind::Gang) {
+        match job.is_some_and(|j| j.spec.kind == JobKind::Gang) {
             true => self.stop_all(&key.0, grace_s, now),
             false => self.stop(name, key, grace_s, now),
         }
@@ -145,7 +145,7 @@
     /// about it.
     fn silent_s(&self, m: &Machine, now: Time) -> f64 {
         let lease_s = self.settings.cluster.workers.lease_s * DRIFT;
-        let since = self.leads_since.max(self.hears_since);
+        let since = self.elected_at.max(self.hears_since);
         let last = m.heard.unwrap_or(m.rented);
         // One that answers commands but sends no reports is as good as silent, once that has cost it its
         // lease. So is one on which answers have no effect, though it is heard.
@@ -161,13 +161,13 @@
 
     /// Whether no worker reports to this node itself, though there are machines: its own network may be
     /// at fault. Many workers leave short gaps only, once they have found this leader.
-    pub fn hears_no_worker(&self, now: Time) -> bool {
+    pub fn receives_no_heartbeats(&self, now: Time) -> bool {
         let interval_s = UNHEARD_REPORTS * self.settings.cluster.workers.report_s;
         let patience_s = match self.known_to_most {
             true => interval_s.min(UNHEARD_GAPS * self.silence_of_all_s()),
             false => interval_s,
         };
-        let last = self.reported_here.unwrap_or(self.leads_since);
+        let last = self.reported_here.unwrap_or(self.elected_at);
         now - last > patience_s && !self.machines.is_empty()
     }
 
@@ -180,7 +180,11 @@
     /// left commands unanswered.
     fn survey_machines(&mut self, now: Time) {
         let (mut up, mut known, mut unanswered, mut first) = (0, 0, 0, now);
-        for m in self.machines.values().filter(|m| m.phase == Phase::Up) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Up)
+        {
             up += 1;
             known += usize::from(m.token >= self.first_token);
             if let Some(since) = self.unanswered_since(m) {
@@ -199,7 +203,10 @@
     fn silent_machines(&self, now: Time) -> Vec<(Name, f64)> {
         let silence_s = self.silence_s();
         let suspect_s = self.settings.cluster.workers.report_s * SUSPECT_REPORTS;
-        let up = self.machines.values().filter(|m| m.phase == Phase::Up);
+        let up = self
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Up);
         let silent = up.filter_map(|m| {
             let silent_s = self.silent_s(m, now);
             // A report is missing, and a command got no answer: it hangs, or is cut off.
@@ -231,12 +238,12 @@
     fn return_unusable(&mut self, now: Time) {
         let patience = self.settings.policy.boot_patience;
         let kept = self.machines.values();
-        let kept = kept.filter(|m| m.phase != Phase::Returning);
+        let kept = kept.filter(|m| m.phase != MachinePhase::Returning);
         let unusable = kept.filter_map(|m| {
             let boot_s = self.type_of(&m.kind)?.boot_s;
             let why = if m.listed_failed {
                 "has failed"
-            } else if m.phase == Phase::Booting && now - m.rented > patience * boot_s {
+            } else if m.phase == MachinePhase::Booting && now - m.rented > patience * boot_s {
                 "has not come up"
             } else if m.quarantined && m.is_empty() {
                 "is faulty"
@@ -260,7 +267,7 @@
         let late_s = self.settings.cluster.workers.report_s * LATE_REPORTS;
         let unheard = |m: &&Machine| {
             let late = m.heard.is_none_or(|t| now - t > late_s);
-            m.phase == Phase::Up && (late || m.unresponsive_since.is_some())
+            m.phase == MachinePhase::Up && (late || m.unresponsive_since.is_some())
         };
         let machines = || self.machines.values();
         // As many at a time as there are connections for: more would only wait for those.
@@ -281,25 +288,28 @@
     /// Decides that a machine is to be returned; it counts until the cloud has confirmed it.
     pub(crate) fn give_back(&mut self, name: &Name) {
         if let Some(m) = self.machines.get_mut(name) {
-            m.phase = Phase::Returning;
+            m.phase = MachinePhase::Returning;
         }
     }
 
     fn send_returns(&mut self) {
         let mut names = Vec::new();
         for m in self.machines.values_mut() {
-            if m.phase == Phase::Returning && !m.return_in_flight && names.len() < MOST_RETURNED {
+            if m.phase == MachinePhase::Returning
+                && !m.return_in_flight
+                && names.len() < MAX_RETURNED
+            {
                 m.return_in_flight = true;
                 names.push(m.name.to_string());
             }
         }
         if !names.is_empty() {
-            self.effects.push(Effect::Return(names));
+            self.effects.push(Effect::ReturnMachines(names));
         }
     }
 
     /// What the cloud answered to a return: a 200 proves that the machines are gone.
-    pub fn returned(&mut self, names: &[String], confirmed: bool, now: Time) {
+    pub fn machines_returned(&mut self, names: &[String], confirmed: bool, now: Time) {
         for name in names {
             let name: Name = name.as_str().into();
             if confirmed {
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -21,13 +21,13 @@
 use crate::coordination::Time;
 use crate::protocol::cloud::{MachineType, Rent};
 use crate::protocol::job::JobState;
-use crate::protocol::store::{Item, Transaction};
+use crate::protocol::store::{Transaction, VersionedValue};
 use crate::protocol::worker::*;
 use crate::settings::{Settings, Team, LONGEST_REPORT_INTERVAL};
 use crate::storage::records::*;
-use crate::storage::token_bucket::Budget;
+use crate::storage::token_bucket::TokenBucket;
 use serde_json::Value;
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -40,49 +40,50 @@
         id: u64,
         transaction: Transaction,
     },
-    Orders {
+    SendCommands {
         machine: Name,
         endpoint: String,
-        orders: Orders,
+        orders: CommandBatch,
     },
-    Rent(Rent),
-    Return(Vec<String>),
+    RentMachines(Rent),
+    ReturnMachines(Vec<String>),
     /// Draw a new token, so that launches that may still be under way die.
     RaiseToken,
-    Ended {
+    JobEnded {
         id: Name,
         state: JobState,
     },
     /// Look up how these jobs ended.
-    FindEnds(Vec<Name>),
+    ReadEnds(Vec<Name>),
 }
 
 /// What became of a write.
 #[derive(Debug)]
-pub enum Written {
+pub enum WriteOutcome {
+    /// Applied at this revision of the store.
     Applied(u64),
-    /// Surely not carried out.
-    Refused,
-    /// Not carried out, and never will be: larger than the state service takes.
+    /// Certainly not applied.
+    Rejected,
+    /// Not applied, and never will be: larger than the state service accepts.
     TooLarge,
-    /// Perhaps carried out: the keys of its conditions, as read afterwards.
-    Reread(Vec<(String, Option<Item>)>),
+    /// Possibly applied: the keys of its compares, as read afterwards.
+    Indeterminate(Vec<(String, Option<VersionedValue>)>),
 }
 
 /// What became of commands that were sent straight to a worker.
 #[derive(Debug)]
-pub enum Ordered {
-    Executed(Report),
+pub enum CommandOutcome {
+    Executed(Heartbeat),
     /// The worker executed nothing, and says how things are.
-    Rejected(Option<Report>),
+    Rejected(Option<Heartbeat>),
     NotSent,
     Unknown,
 }
 
 /// How a report is answered.
 #[derive(Debug, PartialEq)]
-pub enum ReportOutcome {
-    Answer(ReportAnswer),
+pub enum HeartbeatOutcome {
+    Answer(HeartbeatResponse),
     /// Older than what is known: its sender has given up on it.
     Stale,
     /// The worker has seen a higher token than ours.
@@ -90,7 +91,7 @@
 }
 
 /// A record of places on its way, with those that it makes known for the first time.
-pub(crate) type SentPlacementRecord = (usize, Vec<(PlaceKey, Name)>);
+pub(crate) type SentPlacementRecord = (usize, Vec<(AllocationId, Name)>);
 
 #[derive(Default)]
 pub(crate) struct InFlight {
@@ -102,7 +103,7 @@
 
 /// Changes at the state service, and the launches that they allow.
 #[derive(Default)]
-pub(crate) struct Spent {
+pub(crate) struct WriteStats {
     pub ends: usize,
     pub places: usize,
     pub launches: usize,
@@ -110,11 +111,11 @@
     pub removals: usize,
 }
 
-pub struct Core {
+pub struct ClusterState {
     pub(crate) settings: Arc<Settings>,
     pub token: u64,
     /// What may be written at the active cluster version.
-    pub clearance: Clearance,
+    pub write_fence: WriteFence,
     /// Tokens of this leadership start here: a report at or above it was sent after we took over.
     pub(crate) first_token: u64,
     counter: u64,
@@ -125,7 +126,7 @@
     pub(crate) predictor: Predictor,
     pub(crate) gone: BTreeMap<Name, Time>,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) fleet: crate::coordination::autoscaling::scale_out::Fleet,
+    pub(crate) fleet: crate::coordination::autoscaling::scale_out::Autoscaler,
     /// The records of places, and those that launches wait for.
     pub(crate) placement_records: Vec<PlacementRecord>,
     pub(crate) urgent: BTreeSet<usize>,
@@ -136,7 +137,7 @@
     /// Jobs of which nothing is left but the record of their end; false for those that others wait
     /// for, or must end with, which come first.
     pub(crate) over: BTreeSet<(bool, Name)>,
-    pub(crate) pipelines: dependencies::Pipelines,
+    pub(crate) pipelines: dependencies::DependencyGraph,
     /// The time of day when our clock was at 0, in milliseconds.
     pub(crate) day_ms: f64,
     /// Machines for which there may be something to say that should not wait for their reports.
@@ -154,14 +155,14 @@
     pub(crate) looks: Cell<u64>,
     pub(crate) in_flight: BTreeMap<u64, InFlight>,
     /// Changes since the last summary in the log, by what they were for.
-    pub(crate) spent: Spent,
+    pub(crate) spent: WriteStats,
     /// Records that are of no use any more.
     pub(crate) stale_keys: BTreeSet<String>,
-    pub(crate) budget: Budget,
+    pub(crate) budget: TokenBucket,
     pub(crate) write_pause: Time,
     /// Until when the lease surely holds.
-    pub valid_until: Time,
-    pub leads_since: Time,
+    pub lease_valid_until: Time,
+    pub elected_at: Time,
     pub(crate) raised_at: Time,
     pub(crate) raising: bool,
     pub deposed: bool,
@@ -181,7 +182,7 @@
     pub(crate) hears_since: Time,
     /// Since when many machines have left commands unanswered: others may have failed with them.
     pub(crate) mass_failure_since: Option<Time>,
-    pub(crate) cut: Cut,
+    pub(crate) cut: CompletionShards,
     /// What a record and a transaction may hold.
     pub(crate) record_bytes: usize,
     pub(crate) most_changes: usize,
@@ -195,7 +196,7 @@
 /// Bytes of a transaction that may be filled, of the 64 KiB allowed.
 pub(crate) const TXN_BYTES: usize = 48 * 1024;
 /// Commands in one answer, which must not be longer than 64 KiB.
-pub(crate) const MOST_COMMANDS: usize = 400;
+pub(crate) const MAX_COMMANDS: usize = 400;
 /// A worker gives up on an answer after this time and on a node after one second more.
 pub(crate) const WORKER_PATIENCE_S: f64 = 4.0;
 pub(crate) const WORKER_RETRY_S: f64 = 1.0;
@@ -203,8 +204,8 @@
 pub(crate) const LOST_AT_A_NODE_S: f64 = WORKER_PATIENCE_S + WORKER_RETRY_S;
 /// A gap in all workers' reports shows that this node is cut off when it is so many times as long
 /// as the mean time between two reports, but never when shorter than this share of an interval.
-const GAP_REPORTS: f64 = 8.0;
-const LEAST_GAP: f64 = 0.25;
+const GAP_HEARTBEATS: f64 = 8.0;
+const MIN_GAP: f64 = 0.25;
 /// Steady clocks of different machines may differ by this much.
 pub(crate) const DRIFT: f64 = 1.001;
 /// Seconds between passes while nothing is known to have changed, and between checks of leases.
@@ -214,11 +215,11 @@
 /// How many times as long as a pass took the next one waits.
 const PASS_PACE: f64 = 5.0;
 
-impl Core {
-    pub fn new(settings: Arc<Settings>, token: u64, now: Time) -> Core {
+impl ClusterState {
+    pub fn new(settings: Arc<Settings>, token: u64, now: Time) -> ClusterState {
         let c = &settings.cluster;
         let rate = c.state.write_rps * RECORD_SHARE;
-        Core {
+        ClusterState {
             token,
             first_token: token,
             counter: 0,
@@ -242,17 +243,17 @@
             passed_at: 0.0,
             next_pass: 0.0,
             chores_at: 0.0,
-            clearance: Clearance::Unstaged,
+            write_fence: WriteFence::Unstaged,
             explained: 0.0,
             withheld: BTreeMap::new(),
             looks: Cell::new(0),
             in_flight: BTreeMap::new(),
-            spent: Spent::default(),
+            spent: WriteStats::default(),
             stale_keys: BTreeSet::new(),
-            budget: Budget::new(rate, rate),
+            budget: TokenBucket::new(rate, rate),
             write_pause: 0.0,
-            valid_until: now,
-            leads_since: now,
+            lease_valid_until: now,
+            elected_at: now,
             raised_at: now,
             raising: false,
             deposed: false,
@@ -265,7 +266,7 @@
             gap_ended: now,
             hears_since: now,
             mass_failure_since: None,
-            cut: Cut::within(c.state.record_bytes()),
+            cut: CompletionShards::within(c.state.record_bytes()),
             record_bytes: c.state.record_bytes(),
             most_changes: c.state.changes(),
             shrinking: BTreeSet::new(),
@@ -274,7 +275,7 @@
     }
 
     /// The state service takes fewer changes than before: from now on the limits to come hold.
-    pub fn lower_rate(&mut self) {
+    pub fn lower_write_rate(&mut self) {
         let rate = self.settings.cluster.state.later_write_rps() * RECORD_SHARE;
         self.budget.lower(rate, rate);
     }
@@ -287,11 +288,11 @@
         self.first_token
     }
 
-    pub fn leads(&self, now: Time) -> bool {
-        now < self.valid_until && !self.deposed
+    pub fn is_leader(&self, now: Time) -> bool {
+        now < self.lease_valid_until && !self.deposed
     }
 
-    pub fn set_types(&mut self, types: Vec<MachineType>) {
+    pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         self.types = types;
         self.stirred = true;
     }
@@ -315,8 +316,8 @@
     /// How long it takes until hearing no worker at all is no chance any more: they report at times
     /// of their own, so that many leave short gaps only.
     pub(crate) fn silence_of_all_s(&self) -> f64 {
-        let gap = GAP_REPORTS / self.up.max(1) as f64;
-        gap.max(LEAST_GAP) * self.settings.cluster.workers.report_s
+        let gap = GAP_HEARTBEATS / self.up.max(1) as f64;
+        gap.max(MIN_GAP) * self.settings.cluster.workers.report_s
     }
 
     /// A worker is heard by this node itself. After a gap, what others did not answer in it says nothing of them; after
@@ -342,10 +343,10 @@
     /// whether that took a pass over all that waits.
     pub fn step(&mut self, now: Time) -> bool {
         let mut passed = false;
-        if self.leads(now) {
+        if self.is_leader(now) {
             if now - self.chores_at >= PASS_PAUSE_S {
                 self.chores_at = now;
-                self.expire_sessions(now);
+                self.expire_leases(now);
                 self.check_machines(now);
                 self.raise_token(now);
             }
@@ -365,13 +366,13 @@
     }
 
     /// What a pass has taken, so that the next one waits for long enough.
-    pub fn pass_took(&mut self, seconds: f64, now: Time) {
+    pub fn cycle_took(&mut self, seconds: f64, now: Time) {
         self.next_pass = now + PASS_PACE * seconds;
     }
 
     /// Slower decisions, about once a second.
     pub fn tick(&mut self, now: Time) {
-        if self.leads(now) {
+        if self.is_leader(now) {
             self.manage_fleet(now);
             if now - self.explained >= EXPLAIN_S {
                 self.explained = now;
@@ -387,7 +388,7 @@
     }
 
     /// How many machines and places passes have looked at since this leader began.
-    pub fn looks(&self) -> u64 {
+    pub fn machines_examined(&self) -> u64 {
         self.looks.get()
     }
 
@@ -396,7 +397,7 @@
     }
 
     /// Every other controller has promised to answer no report with a lower token than ours.
-    pub fn promised(&mut self, now: Time) {
+    pub fn peers_promised(&mut self, now: Time) {
         self.promised = Some(now);
     }
 
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -1,9 +1,9 @@
 //! How a new leader rebuilds its picture: from the records, then from the workers themselves.
 
-use crate::coordination::cluster::Core;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::store::Item;
+use crate::protocol::store::VersionedValue;
 use crate::storage::records::*;
 use std::collections::BTreeMap;
 use tracing::info;
@@ -11,12 +11,12 @@
 /// The records that a new leader reads.
 #[derive(Debug, Default)]
 pub struct Records {
-    pub open: Vec<Item>,
-    pub run: Vec<Item>,
-    pub places: Vec<Item>,
+    pub open: Vec<VersionedValue>,
+    pub run: Vec<VersionedValue>,
+    pub places: Vec<VersionedValue>,
 }
 
-impl Core {
+impl ClusterState {
     /// Loads what earlier leaders recorded. Once a worker has seen our token, no older command
     /// reaches it, and its report is the truth.
     pub fn recover(&mut self, records: Records, wall_ms: u64, now: Time) {
@@ -28,10 +28,10 @@
             }
         }
         for (version, record) in open {
-            self.job_opened(record, version, wall_ms, now);
+            self.job_accepted(record, version, wall_ms, now);
         }
         for item in records.run {
-            let Some((id, number)) = parse_run_key(&item.key) else {
+            let Some((id, number)) = parse_completion_key(&item.key) else {
                 continue;
             };
             let id: Name = id.into();
@@ -40,13 +40,13 @@
                 self.stale_keys.insert(item.key);
                 continue;
             }
-            let Some(record) = Self::decode::<RunRecord>(&item.key, item.value) else {
+            let Some(record) = Self::decode::<StoredCompletions>(&item.key, item.value) else {
                 continue;
             };
             self.recover_completion_record(&id, number, record, item.version);
         }
         for item in records.places {
-            let Some(placement_record) = parse_place_key(&item.key) else {
+            let Some(placement_record) = parse_placement_key(&item.key) else {
                 continue;
             };
             if self.placement_records.len() <= placement_record {
@@ -54,7 +54,7 @@
                     .resize_with(placement_record + 1, PlacementRecord::default);
             }
             self.placement_records[placement_record].version = item.version;
-            if let Some(record) = Self::decode::<PlaceRecord>(&item.key, item.value) {
+            if let Some(record) = Self::decode::<StoredPlacements>(&item.key, item.value) {
                 self.recover_placement_record(placement_record, record, now);
             }
         }
@@ -71,7 +71,7 @@
     }
 
     /// A job that was accepted at some time of day.
-    pub fn job_opened(&mut self, record: OpenRecord, version: u64, wall_ms: u64, now: Time) {
+    pub fn job_accepted(&mut self, record: OpenRecord, version: u64, wall_ms: u64, now: Time) {
         let age_s = wall_ms.saturating_sub(record.at_ms) as f64 / 1000.0;
         self.job_open(record, version, now, now - age_s);
     }
@@ -80,7 +80,7 @@
         &mut self,
         id: &Name,
         number: usize,
-        record: RunRecord,
+        record: StoredCompletions,
         version: u64,
     ) {
         for (first, last) in &record.done {
@@ -105,7 +105,7 @@
     fn recover_placement_record(
         &mut self,
         placement_record: usize,
-        record: PlaceRecord,
+        record: StoredPlacements,
         now: Time,
     ) {
         let mut told = 0;
--- a/src/coordination/cluster/writes.rs
+++ b/src/coordination/cluster/writes.rs
@@ -4,11 +4,11 @@
 use crate::coordination::state::*;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
-use crate::protocol::store::{Item, Transaction};
+use crate::protocol::store::{Transaction, VersionedValue};
 use crate::settings::CONDITIONS_A_CHANGE;
 use crate::storage::records::{
-    end_key, open_key, parse_place_key, parse_run_key, place_key, run_key, EndRecord, PlaceRecord,
-    RunRecord, LEADER,
+    completion_key, end_key, open_key, parse_completion_key, parse_placement_key, placement_key,
+    EndRecord, StoredCompletions, StoredPlacements, LEADER_KEY,
 };
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{VersionRange, VersionRecord};
@@ -21,12 +21,12 @@
 const SCARCE: f64 = 2.0;
 /// The share of the budget's burst that removals leave, and how many may be put off.
 const REMOVAL_LEVEL: f64 = 0.75;
-const MOST_STALE: usize = 1000;
+const MAX_STALE: usize = 1000;
 
-impl Core {
+impl ClusterState {
     /// Writes what is out of date, as far as the budget allows.
     pub(crate) fn flush(&mut self, now: Time) {
-        if now < self.write_pause || !self.leads(now) {
+        if now < self.write_pause || !self.is_leader(now) {
             return;
         }
         while self.in_flight.len() < WRITES_IN_FLIGHT {
@@ -54,7 +54,7 @@
     }
 
     pub(crate) fn begin(&self) -> Transaction {
-        Transaction::at_version(&self.clearance).version(LEADER, self.token)
+        Transaction::at_version(&self.write_fence).version(LEADER_KEY, self.token)
     }
 
     /// Ends a job: a write-once key, and its description closes. Its other records are of no use
@@ -110,8 +110,8 @@
         &self,
         placement_record: usize,
         most_jobs: usize,
-    ) -> (PlaceRecord, SentPlacementRecord) {
-        let mut record = PlaceRecord::default();
+    ) -> (StoredPlacements, SentPlacementRecord) {
+        let mut record = StoredPlacements::default();
         let mut planned = Vec::new();
         let mut jobs: BTreeSet<&Name> = BTreeSet::new();
         let entries = &self.placement_records[placement_record];
@@ -157,14 +157,14 @@
             return false;
         };
         // Two conditions are about the leader and the record itself, and one about the cluster version.
-        let others = 2 + usize::from(self.clearance.stamp().is_some());
+        let others = 2 + usize::from(self.write_fence.stamp().is_some());
         let most_jobs = CONDITIONS_A_CHANGE * self.most_changes - others;
         let (record, sent) = self.placement_value(i, most_jobs);
         let value = serde_json::to_value(&record).expect("plain data");
         let mut txn = self
             .begin()
-            .version(place_key(i), self.placement_records[i].version)
-            .put(place_key(i), value);
+            .version(placement_key(i), self.placement_records[i].version)
+            .put(placement_key(i), value);
         let jobs: BTreeSet<&Name> = sent.1.iter().map(|(key, _)| &key.0).collect();
         for id in jobs {
             txn = txn.absent(end_key(id));
@@ -194,8 +194,8 @@
         self.budget.level(now) < self.budget.burst() / 2.0
     }
 
-    fn completion_value(&self, job: &Job, completion_record: usize) -> RunRecord {
-        let mut record = RunRecord::default();
+    fn completion_value(&self, job: &Job, completion_record: usize) -> StoredCompletions {
+        let mut record = StoredCompletions::default();
         let first = completion_record * self.cut.tasks;
         let last = (first + self.cut.tasks).min(job.tasks.len());
         for t in (first..last).filter(|t| job.tasks[*t].done) {
@@ -245,7 +245,7 @@
             }
             let value = serde_json::to_value(self.completion_value(job, i)).expect("plain data");
             bytes += value.to_string().len();
-            let key = run_key(&id, self.cut.number(i));
+            let key = completion_key(&id, self.cut.number(i));
             txn = txn
                 .version(&*key, job.completion_records[i].version)
                 .put(key, value);
@@ -281,7 +281,7 @@
         // Nothing hurries them: they leave room for what does, until they are too many.
         let scarce = self.budget.level(now) < self.budget.burst() * REMOVAL_LEVEL;
         let enough = self.budget.level(now) >= keys.len() as f64;
-        if keys.is_empty() || !enough || (scarce && self.stale_keys.len() < MOST_STALE) {
+        if keys.is_empty() || !enough || (scarce && self.stale_keys.len() < MAX_STALE) {
             return false;
         }
         let mut txn = self.begin();
@@ -302,15 +302,15 @@
     }
 
     /// Takes in what became of a write.
-    pub fn written(&mut self, id: u64, result: Written, now: Time) {
+    pub fn write_finished(&mut self, id: u64, result: WriteOutcome, now: Time) {
         let Some(what) = self.in_flight.remove(&id) else {
             return;
         };
-        if matches!(result, Written::TooLarge) {
+        if matches!(result, WriteOutcome::TooLarge) {
             self.write_smaller(&what, now);
         }
         let applied = match &result {
-            Written::Applied(revision) => Some(*revision),
+            WriteOutcome::Applied(revision) => Some(*revision),
             _ => None,
         };
         for (i, planned) in what.placement_records {
@@ -340,9 +340,9 @@
             }
         }
         match result {
-            Written::Applied(_) => {}
-            Written::Refused | Written::TooLarge => self.write_pause = now + 0.25,
-            Written::Reread(items) => self.reread(items, now),
+            WriteOutcome::Applied(_) => {}
+            WriteOutcome::Rejected | WriteOutcome::TooLarge => self.write_pause = now + 0.25,
+            WriteOutcome::Indeterminate(items) => self.reread(items, now),
         }
     }
 
@@ -375,7 +375,7 @@
     fn placement_record_written(
         &mut self,
         placement_record: usize,
-        planned: Vec<(PlaceKey, Name)>,
+        planned: Vec<(AllocationId, Name)>,
         applied: Option<u64>,
         now: Time,
     ) {
@@ -395,8 +395,8 @@
             let cancelled = self.jobs.get(&key.0).is_none_or(|j| j.cancelled);
             let m = self.machines.get_mut(&machine);
             let place = m.and_then(|m| m.places.get_mut(&key));
-            if let Some(p) = place.filter(|p| p.stage == Stage::Planned && !cancelled) {
-                p.stage = Stage::Started;
+            if let Some(p) = place.filter(|p| p.stage == AllocationState::Pending && !cancelled) {
+                p.stage = AllocationState::Launching;
                 self.to_order.insert(machine);
             }
         }
@@ -433,7 +433,7 @@
         }
         if !told {
             let id = id.clone();
-            self.effects.push(Effect::Ended { id, state });
+            self.effects.push(Effect::JobEnded { id, state });
         }
         for first in [false, true] {
             self.over.remove(&(first, id.clone()));
@@ -444,10 +444,11 @@
             .enumerate()
             .filter(|(_, c)| c.version > 0);
         for (i, _) in stored {
-            self.stale_keys.insert(run_key(id, self.cut.number(i)));
+            self.stale_keys
+                .insert(completion_key(id, self.cut.number(i)));
         }
         for number in &job.other_cuts {
-            self.stale_keys.insert(run_key(id, *number));
+            self.stale_keys.insert(completion_key(id, *number));
         }
         self.stop_all(id, 0.0, now);
         self.resolve(id, state, now);
@@ -463,21 +464,21 @@
 
     /// The cluster version has risen, or an upgrade was called off: what is written from now on is
     /// written for that, or no more.
-    fn version_reread(&mut self, item: Option<Item>) {
+    fn version_reread(&mut self, item: Option<VersionedValue>) {
         let Some(item) = item else {
             return;
         };
         match serde_json::from_value::<VersionRecord>(item.value) {
             Ok(record) => {
                 let range = VersionRange::OF_THIS_RELEASE;
-                self.clearance.read(range, &record, item.version);
+                self.write_fence.read(range, &record, item.version);
             }
             Err(error) => {
                 warn!("{VERSION}: cannot be read: {error}");
                 self.deposed = true;
             }
         }
-        if let Some(why) = self.clearance.refusal() {
+        if let Some(why) = self.write_fence.refusal() {
             warn!("{why}: leads no more");
             self.deposed = true;
         }
@@ -485,10 +486,10 @@
 
     /// A write failed or went unanswered: take the versions from what the keys hold now. A copy of
     /// that write which is applied later fails by the version that the next write changes.
-    pub(crate) fn reread(&mut self, items: Vec<(String, Option<Item>)>, now: Time) {
+    pub(crate) fn reread(&mut self, items: Vec<(String, Option<VersionedValue>)>, now: Time) {
         for (key, item) in items {
             let version = item.as_ref().map_or(0, |i| i.version);
-            if key == LEADER {
+            if key == LEADER_KEY {
                 // A lower version was read before the token was raised.
                 if (version > self.token || version == 0) && !self.raising {
                     warn!("leadership is lost: the record has version {version}");
@@ -497,10 +498,10 @@
             } else if key == VERSION {
                 self.version_reread(item);
             } else if let Some(placement_record) =
-                parse_place_key(&key).and_then(|i| self.placement_records.get_mut(i))
+                parse_placement_key(&key).and_then(|i| self.placement_records.get_mut(i))
             {
                 placement_record.version = version;
-            } else if let Some((id, number)) = parse_run_key(&key) {
+            } else if let Some((id, number)) = parse_completion_key(&key) {
                 let position = self.cut.position(number);
                 let completion_record =
                     position.and_then(|i| self.jobs.get_mut(id)?.completion_records.get_mut(i));
--- a/src/coordination/election/messages.rs
+++ b/src/coordination/election/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Time;
 use crate::protocol::store::{Events, Transaction};
-use crate::storage::key_value_store::{Outcome, Renewal, Unavailable};
+use crate::storage::key_value_store::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
 
 /// What the election tells the controller.
@@ -54,7 +54,7 @@
     Watched(Result<Option<Events>, Unavailable>),
     /// The new lease.
     Granted(Result<u64, Unavailable>),
-    Committed(Outcome),
+    Committed(CommitOutcome),
     Renewed(Renewal),
     Released,
     /// A request came before the wait was over.
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -11,8 +11,8 @@
 
 use super::Time;
 use crate::protocol::store::{Events, Transaction};
-use crate::storage::key_value_store::{Outcome, Unavailable};
-use crate::storage::records::{LeaderRecord, LEADER};
+use crate::storage::key_value_store::{CommitOutcome, Unavailable};
+use crate::storage::records::{LeaderRecord, LEADER_KEY};
 use std::time::Duration;
 use term::{Term, TermEnd};
 use tracing::{debug, error, info, warn};
@@ -215,9 +215,15 @@
         }
     }
 
-    fn campaigned(&mut self, lease: u64, sent: Time, outcome: Outcome, now: Time) -> Operation {
+    fn campaigned(
+        &mut self,
+        lease: u64,
+        sent: Time,
+        outcome: CommitOutcome,
+        now: Time,
+    ) -> Operation {
         match outcome {
-            Outcome::Applied(token) => {
+            CommitOutcome::Applied(token) => {
                 self.events.push(ElectionEvent::Elected { token });
                 self.events.push(lease_event(sent, self.lease));
                 let mut term = Term::new(self.node.clone(), token, lease, self.lease, now);
@@ -225,10 +231,13 @@
                 self.state = State::Leading(term);
                 operation
             }
-            Outcome::Unknown | Outcome::Refused | Outcome::Limited | Outcome::TooLarge => {
-                self.retry_later(now)
+            CommitOutcome::Unknown
+            | CommitOutcome::Refused
+            | CommitOutcome::Limited
+            | CommitOutcome::TooLarge => self.retry_later(now),
+            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => {
+                self.release(lease, AfterRelease::Read)
             }
-            Outcome::Conflict(_) | Outcome::NoLease => self.release(lease, AfterRelease::Read),
         }
     }
 
@@ -284,6 +293,6 @@
     };
     let value = serde_json::to_value(record).expect("plain data");
     Transaction::default()
-        .version(LEADER, version)
-        .put_leased(LEADER, value, lease)
+        .version(LEADER_KEY, version)
+        .put_leased(LEADER_KEY, value, lease)
 }
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -10,7 +10,7 @@
     Operation, RENEWALS, RETRIES,
 };
 use crate::coordination::Time;
-use crate::storage::key_value_store::{Outcome, Renewal, Unavailable};
+use crate::storage::key_value_store::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
 use tracing::error;
 
@@ -175,21 +175,23 @@
         Ok(())
     }
 
-    fn committed(&mut self, outcome: Outcome, now: Time, events: &mut Vec<ElectionEvent>) {
+    fn committed(&mut self, outcome: CommitOutcome, now: Time, events: &mut Vec<ElectionEvent>) {
         let unanswered = self.raise.is_some_and(|raise| raise.unanswered);
         match outcome {
-            Outcome::Applied(token) => self.raised(token, events),
-            Outcome::Unknown => self.continue_raise(RaiseStep::ReadBack, true, now),
+            CommitOutcome::Applied(token) => self.raised(token, events),
+            CommitOutcome::Unknown => self.continue_raise(RaiseStep::ReadBack, true, now),
             // An earlier copy was applied, or the leadership is lost.
-            Outcome::Conflict(_) if unanswered => {
+            CommitOutcome::Conflict(_) if unanswered => {
                 self.continue_raise(RaiseStep::ReadBack, true, now);
             }
-            Outcome::Conflict(_) | Outcome::NoLease => self.not_raised(now, events),
+            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => self.not_raised(now, events),
             // This copy was not carried out, but an earlier one may be.
-            Outcome::Refused | Outcome::Limited | Outcome::TooLarge if unanswered => {
+            CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge
+                if unanswered =>
+            {
                 self.continue_raise(RaiseStep::Commit, true, now + self.retry_pause());
             }
-            Outcome::Refused | Outcome::Limited | Outcome::TooLarge => {
+            CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge => {
                 self.raise = None;
                 events.push(ElectionEvent::TokenRaised(None));
             }
--- /dev/null
+++ b/src/coordination/manager.rs
@@ -0,0 +1,3 @@
+//! The leading controller's manager of the cluster.
+
+pub use super::cluster::ClusterState as ClusterManager;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -12,6 +12,7 @@
 pub mod autoscaling;
 pub mod cluster;
 pub mod election;
+pub mod manager;
 pub mod prediction;
 pub mod requests;
 pub mod scheduling;
--- a/src/coordination/prediction.rs
+++ b/src/coordination/prediction.rs
@@ -15,7 +15,7 @@
 const RATE: f64 = 0.5;
 const PENALTY: f64 = 1e-4;
 /// The least weight of a job: the logarithm of a small job's area may be negative.
-const LEAST_WEIGHT: f64 = 0.1;
+const MIN_WEIGHT: f64 = 0.1;
 const FEATURES: usize = 6;
 const TERMS: usize = 1 + FEATURES + FEATURES * (FEATURES + 1) / 2;
 /// Run times of an owner that are remembered.
@@ -106,7 +106,7 @@
             }
         }
         let error = self.value(&terms) - run_s;
-        let weight = (size.max(0.0) * run_s).ln().max(LEAST_WEIGHT);
+        let weight = (size.max(0.0) * run_s).ln().max(MIN_WEIGHT);
         let slope = match error >= 0.0 {
             true => 2.0 * error * weight,
             false => -weight,
--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -5,10 +5,10 @@
 use super::TRIES;
 use crate::protocol::job::JobStatus;
 use crate::protocol::store::Transaction;
-use crate::storage::key_value_store::Outcome;
+use crate::storage::key_value_store::CommitOutcome;
 use crate::storage::records::{end_key, open_key};
 use serde_json::Value;
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 
 /// Writes a record of a job while none is there.
 pub(super) struct Acceptance {
@@ -30,7 +30,7 @@
         job: &str,
         key: String,
         value: Value,
-        clearance: &Clearance,
+        clearance: &WriteFence,
     ) -> (Acceptance, StoreCall) {
         let transaction = Transaction::at_version(clearance)
             .absent(open_key(job))
@@ -55,21 +55,24 @@
             return Ok(lookup.on(answer)?.map(Accepted::Before));
         }
         match answer.outcome() {
-            Outcome::Applied(version) => Ok(Step::Finished(Accepted::Now(version))),
-            Outcome::Conflict(failed) if is_version_raised(&failed) => Err(Stop::VersionRaised),
-            Outcome::Conflict(_) => {
+            CommitOutcome::Applied(version) => Ok(Step::Finished(Accepted::Now(version))),
+            CommitOutcome::Conflict(failed) if is_version_raised(&failed) => {
+                Err(Stop::VersionRaised)
+            }
+            CommitOutcome::Conflict(_) => {
                 let (lookup, call) = Lookup::begin(&self.job);
                 self.lookup = Some(lookup);
                 Ok(Step::Call(call))
             }
-            Outcome::Unknown if self.tries < TRIES => {
+            CommitOutcome::Unknown if self.tries < TRIES => {
                 self.tries += 1;
                 Ok(Step::Call(self.commit()))
             }
-            Outcome::Limited => Err(Stop::Limited),
-            Outcome::Unknown | Outcome::Refused | Outcome::TooLarge | Outcome::NoLease => {
-                Err(Stop::Unavailable)
-            }
+            CommitOutcome::Limited => Err(Stop::Limited),
+            CommitOutcome::Unknown
+            | CommitOutcome::Refused
+            | CommitOutcome::TooLarge
+            | CommitOutcome::NoLease => Err(Stop::Unavailable),
         }
     }
 }
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Context, Reason};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::job::{JobSpec, Kind};
+use crate::protocol::job::{JobKind, JobSpec};
 use crate::settings::Settings;
 use crate::storage::records::OpenRecord;
 use stairstage_upgrade::Gate;
@@ -47,8 +47,8 @@
         return Some("no machine type that the job allows fits a task".into());
     }
     let at_once = match spec.kind {
-        Kind::Array => 1.0,
-        Kind::Gang | Kind::Service => f64::from(spec.tasks),
+        JobKind::Array => 1.0,
+        JobKind::Gang | JobKind::Service => f64::from(spec.tasks),
     };
     let exceeds = |need: f64, most: f64| most > 0.0 && need * at_once > most + 1e-9;
     if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -6,9 +6,9 @@
 use super::{Answer, Context, TRIES};
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
-use crate::storage::key_value_store::Outcome;
+use crate::storage::key_value_store::CommitOutcome;
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 
 /// Records that a job's user has taken it back, unless it has ended.
 pub(super) struct Cancellation {
@@ -16,7 +16,7 @@
     now_ms: u64,
     /// The most bytes that a record may have.
     record_bytes: usize,
-    clearance: Clearance,
+    clearance: WriteFence,
     tries: usize,
     stage: Stage,
 }
@@ -92,14 +92,18 @@
         StoreCall::Commit(transaction)
     }
 
-    fn committed(&mut self, outcome: Outcome) -> Progress<Answer> {
+    fn committed(&mut self, outcome: CommitOutcome) -> Progress<Answer> {
         match outcome {
-            Outcome::Applied(_) => Ok(self.cancelled()),
-            Outcome::Conflict(failed) if is_version_raised(&failed) => Err(Stop::VersionRaised),
+            CommitOutcome::Applied(_) => Ok(self.cancelled()),
+            CommitOutcome::Conflict(failed) if is_version_raised(&failed) => {
+                Err(Stop::VersionRaised)
+            }
             // Ended meanwhile, or cancelled by a try whose answer was lost.
-            Outcome::Conflict(_) | Outcome::Unknown => self.retry(),
-            Outcome::Limited => Err(Stop::Limited),
-            Outcome::Refused | Outcome::TooLarge | Outcome::NoLease => Err(Stop::Unavailable),
+            CommitOutcome::Conflict(_) | CommitOutcome::Unknown => self.retry(),
+            CommitOutcome::Limited => Err(Stop::Limited),
+            CommitOutcome::Refused | CommitOutcome::TooLarge | CommitOutcome::NoLease => {
+                Err(Stop::Unavailable)
+            }
         }
     }
 
--- a/src/coordination/requests/lookup.rs
+++ b/src/coordination/requests/lookup.rs
@@ -7,7 +7,7 @@
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 
 /// Jobs that are read at the most to see whether one that another needs is cancelled.
-const MOST_FOLLOWED: usize = 24;
+const MAX_FOLLOWED: usize = 24;
 
 /// Reads a job's state; `None` if it was never accepted. The description is read first: it goes in
 /// the same transaction as the end comes, or stays until later.
@@ -98,7 +98,7 @@
     }
 
     fn next(&mut self) -> Progress<bool> {
-        if self.followed == MOST_FOLLOWED {
+        if self.followed == MAX_FOLLOWED {
             return Err(Stop::Unavailable);
         }
         let Some(job) = self.left.pop() else {
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -33,7 +33,7 @@
 use crate::storage::records::OpenRecord;
 use cancellation::Cancellation;
 use polls::Poll;
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use std::sync::Arc;
 use steps::{Progress, Step, Stop};
 use submission::Submission;
@@ -47,7 +47,7 @@
     pub settings: Arc<Settings>,
     pub types: Arc<Vec<MachineType>>,
     /// What may be written at the active cluster version.
-    pub clearance: Clearance,
+    pub clearance: WriteFence,
     /// The other controllers, in the order in which they are asked.
     pub peers: Vec<String>,
     /// Whether another controller has handed it on. It is then answered without asking others.
--- a/src/coordination/requests/polls/mod.rs
+++ b/src/coordination/requests/polls/mod.rs
@@ -22,8 +22,8 @@
 use crate::coordination::Time;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::settings::Settings;
-use crate::storage::key_value_store::Outcome;
-use crate::storage::token_bucket::Budget;
+use crate::storage::key_value_store::CommitOutcome;
+use crate::storage::token_bucket::TokenBucket;
 use comparison::{Claim, Comparison, Verdict};
 use known_jobs::KnownJobs;
 use reads::{Read, ReadCall, Reads};
@@ -106,7 +106,7 @@
 /// Answers the polls of one node.
 pub struct PollBatcher {
     limits: Limits,
-    requests: Budget,
+    requests: TokenBucket,
     /// Those that are to be compared.
     waiting: Vec<WaitingPoll>,
     /// Those for which something is to be read first.
@@ -147,7 +147,7 @@
         let steady = (1.0 - BURST) * limits.requests_per_s;
         PollBatcher {
             limits,
-            requests: Budget::new(steady, burst),
+            requests: TokenBucket::new(steady, burst),
             waiting: Vec::new(),
             reading: Vec::new(),
             reads: Reads::new(limits.jobs),
@@ -252,17 +252,25 @@
         Some(StoreCall::Commit(transaction))
     }
 
-    fn compared(&mut self, comparison: Comparison, outcome: Outcome, now: Time) -> Vec<Effect> {
+    fn compared(
+        &mut self,
+        comparison: Comparison,
+        outcome: CommitOutcome,
+        now: Time,
+    ) -> Vec<Effect> {
         let present = match outcome {
-            Outcome::Applied(_) => Vec::new(),
-            Outcome::Conflict(present) => present,
+            CommitOutcome::Applied(_) => Vec::new(),
+            CommitOutcome::Conflict(present) => present,
             // One request too many: the next may be answered.
-            Outcome::Limited => {
+            CommitOutcome::Limited => {
                 let polls = comparison.into_polls().into_iter();
                 polls.for_each(|poll| self.wait(poll));
                 return Vec::new();
             }
-            Outcome::Refused | Outcome::TooLarge | Outcome::NoLease | Outcome::Unknown => {
+            CommitOutcome::Refused
+            | CommitOutcome::TooLarge
+            | CommitOutcome::NoLease
+            | CommitOutcome::Unknown => {
                 return self.not_reached(comparison.into_polls(), now);
             }
         };
--- a/src/coordination/requests/polls/reads.rs
+++ b/src/coordination/requests/polls/reads.rs
@@ -2,15 +2,15 @@
 
 use crate::coordination::requests::steps::{StoreAnswer, StoreCall};
 use crate::protocol::job::JobState;
-use crate::protocol::store::Item;
+use crate::protocol::store::VersionedValue;
 use crate::storage::key_value_store::Unavailable;
-use crate::storage::records::{EndRecord, OpenRecord, END, OPEN};
+use crate::storage::records::{EndRecord, OpenRecord, END_PREFIX, OPEN_PREFIX};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::BTreeSet;
 
 /// Records in a page at the most, and for each that is wanted: reading what nobody asks for costs time.
-pub const MOST_LISTED: usize = 400;
+pub const MAX_LISTED: usize = 400;
 const LISTED_FOR_ONE: usize = 16;
 
 /// What is read of a job.
@@ -24,8 +24,8 @@
 impl RecordKind {
     fn prefix(self) -> &'static str {
         match self {
-            RecordKind::End => END,
-            RecordKind::Open => OPEN,
+            RecordKind::End => END_PREFIX,
+            RecordKind::Open => OPEN_PREFIX,
         }
     }
 
@@ -118,7 +118,7 @@
         let list = StoreCall::List {
             under: kind.prefix().to_string(),
             after: key_before(&key),
-            limit: MOST_LISTED.min(LISTED_FOR_ONE * wanted),
+            limit: MAX_LISTED.min(LISTED_FOR_ONE * wanted),
         };
         Some((ReadCall::From(read), list))
     }
@@ -210,7 +210,7 @@
     }
 }
 
-fn found_in_page(kind: RecordKind, item: Item) -> Option<(String, Found)> {
+fn found_in_page(kind: RecordKind, item: VersionedValue) -> Option<(String, Found)> {
     let job = item.key.strip_prefix(kind.prefix())?.to_string();
     Some((job, found(kind, item.value)?))
 }
--- a/src/coordination/requests/polls/retries.rs
+++ b/src/coordination/requests/polls/retries.rs
@@ -6,8 +6,8 @@
 
 /// The longest time that a poll is told to stay away: as long as users stay away by themselves. Who
 /// comes back later, at another node, waits longer than it need.
-const MOST_RETRY_AFTER_S: f64 = 5.0;
-const LEAST_RETRY_AFTER_S: f64 = 1.0;
+const MAX_RETRY_AFTER_S: f64 = 5.0;
+const MIN_RETRY_AFTER_S: f64 = 1.0;
 
 /// Since when jobs wait for an answer, bounded in number.
 pub(super) struct Retries {
@@ -49,10 +49,10 @@
             self.order.push_back((job, now));
             self.forget_oldest();
         }
-        let slot = self.next_slot.max(now + LEAST_RETRY_AFTER_S);
-        let slot = slot.min(now + MOST_RETRY_AFTER_S);
+        let slot = self.next_slot.max(now + MIN_RETRY_AFTER_S);
+        let slot = slot.min(now + MAX_RETRY_AFTER_S);
         self.next_slot = slot + self.spacing_s;
-        (slot - now).ceil().min(MOST_RETRY_AFTER_S) as u32
+        (slot - now).ceil().min(MAX_RETRY_AFTER_S) as u32
     }
 
     fn forget_oldest(&mut self) {
--- a/src/coordination/requests/prerequisites.rs
+++ b/src/coordination/requests/prerequisites.rs
@@ -4,7 +4,7 @@
 use super::steps::{Progress, Step, Stop, StoreAnswer, StoreCall};
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::Transaction;
-use crate::storage::key_value_store::Outcome;
+use crate::storage::key_value_store::CommitOutcome;
 use crate::storage::records::{end_key, open_key};
 use std::collections::VecDeque;
 
@@ -93,9 +93,9 @@
         match &mut self.stage {
             Stage::Comparing => {
                 self.present = match answer.outcome() {
-                    Outcome::Conflict(present) => present,
-                    Outcome::Applied(_) => Vec::new(),
-                    Outcome::Limited => return Err(Stop::Limited),
+                    CommitOutcome::Conflict(present) => present,
+                    CommitOutcome::Applied(_) => Vec::new(),
+                    CommitOutcome::Limited => return Err(Stop::Limited),
                     _ => return Err(Stop::Unavailable),
                 };
             }
--- a/src/coordination/requests/steps.rs
+++ b/src/coordination/requests/steps.rs
@@ -1,7 +1,7 @@
 //! Calls to the state service, one at a time, and what a part of a request makes of the answers.
 
-use crate::protocol::store::{Item, Page, Transaction};
-use crate::storage::key_value_store::{Outcome, Unavailable};
+use crate::protocol::store::{Page, Transaction, VersionedValue};
+use crate::storage::key_value_store::{CommitOutcome, Unavailable};
 use serde::de::DeserializeOwned;
 use stairstage_upgrade::records::VERSION;
 
@@ -23,9 +23,9 @@
 /// What has come of a call.
 #[derive(Debug)]
 pub enum StoreAnswer {
-    Read(Result<Option<Item>, Unavailable>),
+    Read(Result<Option<VersionedValue>, Unavailable>),
     Listed(Result<Page, Unavailable>),
-    Committed(Outcome),
+    Committed(CommitOutcome),
 }
 
 impl StoreAnswer {
@@ -41,10 +41,10 @@
     }
 
     /// What became of the transaction that was committed.
-    pub(super) fn outcome(self) -> Outcome {
+    pub(super) fn outcome(self) -> CommitOutcome {
         match self {
             StoreAnswer::Committed(outcome) => outcome,
-            StoreAnswer::Read(_) | StoreAnswer::Listed(_) => Outcome::Refused,
+            StoreAnswer::Read(_) | StoreAnswer::Listed(_) => CommitOutcome::Refused,
         }
     }
 }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -8,12 +8,12 @@
 use super::{Answer, Context, Decision, Reason};
 use crate::protocol::job::{JobSpec, JobState};
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 
 /// Accepts a job, unless it is known or can't be taken.
 pub(super) struct Submission {
     record: OpenRecord,
-    clearance: Clearance,
+    clearance: WriteFence,
     stage: Stage,
 }
 
--- a/src/coordination/scheduling/backfill.rs
+++ b/src/coordination/scheduling/backfill.rs
@@ -1,15 +1,15 @@
 //! The head's reservation, and what may be started without delaying it.
 
-use crate::coordination::state::Room;
+use crate::coordination::state::Resources;
 use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine as the reservation sees it: what is free now and what comes free when.
 pub struct Frees {
     pub machine: usize,
-    pub room: Room,
+    pub room: Resources,
     /// Predicted ends of its tasks with the room that each frees.
-    pub ends: Vec<(Time, Room)>,
+    pub ends: Vec<(Time, Resources)>,
 }
 
 /// Where and when the queue's head starts, by the predictions at hand.
@@ -18,14 +18,19 @@
     /// When its next task starts.
     pub at: Time,
     /// The machines that are held for its tasks: until when, and what is left over by then.
-    held: BTreeMap<usize, (Time, Room)>,
+    held: BTreeMap<usize, (Time, Resources)>,
     /// For a gang: it needs room on many machines at once, so all that it may use are held for it.
     whole: BTreeSet<usize>,
 }
 
 /// The earliest starts of so many tasks, one a machine, that fit nowhere now.
-pub fn reserve(now: Time, need: &Room, tasks: usize, machines: Vec<Frees>) -> Option<Reservation> {
-    let mut starts: Vec<(Time, usize, Room)> = Vec::new();
+pub fn reserve(
+    now: Time,
+    need: &Resources,
+    tasks: usize,
+    machines: Vec<Frees>,
+) -> Option<Reservation> {
+    let mut starts: Vec<(Time, usize, Resources)> = Vec::new();
     for mut m in machines {
         m.ends.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut room = m.room;
@@ -63,14 +68,14 @@
 /// predicted ends of what runs on the machines of these zones.
 pub fn reserve_gang(
     now: Time,
-    need: &Room,
+    need: &Resources,
     tasks: u32,
     most_in_zone: u32,
     zones: &[Vec<Frees>],
 ) -> Option<Reservation> {
     let mut slots: Vec<u32> = Vec::new();
-    let mut machines: Vec<(usize, Room)> = Vec::new();
-    let mut ends: Vec<(Time, usize, Room)> = Vec::new();
+    let mut machines: Vec<(usize, Resources)> = Vec::new();
+    let mut ends: Vec<(Time, usize, Resources)> = Vec::new();
     for (zone, of_zone) in zones.iter().enumerate() {
         slots.push(of_zone.iter().map(|m| m.room.slots(need)).sum());
         for m in of_zone {
@@ -100,7 +105,7 @@
 
 impl Reservation {
     /// Whether a task that is started now on `machine`, and ends at `end`, leaves it undelayed.
-    pub fn allows(&self, machine: usize, need: &Room, end: Time) -> bool {
+    pub fn allows(&self, machine: usize, need: &Resources, end: Time) -> bool {
         match self.held.get(&machine) {
             Some((at, spare)) => end <= *at || spare.fits(need),
             None => !self.whole.contains(&machine) || end <= self.at,
@@ -108,7 +113,7 @@
     }
 
     /// Accounts for a task that was let pass.
-    pub fn admit(&mut self, machine: usize, need: &Room, end: Time) {
+    pub fn admit(&mut self, machine: usize, need: &Resources, end: Time) {
         if let Some((at, spare)) = self.held.get_mut(&machine) {
             if end > *at {
                 spare.take(need);
--- a/src/coordination/scheduling/deadlines.rs
+++ b/src/coordination/scheduling/deadlines.rs
@@ -9,7 +9,7 @@
 
 /// What is left of a job that has a deadline.
 #[derive(Clone, Copy, Debug)]
-pub struct Remaining {
+pub struct RemainingWork {
     pub at: Time,
     /// Processor seconds.
     pub work: f64,
@@ -19,7 +19,7 @@
 
 /// Of jobs in the order of their deadlines, which can be met on so many processors, of which
 /// `taken` processor seconds are spoken for.
-pub fn met(jobs: &[Remaining], now: Time, cpus: f64, taken: f64) -> Vec<bool> {
+pub fn met(jobs: &[RemainingWork], now: Time, cpus: f64, taken: f64) -> Vec<bool> {
     let mut met = vec![false; jobs.len()];
     // The largest on top, to a thousandth of a processor second.
     let mut kept: BinaryHeap<(u64, usize)> = BinaryHeap::new();
--- a/src/coordination/scheduling/placement/arrays.rs
+++ b/src/coordination/scheduling/placement/arrays.rs
@@ -1,6 +1,6 @@
 //! Where the tasks of arrays go.
 
-use super::Pass;
+use super::SchedulingCycle;
 use crate::coordination::scheduling::backfill::Reservation;
 use crate::coordination::scheduling::queue::Blocked;
 use crate::coordination::state::*;
@@ -54,19 +54,19 @@
 
 /// A shape of tasks that has found no room in this pass.
 pub(crate) struct Full {
-    need: Room,
+    need: Resources,
     /// Whether it could have used machines that the cloud may take back.
     spot: bool,
 }
 
 impl Full {
     /// Whether tasks of the job can find no room either: they are no smaller, and may use no more.
-    fn covers(&self, job: &Job, need: &Room) -> bool {
+    fn covers(&self, job: &Job, need: &Resources) -> bool {
         need.fits(&self.need) && (self.spot || !job.spec.spot)
     }
 }
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// The machines that have room for a task of an array, the best first. They go where their
     /// image is, else in the order in which machines fill.
     pub fn rooms_for(&mut self, job: &Job) -> Result<MachinesByCost, Blocked> {
@@ -78,7 +78,7 @@
         }
         // The smallest tasks that found no room show what larger ones need not try.
         if self.full_for.iter().any(|f| f.covers(job, &need)) {
-            return Err(Blocked::Room);
+            return Err(Blocked::Resources);
         }
         let candidates: Vec<usize> = self.allowed(job).collect();
         self.core.look(candidates.len());
@@ -145,7 +145,7 @@
         match waits {
             false => Ok(()),
             true if zone_blocked || !self.within_limit(job, 1) => Err(Blocked::Rule),
-            true => Err(Blocked::Room),
+            true => Err(Blocked::Resources),
         }
     }
 }
--- a/src/coordination/scheduling/placement/gangs.rs
+++ b/src/coordination/scheduling/placement/gangs.rs
@@ -1,12 +1,12 @@
 //! Where the tasks of gangs go: all at once, or none.
 
-use super::{failure_penalty_s, Pass};
+use super::{failure_penalty_s, SchedulingCycle};
 use crate::coordination::scheduling::backfill::Reservation;
 use crate::coordination::scheduling::queue::Blocked;
 use crate::coordination::state::*;
 use std::collections::{BTreeSet, HashMap};
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// All tasks of a gang, or none.
     pub fn place_gang(
         &mut self,
@@ -26,7 +26,7 @@
             if reserved.is_some() && self.fit_gang(job, tasks.len(), None).is_some() {
                 self.withhold(job);
             }
-            return Err(Blocked::Room);
+            return Err(Blocked::Resources);
         };
         let (need, end) = (job.need(), self.now + job.predicted_s);
         for (task, i) in tasks.iter().zip(chosen) {
--- a/src/coordination/scheduling/placement/mod.rs
+++ b/src/coordination/scheduling/placement/mod.rs
@@ -4,13 +4,13 @@
 mod gangs;
 mod services;
 
-use crate::coordination::cluster::Core;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::*;
 use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-pub(crate) struct Plan {
+pub(crate) struct PlannedAllocation {
     pub job: Name,
     pub task: u32,
     pub machine: Name,
@@ -19,30 +19,30 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Plans {
-    pub places: Vec<Plan>,
-    pub stops: Vec<(Name, PlaceKey)>,
+pub(crate) struct SchedulingPlan {
+    pub places: Vec<PlannedAllocation>,
+    pub stops: Vec<(Name, AllocationId)>,
     /// Jobs of which nothing runs, and that found room but for the reservation.
     pub withheld: BTreeSet<Name>,
 }
 
 /// One pass of placing: rooms and limits as they will be once its plans are carried out.
-pub(crate) struct Pass<'a> {
-    core: &'a Core,
+pub(crate) struct SchedulingCycle<'a> {
+    core: &'a ClusterState,
     pub now: Time,
     machines: Vec<&'a Machine>,
     kinds: Vec<Option<&'a MachineType>>,
     open: Vec<bool>,
-    rooms: Vec<Room>,
-    /// Room on each machine that is kept warm for services.
-    warm: Vec<Room>,
+    rooms: Vec<Resources>,
+    /// Resources on each machine that is kept warm for services.
+    warm: Vec<Resources>,
     /// The order in which machines fill, from 0 to 1: what comes last empties first, and can be
     /// returned.
     rank: Vec<f64>,
     team_use: HashMap<String, (f64, f64)>,
     zones: HashMap<Name, HashMap<Name, u32>>,
-    victims: HashSet<PlaceKey>,
-    plans: Plans,
+    victims: HashSet<AllocationId>,
+    plans: SchedulingPlan,
     full_for: Vec<arrays::Full>,
     /// Tasks of each job that are planned in this pass.
     placed: HashMap<Name, usize>,
@@ -54,8 +54,8 @@
 /// Jobs that have failed on a machine since one last completed there, before it comes last.
 const SUSPECT_JOBS: usize = 2;
 
-impl<'a> Pass<'a> {
-    pub fn new(core: &'a Core, now: Time) -> Pass<'a> {
+impl<'a> SchedulingCycle<'a> {
+    pub fn new(core: &'a ClusterState, now: Time) -> SchedulingCycle<'a> {
         let machines: Vec<&Machine> = core.machines.values().collect();
         let kinds: Vec<Option<&MachineType>> =
             machines.iter().map(|m| core.type_of(&m.kind)).collect();
@@ -65,11 +65,11 @@
             .collect();
         let rooms = of_types().map(|(m, kind)| room_left(m, *kind)).collect();
         let rank = fill_order(&machines, &kinds);
-        Pass {
+        SchedulingCycle {
             core,
             now,
             rank,
-            warm: vec![Room::default(); machines.len()],
+            warm: vec![Resources::default(); machines.len()],
             machines,
             kinds,
             open,
@@ -77,13 +77,13 @@
             team_use: core.team_use.clone(),
             zones: HashMap::new(),
             victims: HashSet::new(),
-            plans: Plans::default(),
+            plans: SchedulingPlan::default(),
             full_for: Vec::new(),
             placed: HashMap::new(),
         }
     }
 
-    pub fn finish(self) -> Plans {
+    pub fn finish(self) -> SchedulingPlan {
         self.plans
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// What batches may use of a machine's room.
-    pub fn room(&self, i: usize) -> Room {
+    pub fn room(&self, i: usize) -> Resources {
         let mut room = self.rooms[i];
         room.take(&self.warm[i]);
         room
@@ -190,7 +190,7 @@
             *self.zones_of(job).entry(zone).or_default() += 1;
         }
         *self.placed.entry(job.id.clone()).or_default() += 1;
-        self.plans.places.push(Plan {
+        self.plans.places.push(PlannedAllocation {
             job: job.id.clone(),
             task,
             machine: self.machines[i].name.clone(),
@@ -253,18 +253,18 @@
 
 /// What is free on a machine of a type: all that is or may be there counts, but for what a stop in
 /// the same message ends at once.
-fn room_left(m: &Machine, kind: Option<&MachineType>) -> Room {
+fn room_left(m: &Machine, kind: Option<&MachineType>) -> Resources {
     let Some(kind) = kind else {
-        return Room::default();
+        return Resources::default();
     };
-    let mut room = Room::of_type(kind);
+    let mut room = Resources::of_type(kind);
     room.take(&m.used());
     room
 }
 
-impl Core {
+impl ClusterState {
     /// What is free on a machine.
-    pub(crate) fn free_room(&self, m: &Machine) -> Room {
+    pub(crate) fn free_room(&self, m: &Machine) -> Resources {
         room_left(m, self.type_of(&m.kind))
     }
 }
--- a/src/coordination/scheduling/placement/services.rs
+++ b/src/coordination/scheduling/placement/services.rs
@@ -1,6 +1,6 @@
 //! Where replicas of services go, and the room that is kept for those to come.
 
-use super::Pass;
+use super::SchedulingCycle;
 use crate::coordination::scheduling::queue::{outranks, Blocked};
 use crate::coordination::state::*;
 
@@ -10,14 +10,14 @@
 /// with a replica each when the batches end.
 const APART_S: f64 = 1.0;
 
-impl Pass<'_> {
+impl SchedulingCycle<'_> {
     /// A replica goes where it starts soonest; lesser work makes room where that is sooner.
     pub fn place_service(&mut self, job: &Job, task: u32) -> Result<(), Blocked> {
         if !self.within_limit(job, 1) {
             return Err(Blocked::Rule);
         }
         let need = job.need();
-        let mut best: Option<(f64, usize, Vec<PlaceKey>)> = None;
+        let mut best: Option<(f64, usize, Vec<AllocationId>)> = None;
         let candidates: Vec<usize> = self.allowed(job).collect();
         self.core.look(candidates.len());
         for i in &candidates {
@@ -54,7 +54,7 @@
             }
         }
         let Some((_, i, victims)) = best else {
-            return Err(Blocked::Room);
+            return Err(Blocked::Resources);
         };
         for key in victims {
             let name = self.machines[i].name.clone();
@@ -78,24 +78,24 @@
         (self.rooms[i].cpus / total.max(1e-3)).clamp(0.0, 1.0)
     }
 
-    fn lost_s(&self, i: usize, victims: &[PlaceKey]) -> f64 {
+    fn lost_s(&self, i: usize, victims: &[AllocationId]) -> f64 {
         let places = &self.machines[i].places;
-        let age = |k: &PlaceKey| self.now - places[k].running_since.unwrap_or(self.now);
+        let age = |k: &AllocationId| self.now - places[k].running_since.unwrap_or(self.now);
         victims.iter().map(age).sum()
     }
 
     /// Which lesser work to stop so that the room suffices: none, if it does already.
-    fn make_room(&self, job: &Job, i: usize, need: &Room) -> Option<Vec<PlaceKey>> {
+    fn make_room(&self, job: &Job, i: usize, need: &Resources) -> Option<Vec<AllocationId>> {
         let mut room = self.rooms[i];
         let mut victims = Vec::new();
         if room.fits(need) {
             return Some(victims);
         }
-        let mut lesser: Vec<(&PlaceKey, &Place)> = self.machines[i]
+        let mut lesser: Vec<(&AllocationId, &Allocation)> = self.machines[i]
             .live()
             .filter(|(key, p)| {
                 // What saves before it stops, or is not surely there, does not free its room now.
-                let quick = matches!(p.stage, Stage::Seen(_)) && p.stop.is_none();
+                let quick = matches!(p.stage, AllocationState::Observed(_)) && p.stop.is_none();
                 quick
                     && p.load.yields
                     && outranks(job.priority, p.load.priority)
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -1,12 +1,12 @@
 //! One pass over what waits: services first, then the queue in its order with backfilling.
 
-use crate::coordination::cluster::Core;
+use crate::coordination::cluster::ClusterState;
 use crate::coordination::scheduling::backfill::{reserve, reserve_gang, Frees, Reservation};
-use crate::coordination::scheduling::deadlines::{met, Remaining};
-use crate::coordination::scheduling::placement::Pass;
+use crate::coordination::scheduling::deadlines::{met, RemainingWork};
+use crate::coordination::scheduling::placement::SchedulingCycle;
 use crate::coordination::state::*;
 use crate::coordination::Time;
-use crate::protocol::job::{Kind, Priority};
+use crate::protocol::job::{JobKind, Priority};
 use crate::protocol::worker::TaskState;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -20,21 +20,25 @@
 pub(crate) enum Blocked {
     /// Its team's limit, a rule about zones, or a pause after failures: it holds up nobody else.
     Rule,
-    Room,
+    Resources,
 }
 
 /// The first job that found no room, and its reservation: sought only when another job has found
 /// room, as on a full fleet it would hold nobody up and cost the most of a pass.
 #[derive(Default)]
-struct Head<'a> {
+struct HeadReservation<'a> {
     blocked: Vec<&'a Job>,
     /// How many of them were asked.
     sought: usize,
     found: Option<Reservation>,
 }
 
-impl Head<'_> {
-    fn reservation(&mut self, core: &Core, pass: &Pass) -> Option<&mut Reservation> {
+impl HeadReservation<'_> {
+    fn reservation(
+        &mut self,
+        core: &ClusterState,
+        pass: &SchedulingCycle,
+    ) -> Option<&mut Reservation> {
         while self.found.is_none() && self.sought < self.blocked.len() {
             self.found = core.reservation(pass, self.blocked[self.sought]);
             self.sought += 1;
@@ -43,13 +47,13 @@
     }
 }
 
-impl Core {
-    /// Decides what to place now. Plans are recorded before any launch leaves.
+impl ClusterState {
+    /// Decides what to place now. SchedulingPlan are recorded before any launch leaves.
     pub(crate) fn schedule(&mut self, now: Time) {
         if self.types.is_empty() || !self.jobs.values().any(|j| waits(j, now)) {
             return;
         }
-        let mut pass = Pass::new(self, now);
+        let mut pass = SchedulingCycle::new(self, now);
         self.look(self.machines.len());
         let mut services: Vec<&Job> = Vec::new();
         let mut queue: Vec<&Job> = Vec::new();
@@ -59,7 +63,7 @@
                 false => queue.push(job),
             }
         }
-        services.sort_by_key(|j| (Reverse(j.priority), j.seq));
+        services.sort_by_key(|j| (Reverse(j.priority), j.arrival_order));
         for job in services {
             for task in job.unplaced() {
                 if pass.place_service(job, task).is_err() {
@@ -87,12 +91,12 @@
                 false => fresh,
             };
             let key = (plan.job, plan.task, attempt);
-            self.add_place(key, &plan.machine, Stage::Planned, now);
+            self.add_place(key, &plan.machine, AllocationState::Pending, now);
         }
     }
 
     /// Processors of machines that take tasks and that no service holds.
-    fn batch_cpus(&self, pass: &Pass) -> f64 {
+    fn batch_cpus(&self, pass: &SchedulingCycle) -> f64 {
         let services = self.jobs.values().filter(|j| j.is_service());
         let held: f64 = services.map(|j| f64::from(j.live) * j.spec.cpus).sum();
         (pass.cpus() - held).max(0.0)
@@ -115,7 +119,7 @@
     /// yields to what can, in tiers of lateness.
     pub(crate) fn turns(&self, queue: &[&Job], cpus: f64, now: Time) -> Turns {
         let mut turns = Turns::new();
-        let mut left: Vec<(&Job, &Due, Vec<f64>)> = Vec::new();
+        let mut left: Vec<(&Job, &Deadline, Vec<f64>)> = Vec::new();
         let mut taken = 0.0;
         for job in queue {
             match &job.due {
@@ -127,15 +131,17 @@
         }
         let mut tier = 0;
         while !left.is_empty() {
-            let at = |due: &Due, times: &[f64]| -> Time {
+            let at = |due: &Deadline, times: &[f64]| -> Time {
                 times.get(tier).map_or(f64::INFINITY, |t| due.at(*t))
             };
             left.sort_by(|(a, p, x), (b, q, y)| {
-                at(p, x).total_cmp(&at(q, y)).then(a.seq.cmp(&b.seq))
+                at(p, x)
+                    .total_cmp(&at(q, y))
+                    .then(a.arrival_order.cmp(&b.arrival_order))
             });
-            let dues: Vec<Remaining> = left
+            let dues: Vec<RemainingWork> = left
                 .iter()
-                .map(|(job, due, times)| Remaining {
+                .map(|(job, due, times)| RemainingWork {
                     at: at(due, times),
                     work: job.work_left(),
                     least_s: job.predicted_s,
@@ -161,15 +167,20 @@
         turns
     }
 
-    fn grace(&self, key: &PlaceKey) -> f64 {
+    fn grace(&self, key: &AllocationId) -> f64 {
         match self.jobs.get(&key.0) {
             Some(job) if job.spec.checkpoint_s > 0.0 && !job.cancelled => job.spec.save_s,
             _ => 0.0,
         }
     }
 
-    fn place_queue(&self, pass: &mut Pass, queue: &[&Job], guaranteed: &dyn Fn(&Job) -> bool) {
-        let mut head = Head::default();
+    fn place_queue(
+        &self,
+        pass: &mut SchedulingCycle,
+        queue: &[&Job],
+        guaranteed: &dyn Fn(&Job) -> bool,
+    ) {
+        let mut head = HeadReservation::default();
         let mut rest = Vec::new();
         // Whatever a job yields to, it begins: one task of it, the longest waiting first.
         let now = pass.now;
@@ -178,20 +189,20 @@
             .copied()
             .filter(|j| j.is_overdue(now) || self.was_withheld(j, now))
             .collect();
-        overdue.sort_by_key(|j| j.seq);
+        overdue.sort_by_key(|j| j.arrival_order);
         for job in overdue {
             let most = match job.spec.kind {
-                Kind::Gang => usize::MAX,
+                JobKind::Gang => usize::MAX,
                 _ => 1,
             };
-            if self.place_job(pass, job, &mut head, true, most) == Err(Blocked::Room) {
+            if self.place_job(pass, job, &mut head, true, most) == Err(Blocked::Resources) {
                 head.blocked.push(job);
             }
         }
         for (i, job) in queue.iter().enumerate() {
             match self.place_job(pass, job, &mut head, guaranteed(job), usize::MAX) {
                 Ok(()) | Err(Blocked::Rule) => {}
-                Err(Blocked::Room) => {
+                Err(Blocked::Resources) => {
                     head.blocked.push(job);
                     rest = queue[i + 1..].to_vec();
                     break;
@@ -206,7 +217,7 @@
                 .0
                 .cmp(&b_key.0)
                 .then(a_key.1.total_cmp(&b_key.1))
-                .then(a.seq.cmp(&b.seq))
+                .then(a.arrival_order.cmp(&b.arrival_order))
         });
         for job in rest {
             let _ = self.place_job(pass, job, &mut head, guaranteed(job), usize::MAX);
@@ -234,13 +245,13 @@
     /// Places as many tasks of a job as can be, and at most so many.
     fn place_job(
         &self,
-        pass: &mut Pass,
+        pass: &mut SchedulingCycle,
         job: &Job,
-        head: &mut Head,
+        head: &mut HeadReservation,
         guaranteed: bool,
         most: usize,
     ) -> Result<(), Blocked> {
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             return match job.live {
                 0 => pass.place_gang(job, head.reservation(self, pass), guaranteed),
                 _ => Ok(()),
@@ -262,9 +273,9 @@
     }
 
     /// Where the head starts, by the predicted ends of what runs.
-    fn reservation(&self, pass: &Pass, job: &Job) -> Option<Reservation> {
+    fn reservation(&self, pass: &SchedulingCycle, job: &Job) -> Option<Reservation> {
         let found = match job.spec.kind {
-            Kind::Gang => self.gang_reservation(pass, job),
+            JobKind::Gang => self.gang_reservation(pass, job),
             // At one task a reservation would hold nothing among hundreds of machines.
             _ => {
                 let machines = pass.allowed(job).map(|i| self.frees(pass, i)).collect();
@@ -279,7 +290,7 @@
     }
 
     /// A gang that must be in one zone reserves in the zone in which it starts first.
-    fn gang_reservation(&self, pass: &Pass, job: &Job) -> Option<Reservation> {
+    fn gang_reservation(&self, pass: &SchedulingCycle, job: &Job) -> Option<Reservation> {
         let mut by_zone: BTreeMap<&Name, Vec<Frees>> = BTreeMap::new();
         for i in pass.allowed(job) {
             let of_zone = by_zone.entry(&pass.machine(i).zone).or_default();
@@ -296,7 +307,7 @@
         found.min_by(|a, b| a.at.total_cmp(&b.at))
     }
 
-    fn frees(&self, pass: &Pass, i: usize) -> Frees {
+    fn frees(&self, pass: &SchedulingCycle, i: usize) -> Frees {
         let m = pass.machine(i);
         self.look(m.places.len());
         let ends = m
@@ -315,7 +326,11 @@
             return HashMap::new();
         }
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|j| j.may_begin()).collect();
-        jobs.sort_by(|a, b| a.ready.total_cmp(&b.ready).then(a.seq.cmp(&b.seq)));
+        jobs.sort_by(|a, b| {
+            a.ready
+                .total_cmp(&b.ready)
+                .then(a.arrival_order.cmp(&b.arrival_order))
+        });
         let mut sums: HashMap<&str, (f64, f64)> = HashMap::new();
         let mut within = HashMap::new();
         for job in jobs {
@@ -338,7 +353,7 @@
         let (mut up, mut cpus, mut free, mut booting) = (0, 0.0, 0.0, 0);
         let (mut planned, mut started, mut fetching, mut running) = (0, 0, 0, 0);
         for m in self.machines.values() {
-            booting += usize::from(m.phase == Phase::Booting);
+            booting += usize::from(m.phase == MachinePhase::Booting);
             if self.takes_tasks(m, now) {
                 up += 1;
                 cpus += self.type_of(&m.kind).map_or(0.0, |t| t.cpus);
@@ -346,9 +361,9 @@
             }
             for (_, place) in m.live() {
                 match place.stage {
-                    Stage::Planned => planned += 1,
-                    Stage::Started => started += 1,
-                    Stage::Seen(TaskState::Running) => running += 1,
+                    AllocationState::Pending => planned += 1,
+                    AllocationState::Launching => started += 1,
+                    AllocationState::Observed(TaskState::Running) => running += 1,
                     _ => fetching += 1,
                 }
             }
@@ -385,7 +400,7 @@
             .jobs
             .values()
             .filter(|j| waits(j, now))
-            .min_by_key(|j| j.seq);
+            .min_by_key(|j| j.arrival_order);
         if let Some(job) = oldest {
             let (cpus, most) = (
                 self.team_use.get(&job.spec.team).map_or(0.0, |u| u.0),
@@ -411,7 +426,9 @@
     let ((a_tier, a_time), (b_tier, b_time)) = (turn(a), turn(b));
     let by_turn = a_tier.cmp(&b_tier).then(a_time.total_cmp(&b_time));
     let by_priority = b.priority.cmp(&a.priority);
-    by_priority.then(by_turn).then(a.seq.cmp(&b.seq))
+    by_priority
+        .then(by_turn)
+        .then(a.arrival_order.cmp(&b.arrival_order))
 }
 
 fn waits(job: &Job, now: Time) -> bool {
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -1,8 +1,8 @@
 //! Jobs, from their description to their end.
 
-use super::{CompletionRecord, Due, Load, Name, Room, Task};
+use super::{CompletionRecord, Deadline, Name, Resources, Task, TaskProfile};
 use crate::coordination::Time;
-use crate::protocol::job::{JobSpec, Kind, Priority};
+use crate::protocol::job::{JobKind, JobSpec, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     pub spec: Arc<JobSpec>,
     pub id: Name,
     /// Version of the description's record: the order of arrival, the same for every leader.
-    pub seq: u64,
+    pub arrival_order: u64,
     pub arrived: Time,
     /// Jobs whose end is not known yet and that must be done before it begins, and since when there
     /// are none.
@@ -33,7 +33,7 @@
     pub doomed: bool,
     /// The highest priority and the most urgent deadline of it and of those that need it.
     pub priority: Priority,
-    pub due: Option<Due>,
+    pub due: Option<Deadline>,
     pub tasks: Vec<Task>,
     pub done: u32,
     /// Places that are or may be live, and those that are known to run.
@@ -64,14 +64,14 @@
     /// A job without places, as it arrives.
     pub fn new(
         spec: Arc<JobSpec>,
-        seq: u64,
+        arrival_order: u64,
         arrived: Time,
         completion_records: usize,
         predicted_s: f64,
     ) -> Job {
         Job {
             id: spec.id.as_str().into(),
-            seq,
+            arrival_order,
             arrived,
             needs: BTreeSet::new(),
             ready: arrived,
@@ -98,17 +98,17 @@
         }
     }
 
-    pub fn need(&self) -> Room {
-        Room::of(&self.spec)
+    pub fn need(&self) -> Resources {
+        Resources::of(&self.spec)
     }
 
     /// What a place of one of its tasks needs to know of it.
-    pub fn load(&self) -> Load {
-        Load {
+    pub fn load(&self) -> TaskProfile {
+        TaskProfile {
             need: self.need(),
             priority: self.priority,
             run_s: (!self.is_service()).then_some((self.predicted_s, self.spec.estimate_s)),
-            yields: self.spec.kind == Kind::Array && self.spec.checkpoint_s <= 0.0,
+            yields: self.spec.kind == JobKind::Array && self.spec.checkpoint_s <= 0.0,
         }
     }
 
@@ -152,7 +152,7 @@
     }
 
     pub fn is_service(&self) -> bool {
-        self.spec.kind == Kind::Service
+        self.spec.kind == JobKind::Service
     }
 
     /// How many of its tasks may be in one zone.
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,6 +1,6 @@
 //! Machines and their workers.
 
-use super::{Name, Place, PlaceKey, Room, Stage};
+use super::{Allocation, AllocationId, AllocationState, Name, Resources};
 use crate::coordination::Time;
 use crate::protocol::worker::TaskState;
 use std::cell::Cell;
@@ -8,7 +8,7 @@
 
 /// What is known of a machine's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum MachinePhase {
     Booting,
     Up,
     /// Its return has been decided; gone with the cloud's 200.
@@ -16,7 +16,7 @@
 }
 
 /// Answers in a row without effect after which a worker counts as out of reach.
-pub const MOST_UNACKNOWLEDGED: u32 = 2;
+pub const MAX_UNACKNOWLEDGED: u32 = 2;
 
 /// A machine, its worker, and the places on it.
 pub struct Machine {
@@ -25,13 +25,13 @@
     pub kind: Name,
     pub zone: Name,
     pub spot: bool,
-    pub phase: Phase,
+    pub phase: MachinePhase,
     pub rented: Time,
     /// Rented by this leader: no earlier one can have spoken to its worker.
     pub ours: bool,
-    pub session: u64,
-    pub seq: u64,
-    /// The number of its newest own report in this session; answers to direct commands have later
+    pub incarnation: u64,
+    pub sequence: u64,
+    /// The number of its newest own report in this incarnation; answers to direct commands have later
     /// numbers too.
     pub reported: u64,
     pub token: u64,
@@ -40,13 +40,13 @@
     pub answered: Time,
     /// When the cloud takes it away.
     pub taken_at: Option<Time>,
-    pub places: BTreeMap<PlaceKey, Place>,
+    pub places: BTreeMap<AllocationId, Allocation>,
     /// What its places take, until one changes.
-    used: Cell<Option<Room>>,
+    used: Cell<Option<Resources>>,
     services: Cell<usize>,
     /// Images that it has, as far as its tasks show.
     pub images: BTreeSet<String>,
-    /// The highest token that was sent to it in this session.
+    /// The highest token that was sent to it in this incarnation.
     pub told: u64,
     /// Answers in a row that later reports show to have changed nothing, and since when it counts
     /// as out of reach by that.
@@ -76,11 +76,11 @@
             kind,
             zone,
             spot,
-            phase: Phase::Booting,
+            phase: MachinePhase::Booting,
             rented: now,
             ours: false,
-            session: 0,
-            seq: 0,
+            incarnation: 0,
+            sequence: 0,
             reported: 0,
             token: 0,
             heard: None,
@@ -121,19 +121,19 @@
             return;
         }
         self.unacknowledged += 1;
-        if self.unacknowledged >= MOST_UNACKNOWLEDGED {
+        if self.unacknowledged >= MAX_UNACKNOWLEDGED {
             self.unresponsive_since.get_or_insert(now);
         }
     }
 
     /// What is or may be on it takes, but for what a stop in the same message ends at once.
-    pub fn used(&self) -> Room {
+    pub fn used(&self) -> Resources {
         if let Some(used) = self.used.get() {
             return used;
         }
         let services = self.live().filter(|(_, p)| p.load.run_s.is_none());
         self.services.set(services.count());
-        let mut used = Room::default();
+        let mut used = Resources::default();
         for (_, place) in self.live().filter(|(_, p)| !p.leaves_at_once()) {
             used.add(&place.load.need);
         }
@@ -151,15 +151,16 @@
         self.used.set(None);
     }
 
-    pub fn live(&self) -> impl Iterator<Item = (&PlaceKey, &Place)> {
+    pub fn live(&self) -> impl Iterator<Item = (&AllocationId, &Allocation)> {
         self.places.iter().filter(|(_, p)| p.is_live())
     }
 
     /// Whether a report that shows a task so tells nothing new of its place.
-    pub fn is_known_so(&self, key: &PlaceKey, state: TaskState) -> bool {
+    pub fn is_known_so(&self, key: &AllocationId, state: TaskState) -> bool {
         self.places.get(key).is_some_and(|place| {
             let runs = state != TaskState::Running || place.running_since.is_some();
-            let seen = place.stage == Stage::Seen(state) && state != TaskState::Exited;
+            let seen =
+                place.stage == AllocationState::Observed(state) && state != TaskState::Exited;
             seen && runs && !place.missing && !place.recovered
         })
     }
@@ -173,12 +174,12 @@
     /// of this leadership, unless nobody else can have spoken to it. Answers to direct commands do
     /// not renew its lease, so it must have sent reports of its own of late.
     pub fn takes_tasks(&self, now: Time, silence_s: f64, first_token: u64) -> bool {
-        self.phase == Phase::Up
+        self.phase == MachinePhase::Up
             && !self.quarantined
             && !self.draining
-            && self.unacknowledged < MOST_UNACKNOWLEDGED
+            && self.unacknowledged < MAX_UNACKNOWLEDGED
             && self.unanswered.is_none()
-            && (self.token >= first_token || self.ours && self.session == 1)
+            && (self.token >= first_token || self.ours && self.incarnation == 1)
             && self.taken_at.is_none()
             && self.endpoint.is_some()
             && self.heard.is_some_and(|t| now - t < silence_s)
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -8,15 +8,15 @@
 mod resources;
 mod task;
 
-pub use allocation::{Load, Place, PlaceKey, Stage, Stop};
-pub use deadline::Due;
+pub use allocation::{Allocation, AllocationId, AllocationState, Stop, TaskProfile};
+pub use deadline::Deadline;
 pub use job::Job;
 pub(crate) use job::WAITS_WITH_ROOM_S;
-pub use machine::{Machine, Phase, MOST_UNACKNOWLEDGED};
+pub use machine::{Machine, MachinePhase, MAX_UNACKNOWLEDGED};
 pub use placement_record::PlacementRecord;
-pub use resources::Room;
+pub use resources::Resources;
 use std::sync::Arc;
-pub use task::{CompletionRecord, Task, TaskLocation};
+pub use task::{AllocationRef, CompletionRecord, Task};
 
 /// The name of a job, a machine, a zone or a type of machine.
 pub type Name = Arc<str>;
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -1,6 +1,6 @@
 //! Records of places at the state service.
 
-use super::{Name, PlaceKey};
+use super::{AllocationId, Name};
 use crate::coordination::Time;
 use crate::protocol::job::Priority;
 use crate::storage::records::{job_bytes, place_bytes, EMPTY_BYTES};
@@ -10,11 +10,11 @@
 #[derive(Debug, Default)]
 pub struct PlacementRecord {
     pub version: u64,
-    entries: BTreeSet<(PlaceKey, Name)>,
+    entries: BTreeSet<(AllocationId, Name)>,
     /// What its record takes, beyond that of an empty one.
     bytes: usize,
     /// Those that no record tells of yet, whose launches wait for it, and since when there are any.
-    planned: BTreeMap<(PlaceKey, Name), Priority>,
+    planned: BTreeMap<(AllocationId, Name), Priority>,
     planned_since: Time,
     /// Since when it holds what is gone, or lacks what no launch waits for.
     pub dirty: Option<Time>,
@@ -25,22 +25,22 @@
 }
 
 impl PlacementRecord {
-    pub fn entries(&self) -> &BTreeSet<(PlaceKey, Name)> {
+    pub fn entries(&self) -> &BTreeSet<(AllocationId, Name)> {
         &self.entries
     }
 
     fn holds_job(&self, id: &Name) -> bool {
-        let first: (PlaceKey, Name) = ((id.clone(), 0, 0), "".into());
+        let first: (AllocationId, Name) = ((id.clone(), 0, 0), "".into());
         let next = self.entries.range(first..).next();
         next.is_some_and(|((other, ..), _)| other == id)
     }
 
-    pub fn insert(&mut self, key: PlaceKey, machine: Name) {
+    pub fn insert(&mut self, key: AllocationId, machine: Name) {
         self.bytes += self.bytes_for(&key, &machine);
         self.entries.insert((key, machine));
     }
 
-    pub fn remove(&mut self, entry: &(PlaceKey, Name)) -> bool {
+    pub fn remove(&mut self, entry: &(AllocationId, Name)) -> bool {
         let held = self.entries.remove(entry);
         self.planned.remove(entry);
         if held {
@@ -50,7 +50,7 @@
     }
 
     /// A place that is in it waits for its record.
-    pub fn plan(&mut self, entry: (PlaceKey, Name), priority: Priority, now: Time) {
+    pub fn plan(&mut self, entry: (AllocationId, Name), priority: Priority, now: Time) {
         if self.planned.is_empty() {
             self.planned_since = now;
         }
@@ -58,11 +58,11 @@
     }
 
     /// The record tells of a place now.
-    pub fn recorded(&mut self, entry: &(PlaceKey, Name)) {
+    pub fn recorded(&mut self, entry: &(AllocationId, Name)) {
         self.planned.remove(entry);
     }
 
-    pub fn is_planned(&self, entry: &(PlaceKey, Name)) -> bool {
+    pub fn is_planned(&self, entry: &(AllocationId, Name)) -> bool {
         self.planned.contains_key(entry)
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// What a new place adds to the record.
-    pub fn bytes_for(&self, key: &PlaceKey, machine: &Name) -> usize {
+    pub fn bytes_for(&self, key: &AllocationId, machine: &Name) -> usize {
         let job = match self.holds_job(&key.0) {
             true => 0,
             false => job_bytes(&key.0),
--- a/src/coordination/state/task.rs
+++ b/src/coordination/state/task.rs
@@ -7,12 +7,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Task {
     pub done: bool,
-    pub at: Vec<TaskLocation>,
+    pub at: Vec<AllocationRef>,
 }
 
 /// A machine that a task is or may be on.
 #[derive(Clone, Debug)]
-pub struct TaskLocation {
+pub struct AllocationRef {
     pub machine: Name,
     pub attempt: u64,
     /// The record that tells of it.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -83,7 +83,7 @@
 }
 
 /// The most names in one return, and entries in one page of the list.
-pub const MOST_RETURNED: usize = 100;
+pub const MAX_RETURNED: usize = 100;
 pub const LIST_PAGE: usize = 500;
 /// The most machines in one rental.
-pub const MOST_RENTED: u32 = 50;
+pub const MAX_RENTED: u32 = 50;
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -6,7 +6,7 @@
 
 /// How the tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "sweep")]
     Array,
@@ -41,7 +41,7 @@
     #[serde(rename = "crew")]
     pub team: String,
     #[serde(rename = "rig")]
-    pub kind: Kind,
+    pub kind: JobKind,
     #[serde(rename = "precedence")]
     pub priority: Priority,
     #[serde(rename = "legs")]
@@ -92,8 +92,8 @@
 }
 
 /// The most tasks that a job may have.
-pub const MOST_TASKS: u64 = 100_000;
-const MOST_TEXT: usize = 150;
+pub const MAX_TASKS: u64 = 100_000;
+const MAX_TEXT: usize = 150;
 
 /// Whether `id` has the form that job ids always have.
 pub fn is_job_id(id: &str) -> bool {
@@ -121,7 +121,7 @@
     fn text(&self, name: &'static str) -> Result<String, Malformed> {
         match self.get(name) {
             None => bad(name, "is missing"),
-            Some(Value::String(s)) if s.is_empty() || s.len() > MOST_TEXT => {
+            Some(Value::String(s)) if s.is_empty() || s.len() > MAX_TEXT => {
                 bad(name, "has no sensible length")
             }
             Some(Value::String(s)) => Ok(s.clone()),
@@ -188,7 +188,7 @@
         }
         let tasks = match f.get("legs").map(Value::as_u64) {
             None => return bad("legs", "is missing"),
-            Some(Some(n)) if (1..=MOST_TASKS).contains(&n) => n as u32,
+            Some(Some(n)) if (1..=MAX_TASKS).contains(&n) => n as u32,
             Some(_) => return bad("legs", "must be a count from 1 to 100000"),
         };
         let types = match f.get("hulls") {
@@ -197,7 +197,7 @@
                 let mut out = Vec::new();
                 for v in list {
                     match v.as_str() {
-                        Some(s) if s.len() <= MOST_TEXT => out.push(s.to_string()),
+                        Some(s) if s.len() <= MAX_TEXT => out.push(s.to_string()),
                         _ => return bad("hulls", "must be a list of machine types"),
                     }
                 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::records::VERSION;
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Item {
+pub struct VersionedValue {
     pub key: String,
     #[serde(rename = "v")]
     pub value: Value,
@@ -17,7 +17,7 @@
 #[derive(Debug, Deserialize)]
 pub struct Page {
     #[serde(rename = "pairs")]
-    pub items: Vec<Item>,
+    pub items: Vec<VersionedValue>,
     #[serde(rename = "truncated")]
     pub more: bool,
     #[serde(rename = "tally")]
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Condition {
+pub struct Compare {
     pub key: String,
     #[serde(rename = "stamp")]
     pub version: u64,
@@ -51,14 +51,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Transaction {
     #[serde(rename = "if")]
-    pub conditions: Vec<Condition>,
+    pub conditions: Vec<Compare>,
     #[serde(rename = "apply", skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
 
 impl Transaction {
     /// One that holds only at the cluster version that its writer knows.
-    pub fn at_version(clearance: &Clearance) -> Self {
+    pub fn at_version(clearance: &WriteFence) -> Self {
         let none = Transaction::default();
         match clearance.stamp() {
             Some(stamp) => none.version(VERSION, stamp),
@@ -71,7 +71,7 @@
     }
 
     pub fn version(mut self, key: impl Into<String>, version: u64) -> Self {
-        self.conditions.push(Condition {
+        self.conditions.push(Compare {
             key: key.into(),
             version,
         });
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -32,7 +32,7 @@
 
 /// One task in a worker's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "leg")]
     pub task: String,
     #[serde(rename = "sailing")]
@@ -47,7 +47,7 @@
 
 /// A worker's report, sent by it or returned by a direct command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "vessel")]
     pub machine: String,
     pub endpoint: String,
@@ -58,15 +58,15 @@
     #[serde(rename = "driftwood")]
     pub spot: bool,
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "log_no")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "helm")]
     pub token: u64,
     #[serde(default, rename = "recall_s")]
     pub notice_s: Option<f64>,
     #[serde(default, rename = "legs")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -103,7 +103,7 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "helm")]
     pub token: u64,
     #[serde(rename = "signals")]
@@ -112,18 +112,18 @@
 
 /// Commands sent straight to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct CommandBatch {
     #[serde(rename = "helm")]
     pub token: u64,
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "signals")]
     pub commands: Vec<Command>,
 }
 
 /// Where a worker is sent that reported to a node that does not lead.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct LeaderRedirect {
     #[serde(rename = "harbour_master", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
--- a/src/service/cloud_calls.rs
+++ b/src/service/cloud_calls.rs
@@ -7,8 +7,8 @@
 use crate::protocol::store::Transaction;
 use crate::protocol::TOO_MANY_REQUESTS;
 use crate::settings::Settings;
-use crate::storage::key_value_store::{Outcome, Store};
-use crate::storage::records::TYPES;
+use crate::storage::key_value_store::{CommitOutcome, KeyValueStore};
+use crate::storage::records::MACHINE_TYPES_KEY;
 use crate::transport::client::{Answer, Client};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use serde_json::json;
@@ -29,7 +29,7 @@
 const PATIENCE: Duration = Duration::from_secs(4);
 const TRIES: u32 = 6;
 /// Bytes of one page of a list, far above the 500 machines that it may hold.
-const MOST_PAGE_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_PAGE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Starts the threads that make the calls; their answers come as messages.
 pub fn start(settings: &Settings, inbox: &Sender<Message>) -> anyhow::Result<Sender<CloudCall>> {
@@ -45,7 +45,7 @@
 /// Starts the thread that keeps the machine types current.
 pub fn start_types(
     settings: &Settings,
-    store: &Store,
+    store: &KeyValueStore,
     shared: &Arc<SharedTypes>,
     inbox: &Sender<Message>,
 ) -> anyhow::Result<()> {
@@ -70,7 +70,7 @@
 impl Cloud {
     pub fn new(settings: &Settings) -> Cloud {
         Cloud {
-            client: Client::new(settings.endpoints.cloud, CALLERS, MOST_PAGE_BYTES),
+            client: Client::new(settings.endpoints.cloud, CALLERS, MAX_PAGE_BYTES),
             call_interval: Duration::from_secs_f64(1.0 / settings.cluster.cloud.rps),
         }
     }
@@ -80,13 +80,13 @@
             let message = match call {
                 CloudCall::Rent(rent) => {
                     let machines = self.rent(&rent);
-                    Some(Message::Rented(rent.request, machines))
+                    Some(Message::MachinesRented(rent.request, machines))
                 }
                 CloudCall::Return(names) => {
                     let confirmed = self.give_back(&names);
-                    Some(Message::Returned(names, confirmed))
+                    Some(Message::MachinesReturned(names, confirmed))
                 }
-                CloudCall::List => self.list().map(Message::Listed),
+                CloudCall::List => self.list().map(Message::MachinesListed),
             };
             if let Some(message) = message {
                 let _ = inbox.send(message);
@@ -167,7 +167,7 @@
 /// node which starts while the cloud is down can still take and place jobs.
 struct TypesFollower {
     cloud: Cloud,
-    store: Store,
+    store: KeyValueStore,
     shared: Arc<SharedTypes>,
     inbox: Sender<Message>,
     pause: Duration,
@@ -181,7 +181,7 @@
         loop {
             let fetched = self.fetch();
             if recorded.is_none() {
-                let read = self.store.read::<Vec<MachineType>>(TYPES);
+                let read = self.store.read::<Vec<MachineType>>(MACHINE_TYPES_KEY);
                 recorded = read.ok().map(|r| r.map_or(Vec::new(), |(types, _)| types));
             }
             let types = match fetched {
@@ -199,7 +199,7 @@
             }
             known.clone_from(&types);
             self.shared.set(types.clone());
-            let _ = self.inbox.send(Message::Types(types));
+            let _ = self.inbox.send(Message::MachineTypes(types));
             std::thread::sleep(self.pause);
         }
     }
@@ -218,8 +218,8 @@
             warn!("{} machine types are too many to record", types.len());
             return true;
         }
-        let transaction = Transaction::default().put(TYPES, value);
-        matches!(self.store.commit(&transaction), Outcome::Applied(_))
+        let transaction = Transaction::default().put(MACHINE_TYPES_KEY, value);
+        matches!(self.store.commit(&transaction), CommitOutcome::Applied(_))
     }
 }
 
--- a/src/service/controller/leadership.rs
+++ b/src/service/controller/leadership.rs
@@ -3,8 +3,8 @@
 use super::{wall_ms, Controller, Role};
 use crate::coordination::cluster::cancellation_evidence::CancellationEvidence;
 use crate::coordination::cluster::recovery::Records;
-use crate::coordination::cluster::Core;
 use crate::coordination::election::{ElectionEvent, ElectionRequest};
+use crate::coordination::manager::ClusterManager;
 use crate::coordination::Time;
 use crate::service::cloud_calls::CloudCall;
 use crate::service::messages::PeerReachability;
@@ -12,12 +12,12 @@
 use crate::service::record_reader::RecordReader;
 use crate::service::spawn;
 use crate::transport::{Reply, Respond};
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// Report intervals without a report of any worker after which a leader that reaches no other
+/// Heartbeat intervals without a report of any worker after which a leader that reaches no other
 /// controller hands leadership over.
 const SILENT_REPORTS: f64 = 3.0;
 
@@ -50,13 +50,13 @@
             }
             ElectionEvent::Lease { valid_until: until } => match &mut self.role {
                 Role::Recovering { valid_until, .. } => *valid_until = until,
-                Role::Leading(core) => core.valid_until = until,
+                Role::Leading(manager) => manager.lease_valid_until = until,
                 Role::Follower => {}
             },
             ElectionEvent::TokenRaised(token) => {
                 let now = self.now();
-                if let Some(core) = self.core() {
-                    core.token_raised(token, now);
+                if let Some(manager) = self.manager() {
+                    manager.token_raised(token, now);
                 }
             }
             ElectionEvent::Deposed => {
@@ -90,12 +90,12 @@
                 token: t,
                 valid_until,
             } if t == token => {
-                let mut core = Core::new(self.settings.clone(), token, now);
-                core.valid_until = valid_until;
-                core.clearance = self.links.clearance.get();
-                core.set_types(self.types.clone());
-                core.recover(records, wall_ms(), now);
-                self.role = Role::Leading(Box::new(core));
+                let mut manager = ClusterManager::new(self.settings.clone(), token, now);
+                manager.lease_valid_until = valid_until;
+                manager.write_fence = self.links.clearance.get();
+                manager.set_machine_types(self.types.clone());
+                manager.recover(records, wall_ms(), now);
+                self.role = Role::Leading(Box::new(manager));
                 self.evidence.records_read(sent);
                 self.links.pool.cloud(CloudCall::List);
                 self.listed = now;
@@ -106,9 +106,9 @@
     }
 
     /// The active version was read anew.
-    pub(super) fn cleared(&mut self, clearance: Clearance) {
-        if let Some(core) = self.core() {
-            core.clearance = clearance;
+    pub(super) fn cleared(&mut self, clearance: WriteFence) {
+        if let Some(manager) = self.manager() {
+            manager.write_fence = clearance;
         }
         if clearance.must_withdraw() && !matches!(self.role, Role::Follower) {
             self.resign();
@@ -138,7 +138,7 @@
         let ours = match &self.role {
             Role::Follower => 0,
             Role::Recovering { token, .. } => *token,
-            Role::Leading(core) => core.token,
+            Role::Leading(manager) => manager.token,
         };
         let promised = token >= ours;
         self.promised = self.promised.max(token);
@@ -179,14 +179,14 @@
     pub(super) fn peers_probed(&mut self, reachability: PeerReachability) {
         self.probing = false;
         let now = self.now();
-        let Role::Leading(core) = &self.role else {
+        let Role::Leading(manager) = &self.role else {
             return;
         };
         let silent_s = SILENT_REPORTS * self.settings.cluster.workers.report_s;
-        let silent = now - self.heard.max(core.leads_since) > silent_s;
+        let silent = now - self.heard.max(manager.elected_at) > silent_s;
         let hands_over = match reachability {
             // Reports may have come since the peers were asked.
-            PeerReachability::ReachableWithWorkers => core.hears_no_worker(now),
+            PeerReachability::ReachableWithWorkers => manager.receives_no_heartbeats(now),
             PeerReachability::Unreachable => silent && !self.links.peers.is_empty(),
             PeerReachability::ReachableWithoutWorkers => false,
         };
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the picture of the cluster: a [`Core`] while this node leads.
+//! The actor that owns the picture of the cluster: a [`ClusterManager`] while this node leads.
 
 mod leadership;
 mod reports;
@@ -8,21 +8,22 @@
 use super::gateway::Task;
 use super::messages::Message;
 use super::peer_queries::CancellationQueries;
-use super::upgrade::SharedClearance;
+use super::upgrade::SharedWriteFence;
 use super::workers::Pool;
 use crate::coordination::cluster::cancellation_evidence::CancellationEvidence;
 use crate::coordination::cluster::heartbeat_routing::Redirects;
-use crate::coordination::cluster::{Core, Effect};
+use crate::coordination::cluster::Effect;
 use crate::coordination::election::ElectionRequest;
+use crate::coordination::manager::ClusterManager;
 use crate::coordination::requests::Located;
 use crate::coordination::state::Name;
 use crate::coordination::Time;
 use crate::protocol::cloud::{MachineType, LIST_PAGE};
 use crate::protocol::job::{JobState, JobStatus};
-use crate::protocol::worker::Report;
+use crate::protocol::worker::Heartbeat;
 use crate::settings::Settings;
 use crate::storage::cancellation_log::{CancellationLog, Cursor};
-use crate::storage::key_value_store::Store;
+use crate::storage::key_value_store::KeyValueStore;
 use crate::storage::recent_jobs::EndIndex;
 use crate::storage::records::OpenRecord;
 use crate::transport::peers::Peers;
@@ -35,7 +36,7 @@
 
 /// Hands a worker's report to the controller, or answers at once when it has no room.
 pub fn offer_report(inbox: &Sender<Message>, body: Vec<u8>, passed_on: bool, respond: Respond) {
-    let report: Report = match serde_json::from_slice(&body) {
+    let report: Heartbeat = match serde_json::from_slice(&body) {
         Ok(report) => report,
         Err(error) => {
             warn!("a report cannot be read: {error}");
@@ -62,12 +63,12 @@
         token: u64,
         valid_until: Time,
     },
-    Leading(Box<Core>),
+    Leading(Box<ClusterManager>),
 }
 
 /// What the controller speaks to.
-pub struct Links {
-    pub store: Store,
+pub struct ControllerHandles {
+    pub store: KeyValueStore,
     pub peers: Peers,
     pub inbox: Sender<Message>,
     pub stage: Sender<Task>,
@@ -76,13 +77,13 @@
     /// The cancellations that this process has confirmed, and the way to those of the others.
     pub cancellations: CancellationLog,
     pub cancellation_queries: CancellationQueries,
-    pub clearance: SharedClearance,
+    pub clearance: SharedWriteFence,
 }
 
 pub struct Controller {
     settings: Arc<Settings>,
     epoch: Instant,
-    links: Links,
+    links: ControllerHandles,
     role: Role,
     /// The term whose watch goes on; others stop.
     term: Arc<AtomicU64>,
@@ -109,7 +110,7 @@
 
 /// The share of the cloud's calls that lists of machines may take.
 const LIST_SHARE: f64 = 0.1;
-/// Messages taken in before the core decides again.
+/// Messages taken in before the manager decides again.
 const BATCH: usize = 64;
 /// Seconds between two lines of the log about requests to the state service.
 const REQUESTS_TOLD_S: f64 = 10.0;
@@ -119,7 +120,7 @@
 const END_SHARE: f64 = 0.1;
 
 impl Controller {
-    pub fn new(settings: Arc<Settings>, epoch: Instant, links: Links) -> Controller {
+    pub fn new(settings: Arc<Settings>, epoch: Instant, links: ControllerHandles) -> Controller {
         let bytes = settings.cluster.limits.ram_mb * 1e6 * END_SHARE;
         Controller {
             epoch,
@@ -184,29 +185,29 @@
         }
         self.take_own_cancellations();
         self.ask_peers_for_cancellations(now);
-        let Role::Leading(core) = &mut self.role else {
+        let Role::Leading(manager) = &mut self.role else {
             return;
         };
         if tick {
             if self.links.store.is_limited() {
-                core.lower_rate();
+                manager.lower_write_rate();
             }
-            core.tick(now);
-            if now - self.listed >= list_pause_s(&self.settings, core.machine_count()) {
+            manager.tick(now);
+            if now - self.listed >= list_pause_s(&self.settings, manager.machine_count()) {
                 self.listed = now;
                 self.links.pool.cloud(CloudCall::List);
             }
         }
         let begun = Instant::now();
-        if core.step(now) {
-            core.pass_took(
+        if manager.step(now) {
+            manager.cycle_took(
                 begun.elapsed().as_secs_f64(),
                 self.epoch.elapsed().as_secs_f64(),
             );
         }
-        let effects = core.take_effects();
-        let deposed = core.deposed;
-        if tick && !self.probing && core.hears_no_worker(now) {
+        let effects = manager.take_effects();
+        let deposed = manager.deposed;
+        if tick && !self.probing && manager.receives_no_heartbeats(now) {
             self.probing = true;
             self.probe_peers();
         }
@@ -228,19 +229,19 @@
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Write { id, transaction } => self.links.pool.write(id, transaction),
-            Effect::Orders {
+            Effect::SendCommands {
                 machine,
                 endpoint,
                 orders,
             } => self.links.pool.order(machine, &endpoint, &orders),
-            Effect::Rent(rent) => self.links.pool.cloud(CloudCall::Rent(rent)),
-            Effect::Return(names) => self.links.pool.cloud(CloudCall::Return(names)),
+            Effect::RentMachines(rent) => self.links.pool.cloud(CloudCall::Rent(rent)),
+            Effect::ReturnMachines(names) => self.links.pool.cloud(CloudCall::Return(names)),
             Effect::RaiseToken => {
                 let term = self.term.load(Ordering::Relaxed);
                 self.request(ElectionRequest::RaiseToken { term });
             }
-            Effect::Ended { id, state } => self.ends.insert(&id, state),
-            Effect::FindEnds(ids) => self.find_ends(ids),
+            Effect::JobEnded { id, state } => self.ends.insert(&id, state),
+            Effect::ReadEnds(ids) => self.find_ends(ids),
         }
     }
 
@@ -250,16 +251,16 @@
         let mut unknown = Vec::new();
         for id in ids {
             match (self.ends.get(&id).copied(), &mut self.role) {
-                (Some(state), Role::Leading(core)) => core.ended(&id, state, now),
+                (Some(state), Role::Leading(manager)) => manager.job_end_recorded(&id, state, now),
                 _ => unknown.push(id),
             }
         }
         self.links.pool.find(unknown);
     }
 
-    fn core(&mut self) -> Option<&mut Core> {
+    fn manager(&mut self) -> Option<&mut ClusterManager> {
         match &mut self.role {
-            Role::Leading(core) => Some(core),
+            Role::Leading(manager) => Some(manager),
             _ => None,
         }
     }
@@ -277,9 +278,9 @@
             Message::Locate(id, reply) => {
                 let _ = reply.try_send(self.locate(&id));
             }
-            Message::Clearance(clearance) => self.cleared(clearance),
-            Message::Opened(opened) => self.opened(opened),
-            Message::Ended(ends) => {
+            Message::WriteFence(clearance) => self.cleared(clearance),
+            Message::JobsAccepted(opened) => self.opened(opened),
+            Message::JobsEnded(ends) => {
                 for (id, state) in ends {
                     self.ended(&id, state);
                 }
@@ -289,58 +290,61 @@
                     self.ends.insert(&id, state);
                 }
             }
-            Message::Found(ends) => {
-                if let Some(core) = self.core() {
-                    core.found(ends, now);
+            Message::EndsFound(ends) => {
+                if let Some(manager) = self.manager() {
+                    manager.ends_found(ends, now);
                 }
             }
-            Message::Loaded {
+            Message::RecordsLoaded {
                 token,
                 records,
                 sent,
             } => self.loaded(token, records, sent),
             Message::RecordsRead { token, sent } => {
-                if self.core().is_some_and(|core| core.first_token() == token) {
+                if self
+                    .manager()
+                    .is_some_and(|manager| manager.first_token() == token)
+                {
                     self.evidence.records_read(sent);
                 }
             }
             Message::Written(id, result) => {
-                if let Some(core) = self.core() {
-                    core.written(id, result, now);
+                if let Some(manager) = self.manager() {
+                    manager.write_finished(id, result, now);
                 }
             }
-            Message::Ordered(machine, result) => {
-                if let Some(core) = self.core() {
-                    core.ordered(&machine, result, now);
+            Message::CommandsAnswered(machine, result) => {
+                if let Some(manager) = self.manager() {
+                    manager.commands_answered(&machine, result, now);
                 }
             }
-            Message::Rented(request, machines) => {
-                if let Some(core) = self.core() {
-                    core.rented(&request, machines, now);
+            Message::MachinesRented(request, machines) => {
+                if let Some(manager) = self.manager() {
+                    manager.machines_rented(&request, machines, now);
                 }
             }
-            Message::Returned(names, confirmed) => {
-                if let Some(core) = self.core() {
-                    core.returned(&names, confirmed, now);
+            Message::MachinesReturned(names, confirmed) => {
+                if let Some(manager) = self.manager() {
+                    manager.machines_returned(&names, confirmed, now);
                 }
             }
-            Message::Listed(list) => {
-                if let Some(core) = self.core() {
-                    core.listed(&list, now);
+            Message::MachinesListed(list) => {
+                if let Some(manager) = self.manager() {
+                    manager.machines_listed(&list, now);
                 }
             }
             Message::Promise(token, respond) => self.promise(token, respond),
             Message::Promised(token) => {
-                if let Some(core) = self.core().filter(|c| c.first_token() == token) {
-                    core.promised(now);
+                if let Some(manager) = self.manager().filter(|c| c.first_token() == token) {
+                    manager.peers_promised(now);
                 }
             }
             Message::PeersProbed(reachability) => self.peers_probed(reachability),
             Message::HearsWorkers(respond) => self.hears_workers(respond),
             Message::PeerCancellations(peer, answer) => self.peer_cancellations(&peer, answer),
-            Message::Types(types) => {
-                if let Some(core) = self.core() {
-                    core.set_types(types.clone());
+            Message::MachineTypes(types) => {
+                if let Some(manager) = self.manager() {
+                    manager.set_machine_types(types.clone());
                 }
                 self.types = types;
             }
@@ -356,10 +360,10 @@
             running: 0,
         });
         let mut leads = false;
-        if let Role::Leading(core) = &self.role {
-            leads = core.leads(now);
+        if let Role::Leading(manager) = &self.role {
+            leads = manager.is_leader(now);
             if leads && status.is_none() {
-                status = core.status(id);
+                status = manager.status(id);
             }
         }
         // A user may be told so: see `storage::cancellation_log`.
@@ -386,8 +390,8 @@
             if ended && !record.cancelled {
                 continue;
             }
-            if let Some(core) = self.core() {
-                core.job_opened(record, version, wall, now);
+            if let Some(manager) = self.manager() {
+                manager.job_accepted(record, version, wall, now);
             }
         }
     }
@@ -396,8 +400,8 @@
     fn ended(&mut self, id: &str, state: JobState) {
         let now = self.now();
         self.ends.insert(id, state);
-        if let Some(core) = self.core() {
-            core.ended(id, state, now);
+        if let Some(manager) = self.manager() {
+            manager.job_end_recorded(id, state, now);
         }
     }
 }
--- a/src/service/controller/reports.rs
+++ b/src/service/controller/reports.rs
@@ -3,11 +3,11 @@
 use super::{Controller, Role};
 use crate::coordination::cluster::cancellation_evidence::{CancellationEvidence, PeerAnswer};
 use crate::coordination::cluster::heartbeat_routing::Route;
-use crate::coordination::cluster::heartbeats::ReportSource;
-use crate::coordination::cluster::ReportOutcome;
+use crate::coordination::cluster::heartbeats::HeartbeatSource;
+use crate::coordination::cluster::HeartbeatOutcome;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
-use crate::protocol::worker::{Elsewhere, Report};
+use crate::protocol::worker::{Heartbeat, LeaderRedirect};
 use crate::service::gateway::{self, Task};
 use crate::transport::{Reply, Respond};
 use tracing::warn;
@@ -20,7 +20,7 @@
     /// confirmed cancellation may be unknown here for too long: see [`CancellationEvidence`].
     pub(super) fn report(
         &mut self,
-        report: Report,
+        report: Heartbeat,
         body: Vec<u8>,
         passed_on: bool,
         respond: Respond,
@@ -28,44 +28,44 @@
         self.take_own_cancellations();
         let now = self.now();
         let renews = self.evidence.may_renew(&self.settings.cluster.workers, now);
-        let Role::Leading(core) = &mut self.role else {
+        let Role::Leading(manager) = &mut self.role else {
             return self.redirect(report, body, passed_on, respond);
         };
         if !renews {
             return self.redirect(report, body, passed_on, respond);
         }
         let source = match passed_on {
-            true => ReportSource::Peer,
-            false => ReportSource::Worker,
+            true => HeartbeatSource::Peer,
+            false => HeartbeatSource::Worker,
         };
-        let reply = match core.report_from(source, &report, now) {
-            ReportOutcome::Answer(answer) => {
+        let reply = match manager.heartbeat_from(source, &report, now) {
+            HeartbeatOutcome::Answer(answer) => {
                 if !passed_on {
                     self.heard = now;
                 }
                 Reply::json(200, &answer)
             }
-            ReportOutcome::Stale => Reply::error(503, "an older report"),
-            ReportOutcome::Deposed => Reply::json(421, &Elsewhere { leader: None }),
+            HeartbeatOutcome::Stale => Reply::error(503, "an older report"),
+            HeartbeatOutcome::Deposed => Reply::json(421, &LeaderRedirect { leader: None }),
         };
         respond(reply);
     }
 
     /// Sends a worker to the leader, or passes its report on if it may not get through to there.
-    fn redirect(&mut self, report: Report, body: Vec<u8>, passed_on: bool, respond: Respond) {
+    fn redirect(&mut self, report: Heartbeat, body: Vec<u8>, passed_on: bool, respond: Respond) {
         let now = self.now();
         if !passed_on {
             self.heard = now;
         }
         let leader = self.leader.clone().filter(|l| *l != self.settings.name);
         let Some(leader) = leader.filter(|_| !passed_on) else {
-            return respond(Reply::json(421, &Elsewhere { leader: None }));
+            return respond(Reply::json(421, &LeaderRedirect { leader: None }));
         };
-        let order = (report.session, report.seq);
+        let order = (report.incarnation, report.sequence);
         match self.redirects.route(&report.machine, order, now) {
             Route::Redirect => {
                 let leader = Some(leader);
-                respond(Reply::json(421, &Elsewhere { leader }));
+                respond(Reply::json(421, &LeaderRedirect { leader }));
             }
             Route::PassOn => {
                 gateway::offer(&self.links.stage, Task::pass_on(leader, body, respond));
@@ -98,7 +98,7 @@
     /// A leader asks the other controllers which cancellations they have confirmed.
     pub(super) fn ask_peers_for_cancellations(&mut self, now: Time) {
         let pause_s = self.settings.cluster.workers.report_s / CANCELLATION_QUERIES;
-        if self.core().is_none() || now - self.peers_asked < pause_s {
+        if self.manager().is_none() || now - self.peers_asked < pause_s {
             return;
         }
         self.peers_asked = now;
@@ -120,7 +120,7 @@
             self.ended(job, JobState::Cancelled);
         }
         self.evidence.peer_answered(&answer);
-        if self.core().is_some() && !answer.page.complete {
+        if self.manager().is_some() && !answer.page.complete {
             self.ask_for_cancellations(peer);
         }
     }
--- a/src/service/election.rs
+++ b/src/service/election.rs
@@ -4,29 +4,29 @@
     CurrentLeader, Election, ElectionEvent, ElectionRequest, Input, Operation,
 };
 use crate::coordination::Time;
-use crate::service::upgrade::SharedClearance;
-use crate::storage::key_value_store::{Store, Unavailable};
-use crate::storage::records::{LeaderRecord, LEADER};
+use crate::service::upgrade::SharedWriteFence;
+use crate::storage::key_value_store::{KeyValueStore, Unavailable};
+use crate::storage::records::{LeaderRecord, LEADER_KEY};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use stairstage_upgrade::fence::Refusal;
 use std::time::{Duration, Instant};
 
 /// Requests that may wait. The controller has at most three for each term.
-const MOST_REQUESTS: usize = 16;
+const MAX_REQUESTS: usize = 16;
 
 /// The channel by which the controller speaks to the election.
 pub fn requests() -> (Sender<ElectionRequest>, Receiver<ElectionRequest>) {
-    crossbeam::channel::bounded(MOST_REQUESTS)
+    crossbeam::channel::bounded(MAX_REQUESTS)
 }
 
 pub struct ElectionDriver {
     pub election: Election,
-    pub store: Store,
+    pub store: KeyValueStore,
     /// The zero of the clock by which the controller reads the lease's end.
     pub epoch: Instant,
     pub notify: Box<dyn Fn(ElectionEvent) + Send>,
     pub requests: Receiver<ElectionRequest>,
-    pub clearance: SharedClearance,
+    pub clearance: SharedWriteFence,
 }
 
 impl ElectionDriver {
@@ -53,7 +53,7 @@
         Some(match operation {
             Operation::Read { timeout } => Input::Read(self.read(timeout)),
             Operation::Watch { after, hold } => {
-                Input::Watched(self.store.watch(LEADER, after, hold))
+                Input::Watched(self.store.watch(LEADER_KEY, after, hold))
             }
             // A campaign begins with a lease.
             Operation::Grant { life } => match self.clearance.get().refusal() {
@@ -80,8 +80,10 @@
 
     fn read(&self, timeout: Option<Duration>) -> Result<Option<CurrentLeader>, Unavailable> {
         let read = match timeout {
-            Some(timeout) => self.store.read_within::<LeaderRecord>(LEADER, timeout)?,
-            None => self.store.read::<LeaderRecord>(LEADER)?,
+            Some(timeout) => self
+                .store
+                .read_within::<LeaderRecord>(LEADER_KEY, timeout)?,
+            None => self.store.read::<LeaderRecord>(LEADER_KEY)?,
         };
         Ok(read.map(|(record, version)| CurrentLeader {
             node: record.node,
--- a/src/service/end_notifier.rs
+++ b/src/service/end_notifier.rs
@@ -22,6 +22,6 @@
                 self.cancellations.record(id);
             }
         }
-        let _ = self.controller.try_send(Message::Ended(ends));
+        let _ = self.controller.try_send(Message::JobsEnded(ends));
     }
 }
--- a/src/service/end_watch.rs
+++ b/src/service/end_watch.rs
@@ -7,8 +7,8 @@
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Event, Events};
 use crate::settings::Settings;
-use crate::storage::key_value_store::{Store, Unavailable};
-use crate::storage::records::{EndRecord, END, LEADER};
+use crate::storage::key_value_store::{KeyValueStore, Unavailable};
+use crate::storage::records::{EndRecord, END_PREFIX, LEADER_KEY};
 use crossbeam::channel::Sender;
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 
 /// Follows the ends of jobs for as long as the process lives.
 pub struct EndWatch {
-    store: Store,
+    store: KeyValueStore,
     controller: Sender<Message>,
     polls: Polls,
     pause: Duration,
@@ -30,7 +30,7 @@
 /// Starts the watch on a thread of its own.
 pub fn start(
     settings: &Settings,
-    store: &Store,
+    store: &KeyValueStore,
     controller: &Sender<Message>,
     polls: &Polls,
 ) -> anyhow::Result<()> {
@@ -60,12 +60,12 @@
     }
 
     fn revision(&self) -> Result<u64, Unavailable> {
-        Ok(self.store.page(LEADER, None, 1)?.revision)
+        Ok(self.store.page(LEADER_KEY, None, 1)?.revision)
     }
 
     /// Hands in the ends that are news; the revision to go on from, unless it is too long ago.
     fn follow(&self, after: u64) -> Result<Option<u64>, Unavailable> {
-        let Some(events) = self.store.watch(END, after, self.hold)? else {
+        let Some(events) = self.store.watch(END_PREFIX, after, self.hold)? else {
             return Ok(None);
         };
         let revision = after.max(events.revision);
@@ -84,7 +84,7 @@
 }
 
 fn end_of(event: Event) -> Option<(String, JobState)> {
-    let job = event.put?.strip_prefix(END)?.to_string();
+    let job = event.put?.strip_prefix(END_PREFIX)?.to_string();
     let end: EndRecord = serde_json::from_value(event.value).ok()?;
     Some((job, end.state))
 }
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -5,14 +5,14 @@
 use super::end_notifier::EndNotifier;
 use super::messages::Message;
 use super::polls::{Polls, UserPoll};
-use super::upgrade::SharedClearance;
+use super::upgrade::SharedWriteFence;
 use crate::coordination::requests::polls::Poll;
 use crate::coordination::requests::{
     self, Context, Effect, Event, Located, PeerAnswer, Request, StoreAnswer, StoreCall,
 };
 use crate::protocol::cloud::MachineType;
 use crate::settings::Settings;
-use crate::storage::key_value_store::Store;
+use crate::storage::key_value_store::KeyValueStore;
 use crate::transport::front::Call;
 use crate::transport::peers::{Asked, Kind, Peers};
 use crate::transport::{Reply, Respond};
@@ -103,13 +103,13 @@
 
 pub struct Gateway {
     pub settings: Arc<Settings>,
-    pub store: Store,
+    pub store: KeyValueStore,
     pub peers: Peers,
     pub controller: Sender<Message>,
     pub tasks: Receiver<Task>,
     pub types: Arc<SharedTypes>,
     pub polls: Polls,
-    pub clearance: SharedClearance,
+    pub clearance: SharedWriteFence,
     pub ends: EndNotifier,
     /// Peers that lately gave no answer, and until when they are not asked.
     pub unreachable: RefCell<HashMap<String, Instant>>,
@@ -239,7 +239,7 @@
                 Effect::Opened(record, version) => {
                     let spec = &record.spec;
                     self.polls.accepted(spec.id.clone(), spec.waits_on.clone());
-                    let opened = Message::Opened(vec![(*record, version)]);
+                    let opened = Message::JobsAccepted(vec![(*record, version)]);
                     let _ = self.controller.try_send(opened);
                     continue;
                 }
@@ -295,7 +295,7 @@
 }
 
 /// Calls the state service.
-pub(super) fn store_answer(store: &Store, call: StoreCall) -> StoreAnswer {
+pub(super) fn store_answer(store: &KeyValueStore, call: StoreCall) -> StoreAnswer {
     match call {
         StoreCall::Read(key) => StoreAnswer::Read(store.get(&key)),
         StoreCall::List {
