--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -4,7 +4,7 @@
 //! the state service alone is no reason to leave: all nodes would, and the way back is slow.
 
 use super::spawn;
-use crate::storage::key_value_store::Store;
+use crate::storage::key_value_store::KeyValueStore;
 use crate::transport::front::Health;
 use crate::transport::peers::Peers;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
 /// The state service must have been out of reach for this long.
 const DOUBT: Duration = Duration::from_secs(3);
 
-pub fn watch(store: Store, peers: Peers, epoch: Instant) -> anyhow::Result<Arc<Health>> {
+pub fn watch(store: KeyValueStore, peers: Peers, epoch: Instant) -> anyhow::Result<Arc<Health>> {
     let isolated = Arc::new(AtomicBool::new(false));
     let told = isolated.clone();
     spawn("isolation", move || loop {
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -2,42 +2,42 @@
 
 use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
 use crate::coordination::cluster::recovery::Records;
-use crate::coordination::cluster::{Ordered, Written};
+use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::election::ElectionEvent;
 use crate::coordination::requests::Located;
 use crate::coordination::state::Name;
 use crate::coordination::Time;
 use crate::protocol::cloud::{ListedMachine, MachineType};
 use crate::protocol::job::JobState;
-use crate::protocol::worker::Report;
+use crate::protocol::worker::Heartbeat;
 use crate::storage::records::{EndRecord, OpenRecord};
 use crate::transport::Respond;
 use crossbeam::channel::Sender;
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 
 /// An event for the controller.
 pub enum Message {
     Election(ElectionEvent),
     Report {
-        report: Box<Report>,
+        report: Box<Heartbeat>,
         body: Vec<u8>,
         passed_on: bool,
         respond: Respond,
     },
     /// What this controller may do at the active version.
-    Clearance(Clearance),
+    WriteFence(WriteFence),
     /// What is known of a job here, and who leads.
     Locate(String, Sender<Located>),
     /// Jobs that were accepted or cancelled, as their records say, with the versions of these.
-    Opened(Vec<(OpenRecord, u64)>),
+    JobsAccepted(Vec<(OpenRecord, u64)>),
     /// How jobs have ended, as the state service or the leader says.
-    Ended(Vec<(String, JobState)>),
+    JobsEnded(Vec<(String, JobState)>),
     /// Ends that are on record, as a watch tells.
     EndsRecorded(Vec<(String, JobState)>),
     /// How jobs ended that were looked up, if they did.
-    Found(Vec<(Name, Option<EndRecord>)>),
+    EndsFound(Vec<(Name, Option<EndRecord>)>),
     /// The records as read for a term, by a request that was sent then.
-    Loaded {
+    RecordsLoaded {
         token: u64,
         records: Records,
         sent: Time,
@@ -47,12 +47,12 @@
         token: u64,
         sent: Time,
     },
-    Written(u64, Written),
-    Ordered(Name, Ordered),
-    Rented(String, Option<Vec<String>>),
-    Returned(Vec<String>, bool),
-    Listed(Vec<ListedMachine>),
-    Types(Vec<MachineType>),
+    Written(u64, WriteOutcome),
+    CommandsAnswered(Name, CommandOutcome),
+    MachinesRented(String, Option<Vec<String>>),
+    MachinesReturned(Vec<String>, bool),
+    MachinesListed(Vec<ListedMachine>),
+    MachineTypes(Vec<MachineType>),
     /// Whether other controllers are reached by a leader to which no worker reports.
     PeersProbed(PeerReachability),
     /// Another controller asks whether any worker reports here.
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -22,13 +22,13 @@
 use crate::settings::sockets::GATEWAYS;
 use crate::settings::Settings;
 use crate::storage::cancellation_log::CancellationLog;
-use crate::storage::key_value_store::Store;
+use crate::storage::key_value_store::KeyValueStore;
 use crate::transport::front::{self, Bounds, Call};
 use crate::transport::peers::{PeerCall, Peers};
 use crate::transport::runtime::Runtime;
 use crate::transport::Reply;
 use anyhow::Context;
-use controller::{Controller, Links};
+use controller::{Controller, ControllerHandles};
 use crossbeam::channel::bounded;
 use election::ElectionDriver;
 use end_notifier::EndNotifier;
@@ -37,13 +37,13 @@
 use peer_queries::CancellationQueries;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use upgrade::SharedClearance;
+use upgrade::SharedWriteFence;
 
 /// Users' requests that may wait.
 const STAGE: usize = 128;
-/// Report intervals for which a connection may stay open without a request.
+/// Heartbeat intervals for which a connection may stay open without a request.
 const IDLE_REPORTS: f64 = 10.0;
-const LEAST_IDLE_S: f64 = 20.0;
+const MIN_IDLE_S: f64 = 20.0;
 /// A request's body comes within this time, which is what its sender waits for an answer.
 const BODY_PATIENCE: Duration = Duration::from_secs(4);
 
@@ -86,8 +86,8 @@
     )
     .context("cannot listen for peers")?;
 
-    let store = Store::new(settings.endpoints.state, GATEWAYS);
-    let clearance = SharedClearance::new(settings.upgrade.is_some());
+    let store = KeyValueStore::new(settings.endpoints.state, GATEWAYS);
+    let clearance = SharedWriteFence::new(settings.upgrade.is_some());
     upgrade::start(&settings, &store, &clearance, &inbox)?;
     let (election_requests, requests) = election::requests();
     let report_s = settings.cluster.workers.report_s;
@@ -133,7 +133,7 @@
     let pool = workers::start(&settings, &runtime, &store, &types, &inbox)?;
     let query_patience = Duration::from_secs_f64(report_s / 2.0);
     let cancellation_queries = CancellationQueries::start(&peers, &inbox, epoch, query_patience)?;
-    let links = Links {
+    let links = ControllerHandles {
         store: store.clone(),
         peers: peers.clone(),
         inbox: inbox.clone(),
@@ -173,7 +173,7 @@
         connections: settings.front_connections(),
         workers: settings.worker_connections(),
         users: settings.user_connections(),
-        idle: Duration::from_secs_f64((IDLE_REPORTS * report_s).max(LEAST_IDLE_S)),
+        idle: Duration::from_secs_f64((IDLE_REPORTS * report_s).max(MIN_IDLE_S)),
         body: BODY_PATIENCE,
     }
 }
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -8,7 +8,7 @@
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::settings::Settings;
-use crate::storage::key_value_store::Store;
+use crate::storage::key_value_store::KeyValueStore;
 use crate::transport::Respond;
 use crossbeam::channel::{bounded, Receiver, RecvTimeoutError, Sender, TrySendError};
 use std::collections::{HashMap, VecDeque};
@@ -62,7 +62,7 @@
 /// Starts the stage; `gateway` takes the polls that another controller must answer.
 pub fn start(
     settings: &Settings,
-    store: &Store,
+    store: &KeyValueStore,
     ends: &EndNotifier,
     gateway: &Sender<Task>,
 ) -> anyhow::Result<Polls> {
@@ -86,7 +86,7 @@
     asked: HashMap<u64, UserPoll>,
     last_number: u64,
     begun: Instant,
-    store: Store,
+    store: KeyValueStore,
     ends: EndNotifier,
     gateway: Sender<Task>,
 }
--- a/src/service/record_reader.rs
+++ b/src/service/record_reader.rs
@@ -4,8 +4,8 @@
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::Time;
 use crate::protocol::store::Events;
-use crate::storage::key_value_store::{Store, Unavailable};
-use crate::storage::records::{OpenRecord, OPEN, PLACE, RUN};
+use crate::storage::key_value_store::{KeyValueStore, Unavailable};
+use crate::storage::records::{OpenRecord, COMPLETION_PREFIX, OPEN_PREFIX, PLACEMENT_PREFIX};
 use crossbeam::channel::Sender;
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Report intervals after which all open jobs are read anew, as an event may have been lost.
+/// Heartbeat intervals after which all open jobs are read anew, as an event may have been lost.
 const REREAD_INTERVALS: u32 = 8;
 /// Watches in a report interval, at the least. The end of each proves up to when all cancellations
 /// on record are known.
@@ -22,7 +22,7 @@
 
 /// The reader of one term.
 pub struct RecordReader {
-    pub store: Store,
+    pub store: KeyValueStore,
     pub inbox: Sender<Message>,
     /// The present term; the reader ends with its own.
     pub term: Arc<AtomicU64>,
@@ -54,7 +54,7 @@
             match self.read_all() {
                 Ok((records, revision)) => {
                     let token = self.token;
-                    let _ = self.inbox.send(Message::Loaded {
+                    let _ = self.inbox.send(Message::RecordsLoaded {
                         token,
                         records,
                         sent,
@@ -68,11 +68,11 @@
     }
 
     fn read_all(&self) -> Result<(Records, u64), Unavailable> {
-        let (open, revision) = self.store.list(OPEN)?;
+        let (open, revision) = self.store.list(OPEN_PREFIX)?;
         let records = Records {
             open,
-            run: self.store.list(RUN)?.0,
-            places: self.store.list(PLACE)?.0,
+            run: self.store.list(COMPLETION_PREFIX)?.0,
+            places: self.store.list(PLACEMENT_PREFIX)?.0,
         };
         Ok((records, revision))
     }
@@ -97,7 +97,7 @@
     fn watch(&self, after: u64) -> Result<u64, Unavailable> {
         let sent = self.now();
         let hold = self.report_interval / WATCHES_AN_INTERVAL;
-        let Some(events) = self.store.watch(OPEN, after, hold)? else {
+        let Some(events) = self.store.watch(OPEN_PREFIX, after, hold)? else {
             return self.reread();
         };
         let revision = after.max(events.revision);
@@ -109,7 +109,7 @@
     /// Reads all open jobs anew; the revision to go on from.
     fn reread(&self) -> Result<u64, Unavailable> {
         let sent = self.now();
-        let (items, revision) = self.store.list(OPEN)?;
+        let (items, revision) = self.store.list(OPEN_PREFIX)?;
         let records = items.into_iter();
         self.hand_in(records.map(|item| (item.key, item.value, item.version)));
         self.records_read(sent);
@@ -128,7 +128,7 @@
             .filter_map(|(key, value, version)| Some((decode(&key, value)?, version)))
             .collect();
         if !opened.is_empty() {
-            let _ = self.inbox.send(Message::Opened(opened));
+            let _ = self.inbox.send(Message::JobsAccepted(opened));
         }
     }
 
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -1,13 +1,13 @@
 //! Keeps this controller's record alive, follows the active version, and finalizes by the policy.
 
 use super::records;
-use super::SharedClearance;
+use super::SharedWriteFence;
 use crate::protocol::store::Transaction;
 use crate::service::controller::wall_ms;
 use crate::service::messages::Message;
 use crate::service::spawn;
 use crate::settings::Settings;
-use crate::storage::key_value_store::{Outcome, Renewal, Store, Unavailable};
+use crate::storage::key_value_store::{CommitOutcome, KeyValueStore, Renewal, Unavailable};
 use crossbeam::channel::Sender;
 use stairstage_upgrade::operation::{Outcome as Finalized, Request};
 use stairstage_upgrade::plan::{Asked, Plan};
@@ -24,13 +24,13 @@
 const SHORTEST_LEASE: Duration = Duration::from_millis(200);
 const LONGEST_LEASE: Duration = Duration::from_secs(600);
 /// Watches that end at once, without news, must not be repeated at once.
-const LEAST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 
 struct Member {
     settings: Arc<Settings>,
     policy: UpgradePolicy,
-    store: Store,
-    clearance: SharedClearance,
+    store: KeyValueStore,
+    clearance: SharedWriteFence,
     controller: Sender<Message>,
     lease: Option<u64>,
     lease_life: Duration,
@@ -41,8 +41,8 @@
 /// Starts it on a thread of its own, if the operators have named a file.
 pub fn start(
     settings: &Arc<Settings>,
-    store: &Store,
-    clearance: &SharedClearance,
+    store: &KeyValueStore,
+    clearance: &SharedWriteFence,
     controller: &Sender<Message>,
 ) -> anyhow::Result<()> {
     let Some(policy) = settings.upgrade.clone() else {
@@ -70,7 +70,7 @@
             if self.round().is_err() {
                 std::thread::sleep(self.lease_life / (2 * RENEWALS));
             }
-            std::thread::sleep(LEAST_PAUSE.saturating_sub(begun.elapsed()));
+            std::thread::sleep(MIN_PAUSE.saturating_sub(begun.elapsed()));
         }
     }
 
@@ -110,7 +110,7 @@
         let key = member_key(&self.settings.name);
         let transaction = Transaction::default().put_leased(key, value, lease);
         match self.store.commit(&transaction) {
-            Outcome::Applied(_) => {
+            CommitOutcome::Applied(_) => {
                 self.lease = Some(lease);
                 self.note_seen()
             }
@@ -130,7 +130,7 @@
         let value = serde_json::to_value(record).expect("plain data");
         let key = seen_key(&self.settings.name);
         match self.store.commit(&Transaction::default().put(key, value)) {
-            Outcome::Applied(_) => Ok(()),
+            CommitOutcome::Applied(_) => Ok(()),
             _ => Err(Unavailable),
         }
     }
@@ -144,7 +144,7 @@
             Some(why) => warn!("{why}: withdraws"),
             None => info!("the cluster is at version {}", snapshot.version.active),
         }
-        let _ = self.controller.send(Message::Clearance(clearance));
+        let _ = self.controller.send(Message::WriteFence(clearance));
     }
 
     /// Any controller may: the change hangs on all that it was decided by, so that one of them does.
--- a/src/service/upgrade/mod.rs
+++ b/src/service/upgrade/mod.rs
@@ -6,4 +6,4 @@
 mod shared;
 
 pub use member::start;
-pub use shared::SharedClearance;
+pub use shared::SharedWriteFence;
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -1,8 +1,8 @@
 //! The records of upgrades in the state service, and the operations on them.
 
-use crate::protocol::store::{Item, Transaction};
+use crate::protocol::store::{Transaction, VersionedValue};
 use crate::settings::Settings;
-use crate::storage::key_value_store::{Outcome, Store, Unavailable};
+use crate::storage::key_value_store::{CommitOutcome, KeyValueStore, Unavailable};
 use serde::de::DeserializeOwned;
 use stairstage_upgrade::operation::{self, Change, Committed, Operation, Request, Step};
 use stairstage_upgrade::plan::Timing;
@@ -25,10 +25,10 @@
 }
 
 /// All records, and the revision as of which they were read.
-pub fn read(store: &Store, controllers: &[String]) -> Result<(Snapshot, u64), Unavailable> {
+pub fn read(store: &KeyValueStore, controllers: &[String]) -> Result<(Snapshot, u64), Unavailable> {
     let (items, revision) = store.list(CLUSTER)?;
     let items = items.into_iter();
-    let mut records: BTreeMap<String, Item> = items.map(|i| (i.key.clone(), i)).collect();
+    let mut records: BTreeMap<String, VersionedValue> = items.map(|i| (i.key.clone(), i)).collect();
     let version = take::<VersionRecord>(&mut records, VERSION);
     let controllers = controllers.iter().map(|name| Controller {
         name: name.clone(),
@@ -45,7 +45,10 @@
     Ok((snapshot, revision))
 }
 
-fn take<T: DeserializeOwned>(records: &mut BTreeMap<String, Item>, key: &str) -> Option<(T, u64)> {
+fn take<T: DeserializeOwned>(
+    records: &mut BTreeMap<String, VersionedValue>,
+    key: &str,
+) -> Option<(T, u64)> {
     let item = records.remove(key)?;
     match serde_json::from_value(item.value) {
         Ok(value) => Some((value, item.version)),
@@ -58,7 +61,7 @@
 
 /// Carries an operation out.
 pub fn carry_out(
-    store: &Store,
+    store: &KeyValueStore,
     settings: &Settings,
     policy: &UpgradePolicy,
     request: Request,
@@ -91,7 +94,7 @@
     }
 }
 
-fn commit(store: &Store, change: Change) -> Committed {
+fn commit(store: &KeyValueStore, change: Change) -> Committed {
     let none = Transaction::default();
     let conditions = change.conditions.into_iter();
     let transaction = conditions.fold(none, |transaction, (key, stamp)| {
@@ -99,12 +102,15 @@
     });
     let value = serde_json::to_value(change.record).expect("plain data");
     match store.commit(&transaction.put(VERSION, value)) {
-        Outcome::Applied(_) => Committed::Applied,
-        Outcome::Conflict(_) => Committed::Conflict,
-        Outcome::Refused | Outcome::Limited | Outcome::TooLarge | Outcome::NoLease => {
+        CommitOutcome::Applied(_) => Committed::Applied,
+        CommitOutcome::Conflict(_) => Committed::Conflict,
+        CommitOutcome::Refused
+        | CommitOutcome::Limited
+        | CommitOutcome::TooLarge
+        | CommitOutcome::NoLease => {
             std::thread::sleep(RETRY_PAUSE);
             Committed::Refused
         }
-        Outcome::Unknown => Committed::Unknown,
+        CommitOutcome::Unknown => Committed::Unknown,
     }
 }
--- a/src/service/upgrade/shared.rs
+++ b/src/service/upgrade/shared.rs
@@ -1,24 +1,24 @@
 //! What this controller knows of the active version, shared by the actors that write or answer.
 
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::{VersionRange, VersionRecord};
 use std::sync::{Arc, RwLock};
 
 /// The clearance of this process.
 #[derive(Clone)]
-pub struct SharedClearance(Arc<RwLock<Clearance>>);
+pub struct SharedWriteFence(Arc<RwLock<WriteFence>>);
 
-impl SharedClearance {
+impl SharedWriteFence {
     /// `staged` tells whether upgrades are staged at all.
-    pub fn new(staged: bool) -> SharedClearance {
+    pub fn new(staged: bool) -> SharedWriteFence {
         let clearance = match staged {
-            true => Clearance::Unread,
-            false => Clearance::Unstaged,
+            true => WriteFence::Unread,
+            false => WriteFence::Unstaged,
         };
-        SharedClearance(Arc::new(RwLock::new(clearance)))
+        SharedWriteFence(Arc::new(RwLock::new(clearance)))
     }
 
-    pub fn get(&self) -> Clearance {
+    pub fn get(&self) -> WriteFence {
         *self.0.read().unwrap_or_else(|e| e.into_inner())
     }
 
--- a/src/service/workers.rs
+++ b/src/service/workers.rs
@@ -4,13 +4,13 @@
 use super::gateway::SharedTypes;
 use super::messages::Message;
 use super::spawn;
-use crate::coordination::cluster::{Ordered, Written};
+use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::state::Name;
-use crate::protocol::store::{Change, Item, Transaction};
-use crate::protocol::worker::{Orders, Report};
+use crate::protocol::store::{Change, Transaction, VersionedValue};
+use crate::protocol::worker::{CommandBatch, Heartbeat};
 use crate::settings::Settings;
-use crate::storage::key_value_store::{Outcome, Store};
-use crate::storage::records::{end_key, EndRecord, LEADER};
+use crate::storage::key_value_store::{CommitOutcome, KeyValueStore};
+use crate::storage::records::{end_key, EndRecord, LEADER_KEY};
 use crate::transport::client::Answer;
 use crate::transport::direct_commands::DirectCommands;
 use crate::transport::runtime::Runtime;
@@ -34,12 +34,12 @@
 const FINDS_SHARE: f64 = 0.25;
 /// A worker answers at once or hangs; its own reports bring what direct commands could not.
 const ORDER_PATIENCE: Duration = Duration::from_millis(1500);
-const MOST_REPORT: usize = 1024 * 1024;
+const MAX_REPORT: usize = 1024 * 1024;
 
 pub fn start(
     settings: &Settings,
     runtime: &Runtime,
-    store: &Store,
+    store: &KeyValueStore,
     types: &Arc<SharedTypes>,
     inbox: &Sender<Message>,
 ) -> anyhow::Result<Pool> {
@@ -63,7 +63,7 @@
             runtime,
             settings.command_connections(),
             ORDER_PATIENCE,
-            MOST_REPORT,
+            MAX_REPORT,
         ),
         cloud,
         finds,
@@ -73,15 +73,17 @@
 impl Pool {
     pub fn write(&self, id: u64, transaction: Transaction) {
         if self.writes.try_send((id, transaction)).is_err() {
-            let _ = self.inbox.try_send(Message::Written(id, Written::Refused));
+            let _ = self
+                .inbox
+                .try_send(Message::Written(id, WriteOutcome::Rejected));
         }
     }
 
-    pub fn order(&self, machine: Name, endpoint: &str, orders: &Orders) {
+    pub fn order(&self, machine: Name, endpoint: &str, orders: &CommandBatch) {
         let inbox = self.inbox.clone();
         let body = serde_json::to_vec(orders).expect("plain data");
         let taker = move |answer| {
-            let message = Message::Ordered(machine.clone(), ordered(&answer));
+            let message = Message::CommandsAnswered(machine.clone(), ordered(&answer));
             inbox.try_send(message).map_err(|_| answer)
         };
         self.orders.post(endpoint, "/orders", body, Box::new(taker));
@@ -91,7 +93,7 @@
     pub fn find(&self, ids: Vec<Name>) {
         if let Err(TrySendError::Full(ids)) = self.finds.try_send(ids) {
             let found = ids.into_iter().map(|id| (id, None)).collect();
-            let _ = self.inbox.try_send(Message::Found(found));
+            let _ = self.inbox.try_send(Message::EndsFound(found));
         }
     }
 
@@ -100,8 +102,8 @@
             self.cloud.try_send(call)
         {
             let message = match call {
-                CloudCall::Rent(rent) => Message::Rented(rent.request, None),
-                CloudCall::Return(names) => Message::Returned(names, false),
+                CloudCall::Rent(rent) => Message::MachinesRented(rent.request, None),
+                CloudCall::Return(names) => Message::MachinesReturned(names, false),
                 CloudCall::List => return,
             };
             let _ = self.inbox.try_send(message);
@@ -109,7 +111,12 @@
     }
 }
 
-fn find_all(store: &Store, jobs: &Receiver<Vec<Name>>, inbox: &Sender<Message>, pause: Duration) {
+fn find_all(
+    store: &KeyValueStore,
+    jobs: &Receiver<Vec<Name>>,
+    inbox: &Sender<Message>,
+    pause: Duration,
+) {
     for ids in jobs {
         let mut found = Vec::new();
         for id in ids {
@@ -117,18 +124,22 @@
             found.push((id, end.ok().flatten().map(|(end, _)| end)));
             std::thread::sleep(pause);
         }
-        let _ = inbox.send(Message::Found(found));
+        let _ = inbox.send(Message::EndsFound(found));
     }
 }
 
-fn write_all(store: &Store, jobs: &Receiver<(u64, Transaction)>, inbox: &Sender<Message>) {
+fn write_all(store: &KeyValueStore, jobs: &Receiver<(u64, Transaction)>, inbox: &Sender<Message>) {
     for (id, transaction) in jobs {
         let result = match store.commit(&transaction) {
-            Outcome::Applied(revision) => Written::Applied(revision),
-            Outcome::Refused | Outcome::Limited | Outcome::NoLease => Written::Refused,
-            Outcome::TooLarge => Written::TooLarge,
-            Outcome::Conflict(failed) => Written::Reread(reread(store, &failed)),
-            Outcome::Unknown => Written::Reread(reread(store, &written_keys(&transaction))),
+            CommitOutcome::Applied(revision) => WriteOutcome::Applied(revision),
+            CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::NoLease => {
+                WriteOutcome::Rejected
+            }
+            CommitOutcome::TooLarge => WriteOutcome::TooLarge,
+            CommitOutcome::Conflict(failed) => WriteOutcome::Indeterminate(reread(store, &failed)),
+            CommitOutcome::Unknown => {
+                WriteOutcome::Indeterminate(reread(store, &written_keys(&transaction)))
+            }
         };
         let _ = inbox.send(Message::Written(id, result));
     }
@@ -143,13 +154,13 @@
         })
     };
     let keys = txn.conditions.iter().map(|c| &c.key);
-    keys.filter(|k| *k == LEADER || changed(k))
+    keys.filter(|k| *k == LEADER_KEY || changed(k))
         .cloned()
         .collect()
 }
 
 /// Reads what keys hold, for as long as that takes.
-fn reread(store: &Store, keys: &[String]) -> Vec<(String, Option<Item>)> {
+fn reread(store: &KeyValueStore, keys: &[String]) -> Vec<(String, Option<VersionedValue>)> {
     let mut items = Vec::new();
     for key in keys {
         loop {
@@ -162,15 +173,15 @@
     items
 }
 
-fn ordered(answer: &Answer) -> Ordered {
+fn ordered(answer: &Answer) -> CommandOutcome {
     match answer {
-        Answer::Response(200, _) => match answer.ok::<Report>() {
-            Some(report) => Ordered::Executed(report),
-            None => Ordered::Unknown,
+        Answer::Response(200, _) => match answer.ok::<Heartbeat>() {
+            Some(report) => CommandOutcome::Executed(report),
+            None => CommandOutcome::Unknown,
         },
-        Answer::Response(409, body) => Ordered::Rejected(serde_json::from_slice(body).ok()),
-        Answer::Response(400, _) => Ordered::Rejected(None),
-        Answer::NotSent => Ordered::NotSent,
-        Answer::Response(..) | Answer::Unknown => Ordered::Unknown,
+        Answer::Response(409, body) => CommandOutcome::Rejected(serde_json::from_slice(body).ok()),
+        Answer::Response(400, _) => CommandOutcome::Rejected(None),
+        Answer::NotSent => CommandOutcome::NotSent,
+        Answer::Response(..) | Answer::Unknown => CommandOutcome::Unknown,
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -142,7 +142,7 @@
 pub const LONGEST_REPORT_INTERVAL: f64 = 1.25;
 
 /// A transaction must take at least so many changes, and as many times more conditions.
-const LEAST_CHANGES: usize = 4;
+const MIN_CHANGES: usize = 4;
 
 /// What the platform hands over.
 #[derive(Clone, Debug, Deserialize)]
@@ -292,8 +292,8 @@
             ("settings.state.next.txn_ops", next.txn_ops),
         ];
         for (field, value) in ops {
-            if let Some(value) = value.filter(|n| *n < LEAST_CHANGES) {
-                let why = format!("must be {LEAST_CHANGES} or more");
+            if let Some(value) = value.filter(|n| *n < MIN_CHANGES) {
+                let why = format!("must be {MIN_CHANGES} or more");
                 return invalid(field, value.to_string(), &why);
             }
         }
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -13,12 +13,12 @@
 
 /// Answers normally take milliseconds and now and then a few hundred.
 const WITHIN: Duration = Duration::from_millis(1200);
-const MOST_BYTES: u64 = 8 * 1024 * 1024;
+const MAX_BYTES: u64 = 8 * 1024 * 1024;
 const PAGE: usize = 400;
 
 /// What became of a transaction.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum CommitOutcome {
     Applied(u64),
     /// The named keys had other versions.
     Conflict(Vec<String>),
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone)]
-pub struct Store {
+pub struct KeyValueStore {
     client: Client,
     /// When it last answered anything, in milliseconds since `begun`.
     answered_ms: Arc<AtomicU64>,
@@ -57,10 +57,10 @@
     counts: Arc<RequestCounts>,
 }
 
-impl Store {
-    pub fn new(remote: SocketAddr, connections: usize) -> Store {
-        Store {
-            client: Client::new(remote, connections, MOST_BYTES),
+impl KeyValueStore {
+    pub fn new(remote: SocketAddr, connections: usize) -> KeyValueStore {
+        KeyValueStore {
+            client: Client::new(remote, connections, MAX_BYTES),
             answered_ms: Arc::default(),
             begun: Instant::now(),
             limited: Arc::default(),
@@ -97,11 +97,15 @@
         answer
     }
 
-    pub fn get(&self, key: &str) -> Result<Option<Item>, Unavailable> {
+    pub fn get(&self, key: &str) -> Result<Option<VersionedValue>, Unavailable> {
         self.get_within(key, WITHIN)
     }
 
-    fn get_within(&self, key: &str, timeout: Duration) -> Result<Option<Item>, Unavailable> {
+    fn get_within(
+        &self,
+        key: &str,
+        timeout: Duration,
+    ) -> Result<Option<VersionedValue>, Unavailable> {
         let answer = self.client.get(&format!("/store/{key}"), timeout);
         match self.noted(RequestKind::Read, answer) {
             Answer::Response(404, _) => Ok(None),
@@ -140,8 +144,8 @@
     }
 
     /// Everything under a prefix, with the revision as of the first page.
-    pub fn list(&self, prefix: &str) -> Result<(Vec<Item>, u64), Unavailable> {
-        let mut items: Vec<Item> = Vec::new();
+    pub fn list(&self, prefix: &str) -> Result<(Vec<VersionedValue>, u64), Unavailable> {
+        let mut items: Vec<VersionedValue> = Vec::new();
         let mut first = None;
         loop {
             let page = self.page(prefix, items.last().map(|item| item.key.as_str()), PAGE)?;
@@ -154,12 +158,12 @@
         }
     }
 
-    pub fn commit(&self, transaction: &Transaction) -> Outcome {
+    pub fn commit(&self, transaction: &Transaction) -> CommitOutcome {
         self.commit_within(transaction, WITHIN)
     }
 
     /// The same, for a caller that cannot wait as long as usual.
-    pub fn commit_within(&self, transaction: &Transaction, timeout: Duration) -> Outcome {
+    pub fn commit_within(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
         let kind = match transaction.changes.is_empty() {
             true => RequestKind::Comparison,
             false => RequestKind::Change,
@@ -167,29 +171,29 @@
         let answer = self.client.post("/txn", transaction, timeout);
         match self.noted(kind, answer) {
             Answer::Response(200, body) => match serde_json::from_slice::<Applied>(&body) {
-                Ok(applied) => Outcome::Applied(applied.revision),
-                Err(_) => Outcome::Unknown,
+                Ok(applied) => CommitOutcome::Applied(applied.revision),
+                Err(_) => CommitOutcome::Unknown,
             },
             Answer::Response(409, body) => match serde_json::from_slice::<Refused>(&body) {
-                Ok(refused) => Outcome::Conflict(refused.failed),
-                Err(_) => Outcome::Unknown,
+                Ok(refused) => CommitOutcome::Conflict(refused.failed),
+                Err(_) => CommitOutcome::Unknown,
             },
             Answer::Response(400, body) => {
                 if String::from_utf8_lossy(&body).contains("no such lease") {
-                    return Outcome::NoLease;
+                    return CommitOutcome::NoLease;
                 }
                 tracing::error!(
                     "the state service calls a transaction malformed: {}",
                     String::from_utf8_lossy(&body)
                 );
-                Outcome::TooLarge
+                CommitOutcome::TooLarge
             }
             Answer::Response(TOO_MANY_REQUESTS, _) => {
                 self.limited.store(true, Ordering::Relaxed);
-                Outcome::Limited
+                CommitOutcome::Limited
             }
-            Answer::Response(..) | Answer::NotSent => Outcome::Refused,
-            Answer::Unknown => Outcome::Unknown,
+            Answer::Response(..) | Answer::NotSent => CommitOutcome::Refused,
+            Answer::Unknown => CommitOutcome::Unknown,
         }
     }
 
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -4,48 +4,48 @@
 //! - `open/ID`: the job was accepted, and its description; until its end
 //! - `end/ID`: how the job ended; write-once, kept for ever
 //! - `place/N`: places and attempts of tasks, of many jobs together
-//! - `run/ID/N`: which of a range of tasks have completed, see [`Cut`]
+//! - `run/ID/N`: which of a range of tasks have completed, see [`CompletionShards`]
 //! - `types`: the machine types that the cloud last told
 //!
 //! A job is accepted by writing `open/ID` while neither that nor `end/ID` is there: one change, and
 //! a copy of it that comes late finds one of the two. Machines have no records: a place names its
 //! machine, whose own report or the cloud's list tells the rest.
 
-use crate::protocol::job::{JobSpec, JobState, MOST_TASKS};
+use crate::protocol::job::{JobSpec, JobState, MAX_TASKS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-pub const LEADER: &str = "leader";
-pub const OPEN: &str = "open/";
-pub const END: &str = "end/";
-pub const PLACE: &str = "place/";
-pub const RUN: &str = "run/";
-pub const TYPES: &str = "types";
+pub const LEADER_KEY: &str = "leader";
+pub const OPEN_PREFIX: &str = "open/";
+pub const END_PREFIX: &str = "end/";
+pub const PLACEMENT_PREFIX: &str = "place/";
+pub const COMPLETION_PREFIX: &str = "run/";
+pub const MACHINE_TYPES_KEY: &str = "types";
 
 pub fn open_key(id: &str) -> String {
-    format!("{OPEN}{id}")
+    format!("{OPEN_PREFIX}{id}")
 }
 
 pub fn end_key(id: &str) -> String {
-    format!("{END}{id}")
+    format!("{END_PREFIX}{id}")
 }
 
-pub fn run_key(id: &str, number: usize) -> String {
-    format!("{RUN}{id}/{number}")
+pub fn completion_key(id: &str, number: usize) -> String {
+    format!("{COMPLETION_PREFIX}{id}/{number}")
 }
 
-pub fn place_key(placement_record: usize) -> String {
-    format!("{PLACE}{placement_record}")
+pub fn placement_key(placement_record: usize) -> String {
+    format!("{PLACEMENT_PREFIX}{placement_record}")
 }
 
 /// The number in `place/N`.
-pub fn parse_place_key(key: &str) -> Option<usize> {
-    key.strip_prefix(PLACE)?.parse().ok()
+pub fn parse_placement_key(key: &str) -> Option<usize> {
+    key.strip_prefix(PLACEMENT_PREFIX)?.parse().ok()
 }
 
 /// Splits `run/ID/N` into its parts.
-pub fn parse_run_key(key: &str) -> Option<(&str, usize)> {
-    let (id, number) = key.strip_prefix(RUN)?.rsplit_once('/')?;
+pub fn parse_completion_key(key: &str) -> Option<(&str, usize)> {
+    let (id, number) = key.strip_prefix(COMPLETION_PREFIX)?.rsplit_once('/')?;
     Some((id, number.parse().ok()?))
 }
 
@@ -170,19 +170,19 @@
 
 /// Completed tasks as ranges (first, last).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RunRecord {
+pub struct StoredCompletions {
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<(u32, u32)>,
 }
 
 /// Where tasks are or may be: for each job, for each machine, tasks with their attempts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlaceRecord {
+pub struct StoredPlacements {
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub places: BTreeMap<String, BTreeMap<String, Vec<(u32, u64)>>>,
 }
 
-impl RunRecord {
+impl StoredCompletions {
     /// Adds a completed task; tasks must come in rising order.
     pub fn push_done(&mut self, task: u32) {
         match self.done.last_mut() {
@@ -204,19 +204,19 @@
 /// so any reader understands any cut. Earlier versions counted from 0 whatever the cut was; what
 /// they have written is read, and never written anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut {
+pub struct CompletionShards {
     /// Tasks in one record.
     pub tasks: usize,
 }
 
 /// The longest text that a completed task can take in a record, when only every other one is.
 const BYTES_A_TASK: usize = 8;
-const CUT: usize = MOST_TASKS as usize;
+const CUT: usize = MAX_TASKS as usize;
 
-impl Cut {
+impl CompletionShards {
     /// So many tasks that their record stays within so many bytes.
-    pub fn within(bytes: usize) -> Cut {
-        Cut {
+    pub fn within(bytes: usize) -> CompletionShards {
+        CompletionShards {
             tasks: (bytes / BYTES_A_TASK).max(1),
         }
     }
--- a/src/storage/token_bucket.rs
+++ b/src/storage/token_bucket.rs
@@ -2,16 +2,16 @@
 
 /// Allows `rate` a second, with bursts of `burst`.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: f64,
 }
 
-impl Budget {
-    pub fn new(rate: f64, burst: f64) -> Budget {
-        Budget {
+impl TokenBucket {
+    pub fn new(rate: f64, burst: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             burst,
             level: burst,
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -55,7 +55,7 @@
 const PATIENCE: Duration = Duration::from_secs(4);
 const CONNECT: Duration = Duration::from_millis(400);
 /// The largest message: a body with what surrounds it.
-const MOST_BYTES: usize = 2 * crate::protocol::BODY_LIMIT;
+const MAX_BYTES: usize = 2 * crate::protocol::BODY_LIMIT;
 
 impl Service {
     async fn call(&self, call: PeerCall) -> Result<Reply, Status> {
@@ -172,7 +172,7 @@
             handler,
             cancellations,
         })
-        .max_decoding_message_size(MOST_BYTES);
+        .max_decoding_message_size(MAX_BYTES);
         runtime.spawn(async move {
             loop {
                 let server = Server::builder().add_service(service.clone());
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -7,7 +7,7 @@
 use crate::lease_store::{Micros, SECOND};
 use stairstage::coordination::election::{Input, Operation};
 use stairstage::protocol::store::Events;
-use stairstage::storage::key_value_store::{Outcome, Renewal, Unavailable};
+use stairstage::storage::key_value_store::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
 
 impl Cluster {
@@ -208,7 +208,7 @@
 /// How an operation ends that gets no answer.
 fn unanswered(operation: &Operation) -> Input {
     match operation {
-        Operation::Commit { .. } => Input::Committed(Outcome::Unknown),
+        Operation::Commit { .. } => Input::Committed(CommitOutcome::Unknown),
         other => refused(other),
     }
 }
@@ -219,7 +219,7 @@
         Operation::Read { .. } => Input::Read(Err(Unavailable)),
         Operation::Watch { .. } => Input::Watched(Err(Unavailable)),
         Operation::Grant { .. } => Input::Granted(Err(Unavailable)),
-        Operation::Commit { .. } => Input::Committed(Outcome::Refused),
+        Operation::Commit { .. } => Input::Committed(CommitOutcome::Refused),
         Operation::Renew { .. } => Input::Renewed(Renewal::Unavailable),
         Operation::Release { .. } => Input::Released,
         Operation::Wait { .. } => Input::Elapsed,
--- a/tests/common/election_cluster/checks.rs
+++ b/tests/common/election_cluster/checks.rs
@@ -2,7 +2,7 @@
 
 use super::{Cluster, UnknownRecord};
 use crate::lease_store::LATEST_END;
-use stairstage::storage::records::LEADER;
+use stairstage::storage::records::LEADER_KEY;
 
 impl Cluster {
     /// What must hold at every moment.
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn note_unknown_record(&mut self) {
-        let version = self.store.version(LEADER);
+        let version = self.store.version(LEADER_KEY);
         let processes = self.nodes.iter().filter_map(|node| node.process.as_ref());
         let known = processes.into_iter().any(|p| p.tokens.contains(&version));
         if version == 0 || known {
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -5,8 +5,8 @@
 };
 use stairstage::coordination::election::{ElectionEvent, ElectionRequest, Input, Operation, Step};
 use stairstage::protocol::store::Transaction;
-use stairstage::storage::key_value_store::Outcome;
-use stairstage::storage::records::LEADER;
+use stairstage::storage::key_value_store::CommitOutcome;
+use stairstage::storage::records::LEADER_KEY;
 
 impl Cluster {
     /// The controller hands over, if it leads.
@@ -162,16 +162,16 @@
     pub(super) fn write_arrived(&mut self, by: ProcessId, token: u64) {
         let value = serde_json::json!(token);
         let write = Transaction::default()
-            .version(LEADER, token)
+            .version(LEADER_KEY, token)
             .put(SETTING_KEY, value);
         match self.store.commit(&write) {
-            Outcome::Applied(_) => {
+            CommitOutcome::Applied(_) => {
                 let last = self.store.leader_versions.last_key_value();
                 let last = last.map(|(version, _)| *version);
                 assert_eq!(last, Some(token), "a write of a deposed leader was applied");
             }
             _ => {
-                let version = self.store.version(LEADER);
+                let version = self.store.version(LEADER_KEY);
                 self.reply(by, Occurrence::WriteFailed(by, version));
             }
         }
--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -4,9 +4,9 @@
 
 /// A leader of many machines, each full of running tasks.
 pub struct FullFleet {
-    pub core: Core,
+    pub manager: ClusterManager,
     /// What runs on each machine.
-    pub tasks: Vec<Vec<TaskReport>>,
+    pub tasks: Vec<Vec<TaskStatus>>,
     /// Changes at the state service that it took to get there.
     pub changes: usize,
     /// The largest record, transaction and number of conditions on the way.
@@ -45,21 +45,21 @@
 
 /// A leader of so many machines of the only type, and of as many jobs, each with a machine's tasks.
 pub fn full_fleet(machines: u32) -> FullFleet {
-    let mut core = core();
+    let mut manager = manager();
     for i in 0..machines {
-        report_of(&mut core, &format!("m-{i}"), 1, None, Vec::new(), 0.0);
+        report_of(&mut manager, &format!("m-{i}"), 1, None, Vec::new(), 0.0);
     }
     for i in 0..machines {
-        core.job_opened(job_of_machine(i), u64::from(i) + 1, 0, 0.0);
+        manager.job_accepted(job_of_machine(i), u64::from(i) + 1, 0, 0.0);
     }
-    let mut tasks: Vec<Vec<TaskReport>> = vec![Vec::new(); machines as usize];
+    let mut tasks: Vec<Vec<TaskStatus>> = vec![Vec::new(); machines as usize];
     let mut places = BTreeMap::new();
     let mut largest = LargestWrite::default();
     let mut changes = 0;
     let mut now = 0.0;
     while tasks.iter().map(Vec::len).sum::<usize>() < 4 * machines as usize {
         now += 0.1;
-        carry_out_all(&mut core, now, |effect| match effect {
+        carry_out_all(&mut manager, now, |effect| match effect {
             Effect::Write { id, transaction } => {
                 changes += transaction.changes.len();
                 largest.note(transaction);
@@ -69,7 +69,7 @@
                     }
                 }
             }
-            Effect::Orders {
+            Effect::SendCommands {
                 machine, orders, ..
             } => {
                 let started = starts(&orders.commands);
@@ -80,12 +80,12 @@
         assert!(now < 600.0, "the fleet does not fill");
     }
     for (i, tasks) in tasks.iter().enumerate() {
-        report_of(&mut core, &format!("m-{i}"), 2, None, tasks.clone(), now);
+        report_of(&mut manager, &format!("m-{i}"), 2, None, tasks.clone(), now);
     }
-    core.step(now + 1.0);
-    core.take_effects();
+    manager.step(now + 1.0);
+    manager.take_effects();
     FullFleet {
-        core,
+        manager,
         tasks,
         changes,
         largest,
@@ -101,21 +101,23 @@
 pub fn effect_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Write { transaction, .. } => serde_json::to_vec(transaction).unwrap().len(),
-        Effect::Orders { orders, .. } => serde_json::to_vec(orders).unwrap().len(),
+        Effect::SendCommands { orders, .. } => serde_json::to_vec(orders).unwrap().len(),
         _ => 0,
     }
 }
 
 /// Like `carry_out`, but shows every effect.
-pub fn carry_out_all(core: &mut Core, now: f64, mut show: impl FnMut(&Effect)) {
-    each_effect(core, now, |core, effect| {
+pub fn carry_out_all(manager: &mut ClusterManager, now: f64, mut show: impl FnMut(&Effect)) {
+    each_effect(manager, now, |manager, effect| {
         show(&effect);
         match effect {
-            Effect::Write { id, .. } => core.written(id, Written::Applied(100 + id), now),
+            Effect::Write { id, .. } => {
+                manager.write_finished(id, WriteOutcome::Applied(100 + id), now)
+            }
             // Its answer shows nothing that is not known.
-            Effect::Orders { machine, .. } => {
+            Effect::SendCommands { machine, .. } => {
                 let known = worker_report(&machine, 0, 1, Vec::new());
-                core.ordered(&machine, Ordered::Executed(known), now);
+                manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
             }
             _ => {}
         }
@@ -124,14 +126,22 @@
 
 /// What twenty reports of a machine cost in which nothing is new: looks at machines and places, and bytes
 /// of what is answered and sent.
-pub fn reports_without_news(core: &mut Core, tasks: &[Vec<TaskReport>], now: f64) -> (u64, usize) {
-    let before = core.looks();
+pub fn reports_without_news(
+    manager: &mut ClusterManager,
+    tasks: &[Vec<TaskStatus>],
+    now: f64,
+) -> (u64, usize) {
+    let before = manager.machines_examined();
     let mut bytes = 0;
-    for seq in 0..20 {
-        let answer = report_of(core, "m-7", 3 + seq, None, tasks[7].clone(), now);
+    for sequence in 0..20 {
+        let answer = report_of(manager, "m-7", 3 + sequence, None, tasks[7].clone(), now);
         bytes += serde_json::to_vec(&answer).unwrap().len();
-        core.step(now);
-        bytes += core.take_effects().iter().map(effect_bytes).sum::<usize>();
+        manager.step(now);
+        bytes += manager
+            .take_effects()
+            .iter()
+            .map(effect_bytes)
+            .sum::<usize>();
     }
-    (core.looks() - before, bytes)
+    (manager.machines_examined() - before, bytes)
 }
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -5,8 +5,8 @@
 use serde_json::Value;
 use stairstage::coordination::election::CurrentLeader;
 use stairstage::protocol::store::{Change, Event, Events, Transaction};
-use stairstage::storage::key_value_store::{Outcome, Renewal};
-use stairstage::storage::records::{LeaderRecord, LEADER};
+use stairstage::storage::key_value_store::{CommitOutcome, Renewal};
+use stairstage::storage::records::{LeaderRecord, LEADER_KEY};
 use std::collections::BTreeMap;
 
 /// Real time in microseconds.
@@ -130,7 +130,7 @@
     }
 
     pub fn leader(&self) -> Option<CurrentLeader> {
-        let stored = self.keys.get(LEADER)?;
+        let stored = self.keys.get(LEADER_KEY)?;
         let record: LeaderRecord = serde_json::from_value(stored.value.clone()).unwrap();
         Some(CurrentLeader {
             node: record.node,
@@ -138,14 +138,14 @@
         })
     }
 
-    pub fn commit(&mut self, transaction: &Transaction) -> Outcome {
+    pub fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         let lease_of = |change: &Change| match change {
             Change::Put { lease, .. } => *lease,
             Change::Delete { .. } => None,
         };
         let mut leases = transaction.changes.iter().filter_map(lease_of);
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
-            return Outcome::NoLease;
+            return CommitOutcome::NoLease;
         }
         let conditions = transaction.conditions.iter();
         let failed: Vec<String> = conditions
@@ -153,13 +153,13 @@
             .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Outcome::Conflict(failed);
+            return CommitOutcome::Conflict(failed);
         }
         self.revision += 1;
         for change in &transaction.changes {
             self.apply(change);
         }
-        Outcome::Applied(self.revision)
+        CommitOutcome::Applied(self.revision)
     }
 
     fn apply(&mut self, change: &Change) {
@@ -181,7 +181,7 @@
     }
 
     fn note_change(&mut self, key: &str, value: Option<Value>) {
-        if key != LEADER {
+        if key != LEADER_KEY {
             return;
         }
         if let Some(leader) = self.leader() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of the core begin with.
+//! What several tests of the manager begin with.
 #![allow(dead_code)] // no test uses all of it
 
 pub mod full_fleet;
@@ -7,17 +7,18 @@
 
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::recovery::Records;
-use stairstage::coordination::cluster::{Core, Effect, Ordered, ReportOutcome, Written};
+use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::Context;
 use stairstage::coordination::state::Name;
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::job::JobSpec;
-use stairstage::protocol::store::{Change, Condition, Item, Page, Transaction};
+use stairstage::protocol::store::{Change, Compare, Page, Transaction, VersionedValue};
 use stairstage::protocol::worker::*;
 use stairstage::settings::Settings;
-use stairstage::storage::key_value_store::Outcome;
+use stairstage::storage::key_value_store::CommitOutcome;
 use stairstage::storage::records::*;
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::sync::Arc;
@@ -50,7 +51,7 @@
     JobSpec::parse(submission.to_string().as_bytes()).unwrap()
 }
 
-/// What most tests of the core run with.
+/// What most tests of the manager run with.
 pub const SETTINGS: &str = r#"
 host_name = "a"
 zone = "z"
@@ -66,7 +67,7 @@
 "#;
 
 /// What a user's request finds at a node that may write so much.
-pub fn request_context(clearance: Clearance) -> Context {
+pub fn request_context(clearance: WriteFence) -> Context {
     Context {
         settings: Arc::new(Settings::parse("test", SETTINGS).unwrap()),
         types: Arc::new(vec![machine_type()]),
@@ -77,25 +78,25 @@
     }
 }
 
-pub fn core() -> Core {
+pub fn manager() -> ClusterManager {
     core_with_token(1)
 }
 
-pub fn core_with_token(token: u64) -> Core {
+pub fn core_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
-    let mut core = Core::new(settings, token, 0.0);
-    core.valid_until = f64::INFINITY;
-    core.set_types(vec![machine_type()]);
-    core
+    let mut manager = ClusterManager::new(settings, token, 0.0);
+    manager.lease_valid_until = f64::INFINITY;
+    manager.set_machine_types(vec![machine_type()]);
+    manager
 }
 
 pub fn submit(
-    core: &mut Core,
+    manager: &mut ClusterManager,
     id: &str,
     rig: &str,
     precedence: &str,
     due_s: Option<f64>,
-    seq: u64,
+    sequence: u64,
 ) {
     // Gangs save, and need two machines.
     let gang = rig == "group";
@@ -106,23 +107,33 @@
     }
     body["due_s"] = json!(due_s);
     let spec = parsed(&body);
-    core.job_opened(OpenRecord::accepted(spec, 0), seq, 0, 0.0);
+    manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, 0.0);
 }
 
-pub fn report(core: &mut Core, seq: u64, tasks: Vec<TaskReport>, now: f64) -> Vec<Command> {
-    report_of(core, "m-1", seq, None, tasks, now)
+pub fn report(
+    manager: &mut ClusterManager,
+    sequence: u64,
+    tasks: Vec<TaskStatus>,
+    now: f64,
+) -> Vec<Command> {
+    report_of(manager, "m-1", sequence, None, tasks, now)
 }
 
-/// A report of a machine of the only type, in its worker's first session.
-pub fn worker_report(machine: &str, seq: u64, token: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+/// A report of a machine of the only type, in its worker's first incarnation.
+pub fn worker_report(
+    machine: &str,
+    sequence: u64,
+    token: u64,
+    tasks: Vec<TaskStatus>,
+) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         endpoint: "127.0.0.1:9".into(),
         kind: "m4".into(),
         zone: "z".into(),
         spot: false,
-        session: 1,
-        seq,
+        incarnation: 1,
+        sequence,
         token,
         notice_s: None,
         tasks,
@@ -130,49 +141,59 @@
 }
 
 pub fn report_of(
-    core: &mut Core,
+    manager: &mut ClusterManager,
     machine: &str,
-    seq: u64,
+    sequence: u64,
     notice_s: Option<f64>,
-    tasks: Vec<TaskReport>,
+    tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    let mut report = worker_report(machine, seq, 1, tasks);
+    let mut report = worker_report(machine, sequence, 1, tasks);
     report.notice_s = notice_s;
-    match core.report(&report, now) {
-        ReportOutcome::Answer(answer) => answer.commands,
+    match manager.heartbeat(&report, now) {
+        HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
 }
 
-/// Lets the core decide until it has nothing more to say.
-pub fn each_effect(core: &mut Core, now: f64, mut take: impl FnMut(&mut Core, Effect)) {
-    core.step(now);
+/// Lets the manager decide until it has nothing more to say.
+pub fn each_effect(
+    manager: &mut ClusterManager,
+    now: f64,
+    mut take: impl FnMut(&mut ClusterManager, Effect),
+) {
+    manager.step(now);
     loop {
-        let effects = core.take_effects();
+        let effects = manager.take_effects();
         if effects.is_empty() {
             return;
         }
         for effect in effects {
-            take(core, effect);
+            take(manager, effect);
         }
-        core.step(now);
+        manager.step(now);
     }
 }
 
 /// The same; writes succeed at once, and other effects are handed to `other`.
-pub fn carry_out(core: &mut Core, now: f64, mut other: impl FnMut(&mut Core, Effect)) {
-    each_effect(core, now, |core, effect| match effect {
-        Effect::Write { id, .. } => core.written(id, Written::Applied(100 + id), now),
-        effect => other(core, effect),
+pub fn carry_out(
+    manager: &mut ClusterManager,
+    now: f64,
+    mut other: impl FnMut(&mut ClusterManager, Effect),
+) {
+    each_effect(manager, now, |manager, effect| match effect {
+        Effect::Write { id, .. } => {
+            manager.write_finished(id, WriteOutcome::Applied(100 + id), now)
+        }
+        effect => other(manager, effect),
     });
 }
 
 /// The names of tasks that are then launched directly.
-pub fn launched(core: &mut Core, now: f64) -> Vec<(String, u64)> {
+pub fn launched(manager: &mut ClusterManager, now: f64) -> Vec<(String, u64)> {
     let mut launched = Vec::new();
-    carry_out(core, now, |_, effect| {
-        if let Effect::Orders { orders, .. } = effect {
+    carry_out(manager, now, |_, effect| {
+        if let Effect::SendCommands { orders, .. } = effect {
             launched.extend(starts(&orders.commands));
         }
     });
@@ -187,8 +208,8 @@
     commands.iter().filter_map(start).collect()
 }
 
-pub fn shown(tasks: &[(String, u64)], state: TaskState, cause: Option<Cause>) -> Vec<TaskReport> {
-    let show = |(task, attempt): &(String, u64)| TaskReport {
+pub fn shown(tasks: &[(String, u64)], state: TaskState, cause: Option<Cause>) -> Vec<TaskStatus> {
+    let show = |(task, attempt): &(String, u64)| TaskStatus {
         task: task.clone(),
         attempt: *attempt,
         state,
@@ -238,7 +259,7 @@
     /// The keys of conditions that don't hold.
     pub fn conflicts(&self, txn: &Transaction) -> Vec<String> {
         let version = |key: &String| self.values.get(key).map_or(0, |v| v.1);
-        let fails = |c: &&Condition| version(&c.key) != c.version;
+        let fails = |c: &&Compare| version(&c.key) != c.version;
         let failed = txn.conditions.iter().filter(fails);
         failed.map(|c| c.key.clone()).collect()
     }
@@ -265,9 +286,9 @@
         Ok(self.revision)
     }
 
-    pub fn item(&self, key: &str) -> Option<Item> {
+    pub fn item(&self, key: &str) -> Option<VersionedValue> {
         let (value, version) = self.values.get(key)?.clone();
-        Some(Item {
+        Some(VersionedValue {
             key: key.to_string(),
             value,
             version,
@@ -275,11 +296,11 @@
     }
 
     /// What a comparison of these conditions gives.
-    pub fn compared(&self, txn: &Transaction) -> Outcome {
+    pub fn compared(&self, txn: &Transaction) -> CommitOutcome {
         let conflicts = self.conflicts(txn);
         match conflicts.is_empty() {
-            true => Outcome::Applied(self.revision),
-            false => Outcome::Conflict(conflicts),
+            true => CommitOutcome::Applied(self.revision),
+            false => CommitOutcome::Conflict(conflicts),
         }
     }
 
@@ -288,7 +309,7 @@
         let behind = (Bound::Excluded(after), Bound::Unbounded);
         let keys = self.values.range::<str, _>(behind).map(|(key, _)| key);
         let keys = keys.filter(|key| key.starts_with(prefix)).take(limit + 1);
-        let mut items: Vec<Item> = keys.filter_map(|key| self.item(key)).collect();
+        let mut items: Vec<VersionedValue> = keys.filter_map(|key| self.item(key)).collect();
         let more = items.len() > limit;
         items.truncate(limit);
         Page {
@@ -298,23 +319,23 @@
         }
     }
 
-    pub fn under(&self, prefix: &str) -> Vec<Item> {
+    pub fn under(&self, prefix: &str) -> Vec<VersionedValue> {
         let keys = self.values.keys().filter(|k| k.starts_with(prefix));
         keys.filter_map(|k| self.item(k)).collect()
     }
 
     pub fn records(&self) -> Records {
         Records {
-            open: self.under(OPEN),
-            run: self.under(RUN),
-            places: self.under(PLACE),
+            open: self.under(OPEN_PREFIX),
+            run: self.under(COMPLETION_PREFIX),
+            places: self.under(PLACEMENT_PREFIX),
         }
     }
 
     /// What keys hold, as it is read when a write went unanswered.
-    pub fn reread(&self, txn: &Transaction) -> Written {
+    pub fn reread(&self, txn: &Transaction) -> WriteOutcome {
         let keys = txn.conditions.iter().map(|c| c.key.clone());
-        Written::Reread(keys.map(|k| (k.clone(), self.item(&k))).collect())
+        WriteOutcome::Indeterminate(keys.map(|k| (k.clone(), self.item(&k))).collect())
     }
 
     /// The recorded ends of jobs.
@@ -331,15 +352,15 @@
     pub fn led_by_production(&mut self, tasks_a_chunk: u32) {
         self.revision += 1;
         let mut done: BTreeMap<String, std::collections::BTreeSet<u32>> = BTreeMap::new();
-        for item in self.under(RUN) {
-            let (id, _) = parse_run_key(&item.key).unwrap();
-            let record: RunRecord = serde_json::from_value(item.value).unwrap();
+        for item in self.under(COMPLETION_PREFIX) {
+            let (id, _) = parse_completion_key(&item.key).unwrap();
+            let record: StoredCompletions = serde_json::from_value(item.value).unwrap();
             let tasks = record.done.iter().flat_map(|(first, last)| *first..=*last);
             done.entry(id.to_string()).or_default().extend(tasks);
         }
         for (id, tasks) in done {
             for chunk in 0..=tasks.last().unwrap_or(&0) / tasks_a_chunk {
-                let mut record = RunRecord::default();
+                let mut record = StoredCompletions::default();
                 let of_chunk = |t: &&u32| **t / tasks_a_chunk == chunk;
                 tasks
                     .iter()
@@ -347,12 +368,12 @@
                     .for_each(|t| record.push_done(*t));
                 let value = serde_json::to_value(&record).unwrap();
                 self.values
-                    .insert(run_key(&id, chunk as usize), (value, self.revision));
+                    .insert(completion_key(&id, chunk as usize), (value, self.revision));
             }
         }
-        let mut all = PlaceRecord::default();
-        for item in self.under(PLACE) {
-            let record: PlaceRecord = serde_json::from_value(item.value).unwrap();
+        let mut all = StoredPlacements::default();
+        for item in self.under(PLACEMENT_PREFIX) {
+            let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
             for (id, machines) in record.places {
                 for (machine, places) in machines {
                     let there = all.places.entry(id.clone()).or_default();
@@ -366,24 +387,24 @@
             self.values.insert(item.key, (empty, self.revision));
         }
         let value = serde_json::to_value(&all).unwrap();
-        self.values.insert(place_key(0), (value, self.revision));
+        self.values.insert(placement_key(0), (value, self.revision));
     }
 }
 
 /// Carries effects out; direct commands get no answer. Returns the tasks that were launched so, and
 /// the machines that were given back.
-pub fn out_of_reach(core: &mut Core, now: f64) -> (Vec<String>, Vec<String>) {
+pub fn out_of_reach(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<String>) {
     let (mut launches, mut returned) = (Vec::new(), Vec::new());
-    core.tick(now);
-    carry_out(core, now, |core, effect| match effect {
-        Effect::Orders {
+    manager.tick(now);
+    carry_out(manager, now, |manager, effect| match effect {
+        Effect::SendCommands {
             machine, orders, ..
         } => {
             launches.extend(starts(&orders.commands).into_iter().map(|s| s.0));
-            core.ordered(&machine, Ordered::Unknown, now);
+            manager.commands_answered(&machine, CommandOutcome::Unknown, now);
         }
-        Effect::Return(names) => {
-            core.returned(&names, true, now);
+        Effect::ReturnMachines(names) => {
+            manager.machines_returned(&names, true, now);
             returned.extend(names);
         }
         _ => {}
@@ -392,9 +413,9 @@
 }
 
 /// Hands in a report; returns what its answer launches.
-pub fn answered(core: &mut Core, report: &Report, now: f64) -> Vec<String> {
-    match core.report(report, now) {
-        ReportOutcome::Answer(answer) => {
+pub fn answered(manager: &mut ClusterManager, report: &Heartbeat, now: f64) -> Vec<String> {
+    match manager.heartbeat(report, now) {
+        HeartbeatOutcome::Answer(answer) => {
             starts(&answer.commands).into_iter().map(|s| s.0).collect()
         }
         other => panic!("{other:?}"),
--- a/tests/common/standins.rs
+++ b/tests/common/standins.rs
@@ -14,7 +14,7 @@
 use tiny_http::{Method, Request, Response, Server};
 
 /// Keys in one page of a list at the most.
-const MOST_PAIRS: usize = 1000;
+const MAX_PAIRS: usize = 1000;
 
 /// Keys with values, versions and leases; what the protocol says of them, without limits on rates.
 #[derive(Default)]
@@ -128,7 +128,7 @@
             (Method::Get, ["store"]) => {
                 let after = parameter("after").unwrap_or_default();
                 let limit = parameter("limit").and_then(|n| n.parse().ok());
-                let limit = limit.unwrap_or(MOST_PAIRS).min(MOST_PAIRS);
+                let limit = limit.unwrap_or(MAX_PAIRS).min(MAX_PAIRS);
                 let mut pairs: Vec<Value> = self
                     .keys
                     .iter()
@@ -196,7 +196,7 @@
 #[derive(Default)]
 pub struct Worker {
     pub token: u64,
-    seq: u64,
+    sequence: u64,
     pub tasks: BTreeMap<(String, u64), &'static str>,
     pub finish: bool,
     pub starts: Vec<String>,
@@ -204,7 +204,7 @@
 
 impl Worker {
     pub fn report(&mut self, endpoint: SocketAddr) -> Value {
-        self.seq += 1;
+        self.sequence += 1;
         if self.finish {
             self.tasks.values_mut().for_each(|t| *t = "exited");
         }
@@ -214,7 +214,7 @@
         };
         let tasks: Vec<Value> = self.tasks.iter().map(task).collect();
         json!({"vessel": "m-1", "endpoint": endpoint.to_string(), "hull": "g8", "berth": "z",
-            "driftwood": false, "watch": 1, "log_no": self.seq, "helm": self.token,
+            "driftwood": false, "watch": 1, "log_no": self.sequence, "helm": self.token,
             "recall_s": null, "legs": tasks})
     }
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -4,12 +4,12 @@
 use proptest::test_runner::RngSeed;
 use stairstage::coordination::prediction::{corrected, Predictor};
 use stairstage::coordination::scheduling::backfill::{reserve, Frees};
-use stairstage::coordination::state::Room;
+use stairstage::coordination::state::Resources;
 
-fn cpus(n: u32) -> Room {
-    Room {
+fn cpus(n: u32) -> Resources {
+    Resources {
         cpus: f64::from(n),
-        ..Room::default()
+        ..Resources::default()
     }
 }
 
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -5,39 +5,45 @@
 
 use common::*;
 use serde_json::{json, Value};
-use stairstage::coordination::cluster::{Core, Effect, ReportOutcome};
+use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::{MachineType, Rent};
-use stairstage::protocol::worker::{Command, TaskReport, TaskState};
+use stairstage::protocol::worker::{Command, TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
 
 /// Seconds after which a job that has not begun is overdue, and a little more.
 const OVERDUE_S: i32 = 140;
 
 /// A fleet of one machine in zone `z`; the only type is offered in two zones.
-fn one_machine() -> Core {
-    let mut core = core();
-    core.set_types(vec![MachineType {
+fn one_machine() -> ClusterManager {
+    let mut manager = manager();
+    manager.set_machine_types(vec![MachineType {
         zones: vec!["z".into(), "y".into()],
         ..machine_type()
     }]);
-    report(&mut core, 1, Vec::new(), 0.0);
-    core
+    report(&mut manager, 1, Vec::new(), 0.0);
+    manager
 }
 
 /// What is rented within a few seconds for a job, described by what differs from a plain one.
-fn rented(core: &mut Core, rig: &str, tasks: u32, differs: &[(&str, Value)]) -> Vec<Rent> {
+fn rented(
+    manager: &mut ClusterManager,
+    rig: &str,
+    tasks: u32,
+    differs: &[(&str, Value)],
+) -> Vec<Rent> {
     let mut body = submission("req-1", rig, "normal", tasks);
     for (field, value) in differs {
         body[*field] = value.clone();
     }
-    core.job_opened(OpenRecord::accepted(parsed(&body), 0), 1, 0, 0.0);
+    manager.job_accepted(OpenRecord::accepted(parsed(&body), 0), 1, 0, 0.0);
     let mut rents = Vec::new();
     for second in 1..5 {
         let now = f64::from(second);
-        report(core, 1 + second as u64, Vec::new(), now);
-        core.tick(now);
-        carry_out(core, now, |_, effect| {
-            if let Effect::Rent(rent) = effect {
+        report(manager, 1 + second as u64, Vec::new(), now);
+        manager.tick(now);
+        carry_out(manager, now, |_, effect| {
+            if let Effect::RentMachines(rent) = effect {
                 rents.push(rent);
             }
         });
@@ -86,19 +92,19 @@
 
 #[test]
 fn an_overdue_spread_gang_gets_no_machine_where_it_helps_nothing() {
-    let mut core = one_machine();
-    let first = rented(&mut core, "group", 2, &[("spread", json!(true))]);
+    let mut manager = one_machine();
+    let first = rented(&mut manager, "group", 2, &[("spread", json!(true))]);
     let mut unanswered = first;
     for second in 5..OVERDUE_S {
         let now = f64::from(second);
         for rent in unanswered.drain(..) {
             assert_eq!(rent.zone, "y", "at {second} s");
-            core.rented(&rent.request, Some(Vec::new()), now);
+            manager.machines_rented(&rent.request, Some(Vec::new()), now);
         }
-        report(&mut core, 1 + second as u64, Vec::new(), now);
-        core.tick(now);
-        carry_out(&mut core, now, |_, effect| {
-            if let Effect::Rent(rent) = effect {
+        report(&mut manager, 1 + second as u64, Vec::new(), now);
+        manager.tick(now);
+        carry_out(&mut manager, now, |_, effect| {
+            if let Effect::RentMachines(rent) = effect {
                 unanswered.push(rent);
             }
         });
@@ -109,7 +115,7 @@
 
 /// Idle machines of the smaller of two types; the cloud has none of the larger type.
 struct SmallFleet {
-    core: Core,
+    manager: ClusterManager,
     now: f64,
     rented: Vec<Rent>,
     returned: Vec<String>,
@@ -122,10 +128,10 @@
             cpus: 16.0,
             ..machine_type()
         };
-        let mut core = core();
-        core.set_types(vec![machine_type(), large]);
+        let mut manager = manager();
+        manager.set_machine_types(vec![machine_type(), large]);
         let mut fleet = SmallFleet {
-            core,
+            manager,
             now: 0.0,
             rented: Vec::new(),
             returned: Vec::new(),
@@ -140,7 +146,7 @@
         body["cpus"] = json!(cpus);
         body["passage_s"] = json!(run_s);
         let record = OpenRecord::accepted(parsed(&body), 0);
-        self.core.job_opened(record, number, 0, self.now);
+        self.manager.job_accepted(record, number, 0, self.now);
     }
 
     /// Seconds in which all machines report that they hold nothing.
@@ -150,18 +156,25 @@
             let now = self.now;
             for machine in (0..SMALL_MACHINES).map(|i| format!("m-{i}")) {
                 if !self.returned.contains(&machine) {
-                    report_of(&mut self.core, &machine, now as u64, None, Vec::new(), now);
+                    report_of(
+                        &mut self.manager,
+                        &machine,
+                        now as u64,
+                        None,
+                        Vec::new(),
+                        now,
+                    );
                 }
             }
-            self.core.tick(now);
+            self.manager.tick(now);
             let (rented, returned) = (&mut self.rented, &mut self.returned);
-            carry_out(&mut self.core, now, |core, effect| match effect {
-                Effect::Rent(rent) => {
-                    core.rented(&rent.request, Some(Vec::new()), now);
+            carry_out(&mut self.manager, now, |manager, effect| match effect {
+                Effect::RentMachines(rent) => {
+                    manager.machines_rented(&rent.request, Some(Vec::new()), now);
                     rented.push(rent);
                 }
-                Effect::Return(names) => {
-                    core.returned(&names, true, now);
+                Effect::ReturnMachines(names) => {
+                    manager.machines_returned(&names, true, now);
                     returned.extend(names);
                 }
                 _ => {}
@@ -191,47 +204,57 @@
     assert!(large.count() > 0, "the first job wants larger machines");
 }
 
-/// What a report in the second session of the only machine's worker is answered.
-fn answer_in_second_session(
-    core: &mut Core,
-    seq: u64,
-    tasks: Vec<TaskReport>,
+/// What a report in the second incarnation of the only machine's worker is answered.
+fn answer_in_second_incarnation(
+    manager: &mut ClusterManager,
+    sequence: u64,
+    tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    let mut report = worker_report("m-1", seq, 1, tasks);
-    report.session = 2;
-    match core.report(&report, now) {
-        ReportOutcome::Answer(answer) => answer.commands,
+    let mut report = worker_report("m-1", sequence, 1, tasks);
+    report.incarnation = 2;
+    match manager.heartbeat(&report, now) {
+        HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
 fn a_job_that_lost_its_machine_to_long_tasks_gets_another_one() {
-    let mut core = one_machine();
+    let mut manager = one_machine();
     let mut job = submission("req-1", "sweep", "normal", 1);
     job["cpus"] = json!(4.0);
-    core.job_opened(OpenRecord::accepted(parsed(&job), 0), 1, 0, 0.0);
-    let first = launched(&mut core, 0.5);
+    manager.job_accepted(OpenRecord::accepted(parsed(&job), 0), 1, 0, 0.0);
+    let first = launched(&mut manager, 0.5);
     assert_eq!(first.len(), 1);
-    report(&mut core, 2, shown(&first, TaskState::Running, None), 1.0);
+    report(
+        &mut manager,
+        2,
+        shown(&first, TaskState::Running, None),
+        1.0,
+    );
     // Its machine loses its lease, and longer tasks of a higher priority take the room.
     let mut long = submission("req-2", "sweep", "urgent", 4);
     long["passage_s"] = json!(5000.0);
-    core.job_opened(OpenRecord::accepted(parsed(&long), 0), 2, 0, 16.0);
-    answer_in_second_session(&mut core, 3, Vec::new(), 16.5);
-    carry_out(&mut core, 17.0, |_, _| {});
-    let others = starts(&answer_in_second_session(&mut core, 4, Vec::new(), 17.5));
+    manager.job_accepted(OpenRecord::accepted(parsed(&long), 0), 2, 0, 16.0);
+    answer_in_second_incarnation(&mut manager, 3, Vec::new(), 16.5);
+    carry_out(&mut manager, 17.0, |_, _| {});
+    let others = starts(&answer_in_second_incarnation(
+        &mut manager,
+        4,
+        Vec::new(),
+        17.5,
+    ));
     assert!(others.iter().all(|(task, _)| task.starts_with("req-2/")));
     assert_eq!(others.len(), 4);
     let mut rented = 0;
     for second in 18..18 + OVERDUE_S {
         let now = f64::from(second);
         let tasks = shown(&others, TaskState::Running, None);
-        answer_in_second_session(&mut core, second as u64, tasks, now);
-        core.tick(now);
-        carry_out(&mut core, now, |_, effect| {
-            rented += usize::from(matches!(effect, Effect::Rent(_)));
+        answer_in_second_incarnation(&mut manager, second as u64, tasks, now);
+        manager.tick(now);
+        carry_out(&mut manager, now, |_, effect| {
+            rented += usize::from(matches!(effect, Effect::RentMachines(_)));
         });
     }
     assert_eq!(rented, 1);
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -4,13 +4,14 @@
 
 use common::*;
 use serde_json::json;
-use stairstage::coordination::cluster::{Core, Effect as CoreEffect, Written};
+use stairstage::coordination::cluster::{Effect as CoreEffect, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::{Effect, Event, Request, StoreAnswer, StoreCall};
-use stairstage::protocol::store::{Item, Transaction};
+use stairstage::protocol::store::{Transaction, VersionedValue};
 use stairstage::settings::{Settings, CONDITIONS_A_CHANGE};
-use stairstage::storage::key_value_store::Outcome;
-use stairstage::storage::records::{end_key, open_key, LEADER};
-use stairstage_upgrade::fence::Clearance;
+use stairstage::storage::key_value_store::CommitOutcome;
+use stairstage::storage::records::{end_key, open_key, LEADER_KEY};
+use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{ClusterVersion, Fence, VersionRange, VersionRecord};
 
@@ -25,13 +26,13 @@
     }
 }
 
-fn clearance(active: u32) -> Clearance {
+fn clearance(active: u32) -> WriteFence {
     let range = VersionRange::OF_THIS_RELEASE;
-    Clearance::Read(Fence::new(range, &record(active), STAMP))
+    WriteFence::Read(Fence::new(range, &record(active), STAMP))
 }
 
-fn item(active: u32) -> Item {
-    Item {
+fn item(active: u32) -> VersionedValue {
+    VersionedValue {
         key: VERSION.into(),
         value: serde_json::to_value(record(active)).unwrap(),
         version: LATER_STAMP,
@@ -44,19 +45,20 @@
 }
 
 /// A leader with a job that waits to be launched, and the first write for it.
-fn leader_with_a_write() -> (Core, u64, Transaction) {
-    let mut core = core();
-    core.clearance = clearance(1);
-    report(&mut core, 1, Vec::new(), 1.0);
-    submit(&mut core, "req-1", "sweep", "normal", None, 1);
-    let (id, transaction) = next_write(&mut core, 1.0).expect("places are recorded");
-    (core, id, transaction)
-}
-
-fn next_write(core: &mut Core, now: f64) -> Option<(u64, Transaction)> {
-    core.tick(now);
-    core.step(now);
-    core.take_effects()
+fn leader_with_a_write() -> (ClusterManager, u64, Transaction) {
+    let mut manager = manager();
+    manager.write_fence = clearance(1);
+    report(&mut manager, 1, Vec::new(), 1.0);
+    submit(&mut manager, "req-1", "sweep", "normal", None, 1);
+    let (id, transaction) = next_write(&mut manager, 1.0).expect("places are recorded");
+    (manager, id, transaction)
+}
+
+fn next_write(manager: &mut ClusterManager, now: f64) -> Option<(u64, Transaction)> {
+    manager.tick(now);
+    manager.step(now);
+    manager
+        .take_effects()
         .into_iter()
         .find_map(|effect| match effect {
             CoreEffect::Write { id, transaction } => Some((id, transaction)),
@@ -68,8 +70,8 @@
 fn a_leader_names_the_version_that_it_knows_in_what_it_writes() {
     let (_, _, transaction) = leader_with_a_write();
     assert_eq!(stamp_in(&transaction), Some(STAMP));
-    assert!(transaction.conditions.iter().any(|c| c.key == LEADER));
-    let mut unstaged = core();
+    assert!(transaction.conditions.iter().any(|c| c.key == LEADER_KEY));
+    let mut unstaged = manager();
     report(&mut unstaged, 1, Vec::new(), 1.0);
     submit(&mut unstaged, "req-1", "sweep", "normal", None, 1);
     let (_, transaction) = next_write(&mut unstaged, 1.0).unwrap();
@@ -78,45 +80,45 @@
 
 #[test]
 fn a_leader_goes_on_at_a_version_that_its_release_works_at() {
-    let (mut core, id, _) = leader_with_a_write();
+    let (mut manager, id, _) = leader_with_a_write();
     let reread = vec![(VERSION.to_string(), Some(item(2)))];
-    core.written(id, Written::Reread(reread), 1.5);
-    assert!(!core.deposed);
-    let (_, again) = next_write(&mut core, 3.0).expect("it is written again");
+    manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
+    assert!(!manager.deposed);
+    let (_, again) = next_write(&mut manager, 3.0).expect("it is written again");
     assert_eq!(stamp_in(&again), Some(LATER_STAMP));
 }
 
 #[test]
 fn a_leader_resigns_at_a_version_beyond_its_release() {
-    let (mut core, id, _) = leader_with_a_write();
+    let (mut manager, id, _) = leader_with_a_write();
     let reread = vec![(VERSION.to_string(), Some(item(3)))];
-    core.written(id, Written::Reread(reread), 1.5);
-    assert!(core.deposed);
+    manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
+    assert!(manager.deposed);
 }
 
 #[test]
 fn a_leader_resigns_at_a_version_that_it_cannot_read() {
-    let (mut core, id, _) = leader_with_a_write();
+    let (mut manager, id, _) = leader_with_a_write();
     let mut unreadable = item(2);
     unreadable.value = json!({"active": {"of": "another kind"}});
     let reread = vec![(VERSION.to_string(), Some(unreadable))];
-    core.written(id, Written::Reread(reread), 1.5);
-    assert!(core.deposed);
+    manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
+    assert!(manager.deposed);
 }
 
 #[test]
 fn a_record_of_many_jobs_keeps_to_the_conditions_of_a_transaction() {
     let settings = Settings::parse("test", SETTINGS).unwrap();
     let most = CONDITIONS_A_CHANGE * settings.cluster.state.changes();
-    let mut core = core();
-    core.clearance = clearance(1);
+    let mut manager = manager();
+    manager.write_fence = clearance(1);
     for machine in 0..most {
         let name = format!("m-{machine}");
-        report_of(&mut core, &name, 1, None, Vec::new(), 1.0);
+        report_of(&mut manager, &name, 1, None, Vec::new(), 1.0);
     }
     for job in 0..2 * most {
         submit(
-            &mut core,
+            &mut manager,
             &format!("req-{job}"),
             "sweep",
             "normal",
@@ -124,7 +126,7 @@
             job as u64,
         );
     }
-    let (_, transaction) = next_write(&mut core, 1.0).expect("places are recorded");
+    let (_, transaction) = next_write(&mut manager, 1.0).expect("places are recorded");
     assert_eq!(transaction.conditions.len(), most);
 }
 
@@ -137,7 +139,7 @@
 
 fn version_raised() -> Event {
     let failed = vec![VERSION.to_string()];
-    Event::Store(StoreAnswer::Committed(Outcome::Conflict(failed)))
+    Event::Store(StoreAnswer::Committed(CommitOutcome::Conflict(failed)))
 }
 
 fn is_turned_away(effects: &[Effect]) -> bool {
@@ -183,7 +185,7 @@
         matches!(closed[..], [Effect::Store(StoreCall::Read(_))]),
         "{closed:?}"
     );
-    for open in [clearance(2), Clearance::Unstaged] {
+    for open in [clearance(2), WriteFence::Unstaged] {
         let (_, effects) = Request::submission(body.as_bytes(), request_context(open));
         let asks_for_needed = committed(&effects).conditions.iter();
         let keys: Vec<&str> = asks_for_needed.map(|c| c.key.as_str()).collect();
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
 use stairstage::protocol::job::{parse_task, JobSpec};
-use stairstage::protocol::worker::{Command, Report};
+use stairstage::protocol::worker::{Command, Heartbeat};
 use stairstage::settings::policy::Policy;
 use stairstage::settings::Settings;
 
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_report_reads_as_the_protocol_shows_it() {
-    let report: Report = serde_json::from_value(json!({
+    let report: Heartbeat = serde_json::from_value(json!({
         "vessel":"m-000231","endpoint":"10.1.0.232:9000","hull":"g8","berth":"a",
         "driftwood":true,"watch":1,"log_no":88,"helm":41,"recall_s":null,"news":1,
         "legs":[{"leg":"req-000412/3","sailing":2,"status":"running"},
--- a/tests/histories/combinations/cancellations.rs
+++ b/tests/histories/combinations/cancellations.rs
@@ -4,7 +4,7 @@
 use crate::job::JobShape;
 use crate::timed::for_each_seed;
 use crate::world::World;
-use stairstage::protocol::job::Kind;
+use stairstage::protocol::job::JobKind;
 use std::cell::Cell;
 
 #[test]
@@ -60,7 +60,7 @@
             ..JobShape::default()
         });
         world.submit_shape(&JobShape {
-            kind: Kind::Service,
+            kind: JobKind::Service,
             team: "u",
             ..JobShape::default()
         });
@@ -91,9 +91,13 @@
     let cancelled = Cell::new(0);
     for_each_seed(SEEDS, |world| {
         cancelled.set(cancelled.get() + cancel_as_the_leader_is_refused(world));
-        let sessions = world.sessions();
+        let incarnations = world.incarnations();
         outage_longer_than_a_cancellation(world, |_| {});
-        assert_eq!(world.sessions(), sessions, "a worker's lease has ended");
+        assert_eq!(
+            world.incarnations(),
+            incarnations,
+            "a worker's lease has ended"
+        );
         assert_eq!(world.cancelled_on_machines(), 0);
     });
     assert!(cancelled.get() > 0, "nothing that ran was cancelled");
@@ -108,9 +112,13 @@
             true => world.isolate_leader(0.0),
             false => world.peers.restart(0),
         }
-        let sessions = world.sessions();
+        let incarnations = world.incarnations();
         outage_longer_than_a_cancellation(world, |world| world.isolate_leader(0.0));
-        assert_ne!(world.sessions(), sessions, "nobody vouched for the leases");
+        assert_ne!(
+            world.incarnations(),
+            incarnations,
+            "nobody vouched for the leases"
+        );
         assert_eq!(world.cancelled_on_machines(), 0);
     });
     assert!(cancelled.get() > 0, "nothing that ran was cancelled");
--- a/tests/histories/combinations/leaders.rs
+++ b/tests/histories/combinations/leaders.rs
@@ -4,7 +4,7 @@
 use crate::job::JobShape;
 use crate::network::Faults;
 use crate::timed::for_each_seed;
-use stairstage::protocol::job::Kind;
+use stairstage::protocol::job::JobKind;
 
 /// The leader ends, is deposed while it lives on, or loses the state service; some of it in an outage.
 #[test]
@@ -96,7 +96,7 @@
     for_each_seed(SEEDS, |world| {
         for i in 0..8 {
             world.submit_shape(&JobShape {
-                kind: [Kind::Array, Kind::Array, Kind::Gang][i % 3],
+                kind: [JobKind::Array, JobKind::Array, JobKind::Gang][i % 3],
                 tasks: 2 + (i % 2) as u32,
                 run_s: 3.0,
                 stagger_s: 12.0,
@@ -116,7 +116,7 @@
     for_each_seed(SEEDS, |world| {
         for zone in ["z", "y"] {
             let service = world.submit_shape(&JobShape {
-                kind: Kind::Service,
+                kind: JobKind::Service,
                 tasks: 2,
                 zone: Some(zone),
                 ..JobShape::default()
--- a/tests/histories/combinations/machines.rs
+++ b/tests/histories/combinations/machines.rs
@@ -4,7 +4,7 @@
 use crate::job::JobShape;
 use crate::network::Faults;
 use crate::timed::for_each_seed;
-use stairstage::protocol::job::Kind;
+use stairstage::protocol::job::JobKind;
 
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
@@ -20,7 +20,7 @@
                     ..JobShape::default()
                 };
                 world.submit_shape(&shape);
-                let kind = [Kind::Array, Kind::Gang][i % 2];
+                let kind = [JobKind::Array, JobKind::Gang][i % 2];
                 let (one_zone, spread) = (i % 2 == 0, i % 2 == 1);
                 world.submit_shape(&JobShape {
                     kind,
--- a/tests/histories/combinations/messages.rs
+++ b/tests/histories/combinations/messages.rs
@@ -54,7 +54,7 @@
         for _ in 0..4 {
             world.submit_some(3);
             world.run_busy(3.0);
-            // The machines of one zone, or all, lose their lease: copies come from earlier sessions and attempts.
+            // The machines of one zone, or all, lose their lease: copies come from earlier incarnations and attempts.
             match world.chance(0.5) {
                 true => world.cut_zone("y", false),
                 false => world.workers.iter_mut().for_each(|w| w.cut = true),
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -5,11 +5,11 @@
 use super::worker::Worker;
 use super::world::{World, WriteFate};
 use serde_json::json;
-use stairstage::coordination::cluster::{Effect, Ordered, ReportOutcome, Written};
+use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::protocol::cloud::Rent;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
-use stairstage::storage::records::LEADER;
+use stairstage::storage::records::LEADER_KEY;
 
 impl World {
     pub fn worker_named(&self, name: &str) -> Option<usize> {
@@ -17,7 +17,7 @@
     }
 
     /// Delivers direct commands: whether they were executed, and the worker's report.
-    pub fn deliver(&mut self, worker: usize, orders: &Orders) -> Option<(bool, Report)> {
+    pub fn deliver(&mut self, worker: usize, orders: &CommandBatch) -> Option<(bool, Heartbeat)> {
         let (w, now) = (&mut self.workers[worker], self.now);
         if !w.is_up(now) {
             return None;
@@ -39,7 +39,7 @@
         let ids: Vec<u64> = all.map(Leader::id).collect();
         for id in ids {
             while let Some(leader) = self.controller(id) {
-                let effects = leader.core.take_effects();
+                let effects = leader.manager.take_effects();
                 if effects.is_empty() {
                     break;
                 }
@@ -54,31 +54,35 @@
         let now = self.now;
         match effect {
             Effect::Write { id, transaction } => self.write(from, id, transaction),
-            Effect::Orders {
+            Effect::SendCommands {
                 machine, orders, ..
             } => match self.network {
                 Some(_) => self.send_orders(from, &machine, orders),
                 None => self.order_at_once(from, &machine, &orders),
             },
-            Effect::Return(names) => {
+            Effect::ReturnMachines(names) => {
                 let confirmed = !self.cloud_is_down;
                 if confirmed {
                     self.given_back(&names);
                 }
-                self.with_core(from, |core| core.returned(&names, confirmed, now));
+                self.with_core(from, |manager| {
+                    manager.machines_returned(&names, confirmed, now)
+                });
             }
-            Effect::Rent(rent) => {
+            Effect::RentMachines(rent) => {
                 let names = (!self.cloud_is_down).then(|| self.rent(&rent));
-                self.with_core(from, |core| core.rented(&rent.request, names, now));
+                self.with_core(from, |manager| {
+                    manager.machines_rented(&rent.request, names, now)
+                });
             }
             Effect::RaiseToken => {
                 let token = self.raise_token(from);
-                self.with_core(from, |core| core.token_raised(token, now));
+                self.with_core(from, |manager| manager.token_raised(token, now));
             }
-            Effect::Ended { id, state } => self.told(&id, state),
-            Effect::FindEnds(ids) => {
+            Effect::JobEnded { id, state } => self.told(&id, state),
+            Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
-                self.with_core(from, |core| core.found(ends, now));
+                self.with_core(from, |manager| manager.ends_found(ends, now));
             }
         }
     }
@@ -87,18 +91,18 @@
     pub fn with_core(
         &mut self,
         id: u64,
-        act: impl FnOnce(&mut stairstage::coordination::cluster::Core),
+        act: impl FnOnce(&mut stairstage::coordination::manager::ClusterManager),
     ) {
         if let Some(leader) = self.controller(id) {
-            act(&mut leader.core);
+            act(&mut leader.manager);
         }
     }
 
     fn raise_token(&mut self, from: u64) -> Option<u64> {
         let leader = self.controller(from).filter(|l| l.reaches_store)?;
         let txn = Transaction::default()
-            .version(LEADER, leader.core.token)
-            .put(LEADER, json!({"node": "a"}));
+            .version(LEADER_KEY, leader.manager.token)
+            .put(LEADER_KEY, json!({"node": "a"}));
         self.store.commit(&txn).ok()
     }
 
@@ -106,7 +110,9 @@
         let reaches_store = self.controller(from).is_some_and(|l| l.reaches_store);
         if !reaches_store {
             let now = self.now;
-            return self.with_core(from, |core| core.written(id, Written::Refused, now));
+            return self.with_core(from, |manager| {
+                manager.write_finished(id, WriteOutcome::Rejected, now)
+            });
         }
         if self.network.is_some() {
             return self.send_write(from, id, transaction);
@@ -118,14 +124,14 @@
         };
         self.check_size(&transaction, &result);
         let written = match (fate, result) {
-            (WriteFate::Answered, Ok(revision)) => Written::Applied(revision),
+            (WriteFate::Answered, Ok(revision)) => WriteOutcome::Applied(revision),
             _ => self.store.reread(&transaction),
         };
         if fate != WriteFate::Lost {
             self.late.push(transaction);
         }
         let now = self.now;
-        self.with_core(from, |core| core.written(id, written, now));
+        self.with_core(from, |manager| manager.write_finished(id, written, now));
     }
 
     pub fn check_size(&self, transaction: &Transaction, result: &Result<u64, Refusal>) {
@@ -136,26 +142,28 @@
     }
 
     /// Direct commands arrive at once, or not at all.
-    fn order_at_once(&mut self, from: u64, machine: &str, orders: &Orders) {
+    fn order_at_once(&mut self, from: u64, machine: &str, orders: &CommandBatch) {
         let worker = self.worker_named(machine).expect("a machine");
         // A copy of what is carried out may come again later.
         self.held.push((machine.to_string(), orders.clone()));
         let w = &self.workers[worker];
         let result = if self.holding || w.cut || w.deaf || w.hung {
-            Ordered::Unknown
+            CommandOutcome::Unknown
         } else {
             self.ordered(worker, orders)
         };
         let now = self.now;
-        self.with_core(from, |core| core.ordered(&machine.into(), result, now));
+        self.with_core(from, |manager| {
+            manager.commands_answered(&machine.into(), result, now)
+        });
     }
 
     /// Delivers direct commands, and says what their sender hears of it.
-    pub fn ordered(&mut self, worker: usize, orders: &Orders) -> Ordered {
+    pub fn ordered(&mut self, worker: usize, orders: &CommandBatch) -> CommandOutcome {
         match self.deliver(worker, orders) {
-            None => Ordered::NotSent,
-            Some((true, report)) => Ordered::Executed(report),
-            Some((false, report)) => Ordered::Rejected(Some(report)),
+            None => CommandOutcome::NotSent,
+            Some((true, report)) => CommandOutcome::Executed(report),
+            Some((false, report)) => CommandOutcome::Rejected(Some(report)),
         }
     }
 
@@ -204,7 +212,7 @@
         };
         let report = self.workers[i].own_report(sent);
         self.sent.push(report.clone());
-        if let ReportOutcome::Answer(answer) = leader.core.report(&report, sent) {
+        if let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&report, sent) {
             let w = &mut self.workers[i];
             if !answer_lost && !w.deaf && answer.token >= w.token {
                 let started = w.take(&answer, sent, sent);
--- a/tests/histories/job.rs
+++ b/tests/histories/job.rs
@@ -2,7 +2,7 @@
 
 use super::common;
 use serde_json::{json, Value};
-use stairstage::protocol::job::{JobSpec, JobState, Kind};
+use stairstage::protocol::job::{JobKind, JobSpec, JobState};
 use std::collections::BTreeSet;
 
 /// What the users and the workers of a history know of an accepted job.
@@ -32,7 +32,7 @@
     }
 
     pub fn is_service(&self) -> bool {
-        self.spec.kind == Kind::Service
+        self.spec.kind == JobKind::Service
     }
 
     pub fn task_run_s(&self, number: u32) -> f64 {
@@ -40,7 +40,7 @@
     }
 
     pub fn is_gang(&self) -> bool {
-        self.spec.kind == Kind::Gang
+        self.spec.kind == JobKind::Gang
     }
 
     pub fn is_open(&self) -> bool {
@@ -61,7 +61,7 @@
 /// What distinguishes the jobs of a timed history.
 #[derive(Clone, Debug)]
 pub struct JobShape {
-    pub kind: Kind,
+    pub kind: JobKind,
     pub tasks: u32,
     pub run_s: f64,
     pub stagger_s: f64,
@@ -76,7 +76,7 @@
 impl Default for JobShape {
     fn default() -> JobShape {
         JobShape {
-            kind: Kind::Array,
+            kind: JobKind::Array,
             tasks: 1,
             run_s: 10.0,
             stagger_s: 0.0,
@@ -93,9 +93,9 @@
 impl JobShape {
     pub fn submission(&self, id: &str) -> Value {
         let (rig, precedence) = match self.kind {
-            Kind::Array => ("sweep", "normal"),
-            Kind::Gang => ("group", "normal"),
-            Kind::Service => ("standing", "critical"),
+            JobKind::Array => ("sweep", "normal"),
+            JobKind::Gang => ("group", "normal"),
+            JobKind::Service => ("standing", "critical"),
         };
         let mut body = common::submission(id, rig, precedence, self.tasks);
         body["crew"] = json!(self.team);
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -2,12 +2,12 @@
 
 use super::peers::Peers;
 use stairstage::coordination::cluster::cancellation_evidence::CancellationEvidence;
-use stairstage::coordination::cluster::Core;
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Workers;
 
 pub struct Leader {
-    pub core: Core,
+    pub manager: ClusterManager,
     /// Whether it still reaches the state service, and so learns of every confirmed cancellation.
     pub reaches_store: bool,
     /// Whether it reaches the other controllers, and so learns of what they confirm.
@@ -20,9 +20,9 @@
 
 impl Leader {
     /// A leader that has read the records at `now`.
-    pub fn new(core: Core, peers: &Peers, now: f64) -> Leader {
+    pub fn new(manager: ClusterManager, peers: &Peers, now: f64) -> Leader {
         let mut leader = Leader {
-            core,
+            manager,
             reaches_store: true,
             reaches_peers: true,
             evidence: CancellationEvidence::new(peers.names()),
@@ -63,7 +63,7 @@
                 continue;
             };
             for job in &answer.page.jobs {
-                self.core.ended(job, JobState::Cancelled, now);
+                self.manager.job_end_recorded(job, JobState::Cancelled, now);
             }
             self.evidence.peer_answered(&answer);
         }
@@ -76,6 +76,6 @@
 
     /// Tokens of its leadership begin here; no other leadership has the same.
     pub fn id(&self) -> u64 {
-        self.core.first_token()
+        self.manager.first_token()
     }
 }
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -3,7 +3,7 @@
 use super::random::Random;
 use super::worker::RETRY_S;
 use super::world::World;
-use stairstage::coordination::cluster::{Ordered, Written};
+use stairstage::coordination::cluster::{CommandOutcome, WriteOutcome};
 use stairstage::coordination::state::Name;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
@@ -58,22 +58,22 @@
 pub enum Message {
     Command {
         machine: Name,
-        orders: Orders,
+        orders: CommandBatch,
         /// Who still waits for its answer.
         answer_to: Option<u64>,
     },
     CommandAnswer {
         to: u64,
         machine: Name,
-        result: Ordered,
+        result: CommandOutcome,
     },
-    Report(Report),
-    ReportAnswer {
+    Report(Heartbeat),
+    HeartbeatResponse {
         machine: String,
-        session: u64,
-        seq: u64,
+        incarnation: u64,
+        sequence: u64,
         sent: f64,
-        answer: ReportAnswer,
+        answer: HeartbeatResponse,
     },
     Write {
         transaction: Transaction,
@@ -83,8 +83,8 @@
         to: AnswerTo,
         transaction: Transaction,
     },
-    Opened(Box<OpenRecord>, u64),
-    Ended(String, JobState),
+    JobsAccepted(Box<OpenRecord>, u64),
+    JobsEnded(String, JobState),
 }
 
 /// The controller and the number of a write.
@@ -103,7 +103,7 @@
     pub faults: Faults,
     pub random: Random,
     delayed: Vec<Delayed>,
-    kept: Vec<Report>,
+    kept: Vec<Heartbeat>,
 }
 
 impl Network {
@@ -144,7 +144,7 @@
     }
 
     /// Copies of a report that arrive besides itself.
-    pub fn copy(&mut self, report: &Report, now: f64) {
+    pub fn copy(&mut self, report: &Heartbeat, now: f64) {
         if self.random.chance(self.faults.copied_reports) {
             let copy = Message::Report(report.clone());
             self.send_within(now, LATE_REPORT_S, copy);
@@ -155,7 +155,7 @@
     }
 
     /// Whether a report is held up; then it arrives late.
-    pub fn holds(&mut self, report: &Report, now: f64) -> bool {
+    pub fn holds(&mut self, report: &Heartbeat, now: f64) -> bool {
         let held = self.random.chance(self.faults.held_reports);
         if held {
             let late = Message::Report(report.clone());
@@ -194,8 +194,8 @@
     pub fn job_is_news(&mut self, record: OpenRecord, version: u64) {
         let now = self.now;
         match &mut self.network {
-            Some(network) => network.news(now, Message::Opened(Box::new(record), version)),
-            None => self.news_arrives(|core| core.job_opened(record, version, 0, now)),
+            Some(network) => network.news(now, Message::JobsAccepted(Box::new(record), version)),
+            None => self.news_arrives(|manager| manager.job_accepted(record, version, 0, now)),
         }
     }
 
@@ -203,16 +203,18 @@
         let now = self.now;
         let state = JobState::Cancelled;
         match &mut self.network {
-            Some(network) => network.news(now, Message::Ended(id.to_string(), state)),
-            None => self.news_arrives(|core| core.ended(id, state, now)),
+            Some(network) => network.news(now, Message::JobsEnded(id.to_string(), state)),
+            None => self.news_arrives(|manager| manager.job_end_recorded(id, state, now)),
         }
     }
 
     /// Sends direct commands; the way there, or back, may be interrupted.
-    pub fn send_orders(&mut self, from: u64, machine: &Name, orders: Orders) {
+    pub fn send_orders(&mut self, from: u64, machine: &Name, orders: CommandBatch) {
         let now = self.now;
         let Some(i) = self.worker_named(machine) else {
-            return self.with_core(from, |core| core.ordered(machine, Ordered::NotSent, now));
+            return self.with_core(from, |manager| {
+                manager.commands_answered(machine, CommandOutcome::NotSent, now)
+            });
         };
         let faults = self.net().faults;
         let late = self.net().random.chance(faults.late_commands);
@@ -238,14 +240,16 @@
         } else {
             let result = self.ordered(i, &orders);
             if !answer_lost {
-                return self.with_core(from, |core| core.ordered(machine, result, now));
+                return self.with_core(from, |manager| {
+                    manager.commands_answered(machine, result, now)
+                });
             }
         }
         let machine = machine.clone();
         let timeout = Message::CommandAnswer {
             to: from,
             machine,
-            result: Ordered::Unknown,
+            result: CommandOutcome::Unknown,
         };
         self.net().send(now + COMMAND_TIMEOUT_S, timeout);
     }
@@ -289,12 +293,14 @@
         let result = self.store.commit(&transaction);
         self.check_size(&transaction, &result);
         let written = match result {
-            Ok(revision) => Written::Applied(revision),
+            Ok(revision) => WriteOutcome::Applied(revision),
             Err(_) => self.store.reread(&transaction),
         };
         let now = self.now;
         if let Some(to) = answer {
-            self.with_core(to.leader, |core| core.written(to.write, written, now));
+            self.with_core(to.leader, |manager| {
+                manager.write_finished(to.write, written, now)
+            });
         }
     }
 
@@ -319,22 +325,25 @@
                 to,
                 machine,
                 result,
-            } => self.with_core(to, |core| core.ordered(&machine, result, now)),
+            } => self.with_core(to, |manager| {
+                manager.commands_answered(&machine, result, now)
+            }),
             Message::Report(report) => {
                 for leader in self.leader.iter_mut().chain(&mut self.formers) {
-                    leader.core.report(&report, now);
+                    leader.manager.heartbeat(&report, now);
                 }
             }
-            Message::ReportAnswer {
+            Message::HeartbeatResponse {
                 machine,
-                session,
-                seq,
+                incarnation,
+                sequence,
                 sent,
                 answer,
             } => {
                 let i = self.worker_named(&machine).expect("it has reported");
                 let w = &self.workers[i];
-                let awaited = w.session == session && w.awaited.is_some_and(|a| a.seq == seq);
+                let awaited = w.incarnation == incarnation
+                    && w.awaited.is_some_and(|a| a.sequence == sequence);
                 if awaited && !w.hung && w.is_up(now) {
                     self.accept_answer(i, &answer, sent);
                 }
@@ -345,29 +354,39 @@
             } => self.carry_out_write(transaction, answer),
             Message::NoWriteAnswer { to, transaction } => {
                 let written = self.store.reread(&transaction);
-                self.with_core(to.leader, |core| core.written(to.write, written, now));
+                self.with_core(to.leader, |manager| {
+                    manager.write_finished(to.write, written, now)
+                });
             }
-            Message::Opened(record, version) => self.news_arrives(|core| {
-                core.job_opened(*record, version, 0, now);
+            Message::JobsAccepted(record, version) => self.news_arrives(|manager| {
+                manager.job_accepted(*record, version, 0, now);
             }),
-            Message::Ended(id, state) => self.news_arrives(|core| core.ended(&id, state, now)),
+            Message::JobsEnded(id, state) => {
+                self.news_arrives(|manager| manager.job_end_recorded(&id, state, now))
+            }
         }
     }
 
     /// News of jobs comes from the state service.
-    fn news_arrives(&mut self, tell: impl FnOnce(&mut stairstage::coordination::cluster::Core)) {
+    fn news_arrives(
+        &mut self,
+        tell: impl FnOnce(&mut stairstage::coordination::manager::ClusterManager),
+    ) {
         if let Some(leader) = self.leader.as_mut().filter(|l| l.reaches_store) {
-            tell(&mut leader.core);
+            tell(&mut leader.manager);
         }
     }
 
-    fn command_arrives(&mut self, machine: &Name, orders: Orders, answer_to: Option<u64>) {
+    fn command_arrives(&mut self, machine: &Name, orders: CommandBatch, answer_to: Option<u64>) {
         let now = self.now;
         let i = self.worker_named(machine).expect("a machine");
         let w = &mut self.workers[i];
         let (result, delay_s) = if w.hung || w.cut {
             w.held.push(orders);
-            (Ordered::Unknown, (COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S))
+            (
+                CommandOutcome::Unknown,
+                (COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S),
+            )
         } else {
             (self.ordered(i, &orders), SLOW_COMMAND_S)
         };
@@ -383,7 +402,7 @@
     }
 
     /// A worker takes the answer to its last report.
-    pub fn accept_answer(&mut self, i: usize, answer: &ReportAnswer, sent: f64) {
+    pub fn accept_answer(&mut self, i: usize, answer: &HeartbeatResponse, sent: f64) {
         let now = self.now;
         let w = &mut self.workers[i];
         w.awaited = None;
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -7,7 +7,7 @@
 use super::world::{World, WriteFate};
 use proptest::prelude::*;
 use serde_json::json;
-use stairstage::coordination::cluster::{Effect, ReportOutcome};
+use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::protocol::worker::*;
 
 /// Jobs that a history may submit.
@@ -191,8 +191,8 @@
             }
             self.pass(0.0);
             let now = self.now;
-            self.core().tick(now);
-            self.core().step(now);
+            self.manager().tick(now);
+            self.manager().step(now);
             self.effects();
         }
     }
@@ -203,14 +203,14 @@
         let (sent, w) = (self.now, &mut self.workers[i]);
         let speaks = !w.gone && !w.cut && !w.hung && !w.mute;
         let report = speaks.then(|| w.own_report(sent));
-        let heard = report.as_ref().map(|r| self.core().report(r, sent));
-        self.core().step(sent);
-        let decided = self.core().take_effects();
+        let heard = report.as_ref().map(|r| self.manager().heartbeat(r, sent));
+        self.manager().step(sent);
+        let decided = self.manager().take_effects();
         self.pass(seconds);
         self.elect();
-        if let (Some(report), Some(ReportOutcome::Answer(answer))) = (report, heard) {
+        if let (Some(report), Some(HeartbeatOutcome::Answer(answer))) = (report, heard) {
             let w = &mut self.workers[i];
-            let taken = answer.token >= w.token && report.session == w.session;
+            let taken = answer.token >= w.token && report.incarnation == w.incarnation;
             if taken && seconds < ANSWER_TIMEOUT_S && !w.gone && !w.deaf {
                 let started = w.take(&answer, sent, self.now);
                 self.check_starts(i, &started);
@@ -222,7 +222,7 @@
                     let late = self.store.commit(&transaction);
                     assert!(late.is_err(), "a former leader's write is applied");
                 }
-                Effect::Orders {
+                Effect::SendCommands {
                     machine, orders, ..
                 } => {
                     let worker = self.worker_named(&machine).expect("a machine");
@@ -231,7 +231,7 @@
                         self.deliver(worker, &orders);
                     }
                 }
-                Effect::Return(names) => self.given_back(&names),
+                Effect::ReturnMachines(names) => self.given_back(&names),
                 _ => {}
             }
         }
@@ -242,7 +242,7 @@
             Step::Pass(tenths) => {
                 self.pass(f64::from(tenths) / 10.0);
                 let now = self.now;
-                self.core().tick(now);
+                self.manager().tick(now);
             }
             Step::Report {
                 worker,
@@ -263,7 +263,7 @@
                 if !self.sent.is_empty() {
                     let copy = self.sent[n as usize * 7 % self.sent.len()].clone();
                     let now = self.now;
-                    self.core().report(&copy, now);
+                    self.manager().heartbeat(&copy, now);
                 }
             }
             Step::LateWrite(n) => {
@@ -351,7 +351,7 @@
             Step::Promise => {
                 self.formers.clear();
                 let now = self.now;
-                self.core().promised(now);
+                self.manager().peers_promised(now);
             }
             Step::Isolate { tenths } => self.isolate_leader(f64::from(tenths) / 10.0),
             Step::TellFormers => self.tell_formers(),
@@ -360,7 +360,7 @@
             Step::Hang { worker, on: false } => self.resume(worker as usize),
         }
         let now = self.now;
-        self.core().step(now);
+        self.manager().step(now);
         self.effects();
     }
 
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -6,14 +6,14 @@
 use super::settings::machine_types;
 use super::worker::{AwaitedAnswer, Worker, ANSWER_TIMEOUT_S, RETRY_S};
 use super::world::World;
-use stairstage::coordination::cluster::{Effect, ReportOutcome};
+use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
-use stairstage::protocol::job::Kind;
-use stairstage::protocol::worker::{Command, Orders};
+use stairstage::protocol::job::JobKind;
+use stairstage::protocol::worker::{Command, CommandBatch};
 
 /// Seconds between two moments at which anything happens.
 const TICK_S: f64 = 0.25;
-/// Report intervals differ by up to this share.
+/// Heartbeat intervals differ by up to this share.
 const REPORT_SPREAD: f64 = 0.25;
 /// Seconds between slower decisions of the leader, and between two lists of machines, in ticks.
 const TICKS_A_DECISION: u64 = 4;
@@ -172,18 +172,18 @@
             return;
         };
         if let Some(list) = list {
-            leader.core.listed(&list, now);
+            leader.manager.machines_listed(&list, now);
         }
         if tick % TICKS_A_DECISION == 0 {
-            leader.core.tick(now);
+            leader.manager.tick(now);
         }
         let pause_s = self.settings.cluster.workers.report_s / PEER_QUERIES;
         leader.ask_peers(&self.peers, now, pause_s);
         if leader.reaches_store {
             leader.records_read(known_until);
         }
-        leader.core.step(now);
-        let deposed = leader.core.deposed;
+        leader.manager.step(now);
+        let deposed = leader.manager.deposed;
         self.let_formers_decide();
         let workers = &self.settings.cluster.workers;
         self.formers.retain(|l| l.may_renew(now, workers));
@@ -200,11 +200,11 @@
             let Some(former) = self.controller(id) else {
                 continue;
             };
-            former.core.step(now);
-            for effect in former.core.take_effects() {
+            former.manager.step(now);
+            for effect in former.manager.take_effects() {
                 match &effect {
                     Effect::Write { .. } => panic!("a former leader writes: {effect:?}"),
-                    Effect::Orders { orders, .. } => {
+                    Effect::SendCommands { orders, .. } => {
                         let stops = |c: &Command| matches!(c, Command::Stop { .. });
                         let only_stops = orders.commands.iter().all(stops);
                         assert!(only_stops, "a former leader acts: {orders:?}");
@@ -258,10 +258,10 @@
         let report = w.own_report(now);
         w.next_report = now + report_s * spread;
         let awaited = AwaitedAnswer {
-            seq: report.seq,
+            sequence: report.sequence,
             sent: now,
         };
-        let (deaf, session) = (w.deaf, w.session);
+        let (deaf, incarnation) = (w.deaf, w.incarnation);
         let Some(hears) = self.hearer(i) else {
             self.workers[i].next_report = now + RETRY_S;
             return;
@@ -272,8 +272,8 @@
             return;
         }
         let leader = self.controller(hears).expect("it hears");
-        let in_doubt = now >= leader.core.valid_until;
-        let ReportOutcome::Answer(answer) = leader.core.report(&report, now) else {
+        let in_doubt = now >= leader.manager.lease_valid_until;
+        let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&report, now) else {
             self.workers[i].next_report = now + RETRY_S;
             return;
         };
@@ -286,10 +286,10 @@
         match self.net().answer_delay_s() {
             Some(0.0) if !deaf => self.accept_answer(i, &answer, now),
             Some(delay_s) if !deaf => {
-                let message = super::network::Message::ReportAnswer {
+                let message = super::network::Message::HeartbeatResponse {
                     machine: report.machine,
-                    session,
-                    seq: report.seq,
+                    incarnation,
+                    sequence: report.sequence,
                     sent: now,
                     answer,
                 };
@@ -363,7 +363,7 @@
     }
 
     /// What was held up arrives in order; nobody waits for its answer any more.
-    fn hand_out(&mut self, i: usize, held: &[Orders]) {
+    fn hand_out(&mut self, i: usize, held: &[CommandBatch]) {
         for orders in held {
             self.deliver(i, orders);
         }
@@ -394,7 +394,7 @@
         while self.now < until
             && !self
                 .store
-                .under(stairstage::storage::records::OPEN)
+                .under(stairstage::storage::records::OPEN_PREFIX)
                 .is_empty()
         {
             self.run_for(1.0);
@@ -415,7 +415,12 @@
     pub fn some_shape(&mut self) -> JobShape {
         let random = &mut self.net().random;
         let zones = [None, None, Some("z"), Some("y")];
-        let kind = [Kind::Array, Kind::Array, Kind::Gang, Kind::Service][random.below(4)];
+        let kind = [
+            JobKind::Array,
+            JobKind::Array,
+            JobKind::Gang,
+            JobKind::Service,
+        ][random.below(4)];
         JobShape {
             kind,
             tasks: 1 + random.below(4) as u32,
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -9,7 +9,7 @@
 pub const ANSWER_TIMEOUT_S: f64 = 4.0;
 pub const RETRY_S: f64 = 1.0;
 /// A worker sends no two reports within this time.
-const LEAST_REPORT_PAUSE_S: f64 = 0.5;
+const MIN_REPORT_PAUSE_S: f64 = 0.5;
 
 #[derive(Clone)]
 pub struct TaskOnWorker {
@@ -21,7 +21,7 @@
 /// A report that its worker waits to have answered.
 #[derive(Clone, Copy)]
 pub struct AwaitedAnswer {
-    pub seq: u64,
+    pub sequence: u64,
     pub sent: f64,
 }
 
@@ -32,8 +32,8 @@
     pub spot: bool,
     /// When it is up, and its worker begins to report.
     pub up_at: f64,
-    pub session: u64,
-    pub seq: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     /// By task and attempt.
     pub tasks: BTreeMap<(String, u64), TaskOnWorker>,
@@ -48,7 +48,7 @@
     pub hung: bool,
     pub gone: bool,
     /// Direct commands that arrive once it runs again, or is no longer cut off.
-    pub held: Vec<Orders>,
+    pub held: Vec<CommandBatch>,
     pub next_report: f64,
     last_report: f64,
     pub awaited: Option<AwaitedAnswer>,
@@ -62,8 +62,8 @@
             zone: "z",
             spot: false,
             up_at: now,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
             renewed: now,
@@ -82,8 +82,8 @@
 
     /// Its process ended and is back at once, with fresh counters and without tasks.
     pub fn restart(&mut self, now: f64) {
-        self.session = 1;
-        self.seq = 0;
+        self.incarnation = 1;
+        self.sequence = 0;
         self.token = 0;
         self.tasks.clear();
         self.renewed = now;
@@ -102,7 +102,7 @@
     /// Its lease is over: it has killed and forgotten every task. One that hangs does so before
     /// anything else once it runs again; until then its tasks stand still for good.
     pub fn expire(&mut self, now: f64) {
-        self.session += 1;
+        self.incarnation += 1;
         self.tasks.clear();
         self.awaited = None;
         self.renewed = if self.hung { f64::INFINITY } else { now };
@@ -110,7 +110,7 @@
     }
 
     /// It runs again; what was held back meanwhile is handed out.
-    pub fn resume(&mut self, now: f64) -> Vec<Orders> {
+    pub fn resume(&mut self, now: f64) -> Vec<CommandBatch> {
         self.hung = false;
         if self.renewed == f64::INFINITY {
             self.renewed = now;
@@ -121,44 +121,44 @@
 
     /// Something has changed, which it reports soon.
     pub fn report_change(&mut self, now: f64) {
-        let soon = now.max(self.last_report + LEAST_REPORT_PAUSE_S);
+        let soon = now.max(self.last_report + MIN_REPORT_PAUSE_S);
         self.next_report = self.next_report.min(soon);
     }
 
     /// Takes an answer to the report that it sent then; returns the tasks that started.
-    pub fn take(&mut self, answer: &ReportAnswer, sent: f64, now: f64) -> Vec<String> {
+    pub fn take(&mut self, answer: &HeartbeatResponse, sent: f64, now: f64) -> Vec<String> {
         self.token = answer.token;
         self.renewed = sent;
         self.run(&answer.commands, now)
     }
 
     /// Whether it executes direct commands.
-    pub fn accepts(&self, orders: &Orders) -> bool {
-        orders.token >= self.token && orders.session == self.session
+    pub fn accepts(&self, orders: &CommandBatch) -> bool {
+        orders.token >= self.token && orders.incarnation == self.incarnation
     }
 
     /// A report of its own; one that answers a direct command has a later number too.
-    pub fn own_report(&mut self, now: f64) -> Report {
+    pub fn own_report(&mut self, now: f64) -> Heartbeat {
         self.last_report = now;
         self.report()
     }
 
-    pub fn report(&mut self) -> Report {
-        self.seq += 1;
-        Report {
+    pub fn report(&mut self) -> Heartbeat {
+        self.sequence += 1;
+        Heartbeat {
             machine: self.name.clone(),
             endpoint: "127.0.0.1:9".into(),
             kind: self.kind.into(),
             zone: self.zone.into(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     state: t.state,
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -9,7 +9,7 @@
 use super::tasks::GangRun;
 use super::worker::Worker;
 use serde_json::{json, Value};
-use stairstage::coordination::cluster::Core;
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
@@ -46,9 +46,9 @@
     /// The state service is down for all.
     pub store_is_down: bool,
     /// Every report that was sent, and transactions that may be carried out late.
-    pub sent: Vec<Report>,
+    pub sent: Vec<Heartbeat>,
     pub late: Vec<Transaction>,
-    pub held: Vec<(String, Orders)>,
+    pub held: Vec<(String, CommandBatch)>,
     pub holding: bool,
     pub next_write: WriteFate,
     pub jobs: BTreeMap<String, Job>,
@@ -93,15 +93,15 @@
         if let Some(lease_end) = self.isolated_until() {
             self.pass((lease_end - self.now).max(0.0));
         }
-        let txn = Transaction::default().put(LEADER, json!({"node": "a"}));
+        let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
-        let mut core = Core::new(self.settings.clone(), token, self.now);
-        core.set_types(self.types.clone());
-        core.valid_until = f64::INFINITY;
-        core.recover(self.store.records(), 0, self.now);
-        let leader = Leader::new(core, &self.peers, self.now);
+        let mut manager = ClusterManager::new(self.settings.clone(), token, self.now);
+        manager.set_machine_types(self.types.clone());
+        manager.lease_valid_until = f64::INFINITY;
+        manager.recover(self.store.records(), 0, self.now);
+        let leader = Leader::new(manager, &self.peers, self.now);
         if let Some(mut former) = self.leader.replace(leader) {
-            former.core.valid_until = former.core.valid_until.min(self.now);
+            former.manager.lease_valid_until = former.manager.lease_valid_until.min(self.now);
             former.cut_off(self.known_until());
             self.formers.push(former);
         }
@@ -113,7 +113,7 @@
     /// When the lease of a leader is over that has lost the state service.
     fn isolated_until(&self) -> Option<f64> {
         let isolated = self.leader.as_ref().filter(|l| !l.reaches_store);
-        isolated.map(|l| l.core.valid_until)
+        isolated.map(|l| l.manager.lease_valid_until)
     }
 
     /// The leader loses the state service and the other controllers; its lease goes on for a while.
@@ -129,7 +129,7 @@
         let (known_until, now) = (self.known_until(), self.now);
         if let Some(leader) = self.leader.as_mut().filter(|l| l.reaches_store) {
             leader.lose_store(known_until);
-            leader.core.valid_until = now + lease_s;
+            leader.manager.lease_valid_until = now + lease_s;
         }
     }
 
@@ -147,9 +147,11 @@
         let cancelled = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_some());
         for former in &mut self.formers {
             for (id, _) in cancelled.clone() {
-                former.core.ended(id, JobState::Cancelled, self.now);
+                former
+                    .manager
+                    .job_end_recorded(id, JobState::Cancelled, self.now);
             }
-            former.core.take_effects();
+            former.manager.take_effects();
             former.records_read(self.now);
         }
     }
@@ -160,8 +162,8 @@
         all.find(|l| l.id() == id)
     }
 
-    pub fn core(&mut self) -> &mut Core {
-        &mut self.leader.as_mut().expect("somebody leads").core
+    pub fn manager(&mut self) -> &mut ClusterManager {
+        &mut self.leader.as_mut().expect("somebody leads").manager
     }
 
     pub fn is_complete(&self, job: &str) -> bool {
@@ -273,16 +275,16 @@
         jobs.filter(|j| j.cancelled_at.is_some()).count()
     }
 
-    /// The sessions of all workers: one that goes on shows that a lease has ended.
-    pub fn sessions(&self) -> Vec<u64> {
-        self.workers.iter().map(|w| w.session).collect()
+    /// The incarnations of all workers: one that goes on shows that a lease has ended.
+    pub fn incarnations(&self) -> Vec<u64> {
+        self.workers.iter().map(|w| w.incarnation).collect()
     }
 
     /// Every job has come to its end: done, or cancelled if somebody asked for that.
     pub fn check_ends(&self) {
-        let open = self.store.under(OPEN);
+        let open = self.store.under(OPEN_PREFIX);
         let id = |key: &str| {
-            key.strip_prefix(OPEN)
+            key.strip_prefix(OPEN_PREFIX)
                 .expect("the key of a job")
                 .to_string()
         };
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -10,15 +10,15 @@
 use crossbeam::channel::bounded;
 use serde_json::json;
 use stairstage::coordination::cluster::recovery::Records;
-use stairstage::coordination::cluster::{Effect, Ordered};
-use stairstage::protocol::store::Item;
+use stairstage::coordination::cluster::{CommandOutcome, Effect};
+use stairstage::protocol::store::VersionedValue;
 use stairstage::protocol::worker::*;
 use stairstage::service::cloud_calls::Cloud;
 use stairstage::service::messages::Message;
 use stairstage::service::record_reader::RecordReader;
 use stairstage::settings::Settings;
-use stairstage::storage::key_value_store::Store as StoreClient;
-use stairstage::storage::records::{OpenRecord, OPEN};
+use stairstage::storage::key_value_store::KeyValueStore as StoreClient;
+use stairstage::storage::records::{OpenRecord, OPEN_PREFIX};
 use stairstage::transport::front::{self, Bounds, Call};
 use stairstage::transport::runtime::Runtime;
 use stairstage::transport::Reply;
@@ -52,25 +52,25 @@
 
 fn costs(fleet: FullFleet) -> Costs {
     let FullFleet {
-        mut core,
+        mut manager,
         mut tasks,
         largest,
         now,
         ..
     } = fleet;
-    let (report_looks, report_bytes) = reports_without_news(&mut core, &tasks, now);
-    let looks = core.looks();
+    let (report_looks, report_bytes) = reports_without_news(&mut manager, &tasks, now);
+    let looks = manager.machines_examined();
     for (i, here) in tasks.iter_mut().enumerate().skip(100).take(20) {
         here[0].state = TaskState::Exited;
         here[0].cause = Some(Cause::Done);
-        report_of(&mut core, &format!("m-{i}"), 3, None, here.clone(), now);
-        core.step(now);
-        core.take_effects();
+        report_of(&mut manager, &format!("m-{i}"), 3, None, here.clone(), now);
+        manager.step(now);
+        manager.take_effects();
     }
     Costs {
         report_looks,
         report_bytes,
-        end_looks: core.looks() - looks,
+        end_looks: manager.machines_examined() - looks,
         largest,
     }
 }
@@ -111,7 +111,7 @@
 /// Half of the fleet falls silent; the others report every two seconds. Returns the machines that are
 /// given back within 20 s, and the most direct commands that were under way without an answer.
 fn lose_half(fleet: &mut FullFleet) -> (BTreeSet<usize>, usize) {
-    let (core, tasks) = (&mut fleet.core, &fleet.tasks);
+    let (manager, tasks) = (&mut fleet.manager, &fleet.tasks);
     let half = tasks.len() / 2;
     let mut returned = BTreeSet::new();
     let mut unanswered: Vec<(f64, String)> = Vec::new();
@@ -119,24 +119,31 @@
     for tick in 1..=40 {
         let now = fleet.now + f64::from(tick) / 2.0;
         for i in (0..half).filter(|i| i % 4 == tick as usize % 4) {
-            let seq = 10 + u64::from(tick as u32);
-            report_of(core, &format!("m-{i}"), seq, None, tasks[i].clone(), now);
+            let sequence = 10 + u64::from(tick as u32);
+            report_of(
+                manager,
+                &format!("m-{i}"),
+                sequence,
+                None,
+                tasks[i].clone(),
+                now,
+            );
         }
         // A machine that hangs holds its command's connection for a second and a half.
         let (over, waits): (Vec<_>, Vec<_>) =
             unanswered.drain(..).partition(|(at, _)| now > at + 1.5);
         unanswered = waits;
         for (_, machine) in over {
-            core.ordered(&machine.as_str().into(), Ordered::Unknown, now);
+            manager.commands_answered(&machine.as_str().into(), CommandOutcome::Unknown, now);
         }
-        core.tick(now);
-        carry_out(core, now, |core, effect| match effect {
-            Effect::Orders { machine, .. } => unanswered.push((now, machine.to_string())),
-            Effect::Return(names) => {
+        manager.tick(now);
+        carry_out(manager, now, |manager, effect| match effect {
+            Effect::SendCommands { machine, .. } => unanswered.push((now, machine.to_string())),
+            Effect::ReturnMachines(names) => {
                 returned.extend(names.iter().map(|n| machine_number(n)));
                 // Commands to what is gone end with it.
                 unanswered.retain(|(_, machine)| !names.contains(machine));
-                core.returned(&names, true, now);
+                manager.machines_returned(&names, true, now);
             }
             _ => {}
         });
@@ -164,14 +171,14 @@
 
 /// The records that a leader of a full fleet leaves to the next one.
 fn records_of(fleet: &FullFleet) -> Records {
-    let item = |key: String, value, version| Item {
+    let item = |key: String, value, version| VersionedValue {
         key,
         value,
         version,
     };
     let open = (0..fleet.tasks.len() as u32).map(|i| {
         let value = serde_json::to_value(job_of_machine(i)).unwrap();
-        item(format!("{OPEN}req-{i}"), value, u64::from(i) + 1)
+        item(format!("{OPEN_PREFIX}req-{i}"), value, u64::from(i) + 1)
     });
     let places = fleet.places.iter();
     Records {
@@ -196,18 +203,18 @@
     // All come within a report interval, as after a restart of all controllers.
     for (i, tasks) in fleet.tasks.iter().enumerate() {
         let now = 2.0 * i as f64 / fleet.tasks.len() as f64;
-        for (seq, seen) in [(3, 1), (4, token)] {
-            let report = worker_report(&format!("m-{i}"), seq, seen, tasks.clone());
+        for (sequence, seen) in [(3, 1), (4, token)] {
+            let report = worker_report(&format!("m-{i}"), sequence, seen, tasks.clone());
             launched += answered(&mut next, &report, now).len();
         }
         if i % 500 == 0 {
-            carry_out(&mut next, now, |core, effect| {
-                if let Effect::Orders {
+            carry_out(&mut next, now, |manager, effect| {
+                if let Effect::SendCommands {
                     machine, orders, ..
                 } = effect
                 {
                     launched += starts(&orders.commands).len();
-                    core.ordered(&machine, Ordered::Unknown, now);
+                    manager.commands_answered(&machine, CommandOutcome::Unknown, now);
                 }
             });
         }
@@ -225,7 +232,7 @@
     for i in 0..LARGEST {
         state.revision += 1;
         let record = (json!(job_of_machine(i)), state.revision, None);
-        state.keys.insert(format!("{OPEN}req-{i}"), record);
+        state.keys.insert(format!("{OPEN_PREFIX}req-{i}"), record);
     }
     let state = Mutex::new(state);
     // Each watch finds that it has fallen behind.
@@ -247,8 +254,10 @@
     let mut opened: Option<Vec<(OpenRecord, u64)>> = None;
     for message in &messages {
         match message {
-            Message::Loaded { records, .. } => assert_eq!(records.open.len(), LARGEST as usize),
-            Message::Opened(jobs) => opened = Some(jobs),
+            Message::RecordsLoaded { records, .. } => {
+                assert_eq!(records.open.len(), LARGEST as usize)
+            }
+            Message::JobsAccepted(jobs) => opened = Some(jobs),
             Message::RecordsRead { .. } => break,
             _ => panic!("nothing else is read"),
         }
--- a/tests/lookups.rs
+++ b/tests/lookups.rs
@@ -8,9 +8,9 @@
 use stairstage::coordination::requests::{self, Event, Request, StoreAnswer, StoreCall};
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Settings;
-use stairstage::storage::key_value_store::Outcome;
+use stairstage::storage::key_value_store::CommitOutcome;
 use stairstage::storage::records::{end_key, open_key, OpenRecord};
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 
 fn settings() -> Settings {
     Settings::parse("test", SETTINGS).unwrap()
@@ -143,7 +143,7 @@
     batcher.ask(1, poll("req-1"), 0.0);
     batcher.ask(2, poll("req-2"), 0.0);
     batcher.next(0.0);
-    let present = Outcome::Conflict(vec![end_key("req-1"), end_key("req-2")]);
+    let present = CommitOutcome::Conflict(vec![end_key("req-1"), end_key("req-2")]);
     assert!(batcher.on(StoreAnswer::Committed(present), 0.0).is_empty());
     let lists = batcher.next(0.1);
     let [Effect::Store(StoreCall::List {
@@ -172,7 +172,7 @@
     let mut batcher = batcher();
     assert!(batcher.ask(1, poll("req-1"), 0.0).is_empty());
     assert!(matches!(batcher.next(0.0)[..], [Effect::Store(_)]));
-    let refused = StoreAnswer::Committed(Outcome::Refused);
+    let refused = StoreAnswer::Committed(CommitOutcome::Refused);
     assert!(is_handed_on(&batcher.on(refused, 0.01), 1));
     assert!(is_handed_on(&batcher.ask(2, poll("req-2"), 0.5), 2));
     assert!(batcher.ask(3, poll("req-3"), 1.5).is_empty());
@@ -184,7 +184,7 @@
     let mut batcher = batcher();
     batcher.ask(1, poll("req-1"), 0.0);
     batcher.next(0.0);
-    let limited = StoreAnswer::Committed(Outcome::Limited);
+    let limited = StoreAnswer::Committed(CommitOutcome::Limited);
     assert!(batcher.on(limited, 0.01).is_empty());
     assert!(matches!(batcher.next(0.2)[..], [Effect::Store(_)]));
 }
@@ -193,8 +193,8 @@
 fn what_is_beyond_the_limit_of_the_state_service_is_not_asked_of_other_nodes() {
     let body = submission("req-1", "sweep", "normal", 4).to_string();
     let (mut request, _) =
-        Request::submission(body.as_bytes(), request_context(Clearance::Unstaged));
-    let limited = Event::Store(StoreAnswer::Committed(Outcome::Limited));
+        Request::submission(body.as_bytes(), request_context(WriteFence::Unstaged));
+    let limited = Event::Store(StoreAnswer::Committed(CommitOutcome::Limited));
     let told = request.on(limited);
     let turned_away = matches!(&told[..], [requests::Effect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some());
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -4,7 +4,8 @@
 mod common;
 
 use common::*;
-use stairstage::coordination::cluster::{Core, Effect, Written};
+use stairstage::coordination::cluster::{Effect, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::*;
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
@@ -14,9 +15,9 @@
 
 /// A fleet whose tasks fail when their machine next reports, or run on.
 struct Fleet {
-    core: Core,
-    tasks: BTreeMap<String, Vec<TaskReport>>,
-    seq: u64,
+    manager: ClusterManager,
+    tasks: BTreeMap<String, Vec<TaskStatus>>,
+    sequence: u64,
     now: f64,
     launches: usize,
     changes: usize,
@@ -27,11 +28,11 @@
 impl Fleet {
     fn new() -> Fleet {
         let mut fleet = Fleet {
-            core: core(),
+            manager: manager(),
             tasks: (0..MACHINES)
                 .map(|i| (format!("m-{i:02}"), Vec::new()))
                 .collect(),
-            seq: 1,
+            sequence: 1,
             now: 0.0,
             launches: 0,
             changes: 0,
@@ -41,15 +42,15 @@
         fleet
     }
 
-    fn open(&mut self, id: &str, tasks: u32, seq: u64) {
+    fn open(&mut self, id: &str, tasks: u32, sequence: u64) {
         let spec = parsed(&submission(id, "sweep", "normal", tasks));
         let record = OpenRecord::accepted(spec, 0);
-        self.core.job_opened(record, seq, 0, self.now);
+        self.manager.job_accepted(record, sequence, 0, self.now);
     }
 
     /// All machines report; tasks of which `fails` holds have failed since the last time.
     fn report(&mut self, fails: impl Fn(&str) -> bool) {
-        self.seq += 1;
+        self.sequence += 1;
         for (machine, tasks) in &mut self.tasks {
             for task in tasks.iter_mut() {
                 task.state = TaskState::Running;
@@ -59,9 +60,9 @@
                 }
             }
             let answer = report_of(
-                &mut self.core,
+                &mut self.manager,
                 machine,
-                self.seq,
+                self.sequence,
                 None,
                 tasks.clone(),
                 self.now,
@@ -76,13 +77,13 @@
         let (tasks, launches, changes) = (&mut self.tasks, &mut self.launches, &mut self.changes);
         for half in 0..4 {
             let at = self.now + f64::from(half) / 2.0;
-            self.core.tick(at);
-            each_effect(&mut self.core, at, |core, effect| match effect {
+            self.manager.tick(at);
+            each_effect(&mut self.manager, at, |manager, effect| match effect {
                 Effect::Write { id, transaction } => {
                     *changes += transaction.changes.len();
-                    core.written(id, Written::Applied(100 + id), at);
+                    manager.write_finished(id, WriteOutcome::Applied(100 + id), at);
                 }
-                Effect::Orders {
+                Effect::SendCommands {
                     machine, orders, ..
                 } => {
                     let started = starts(&orders.commands);
@@ -90,7 +91,7 @@
                     let here = tasks.get_mut(&*machine).unwrap();
                     here.extend(shown(&started, TaskState::Fetching, None));
                 }
-                Effect::Return(names) => panic!("healthy machines go back: {names:?}"),
+                Effect::ReturnMachines(names) => panic!("healthy machines go back: {names:?}"),
                 _ => {}
             });
         }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -8,8 +8,8 @@
     Context, Effect, Event, Located, Request, StoreAnswer, StoreCall,
 };
 use stairstage::settings::{Peer, Settings};
-use stairstage::storage::key_value_store::Outcome;
-use stairstage_upgrade::fence::Clearance;
+use stairstage::storage::key_value_store::CommitOutcome;
+use stairstage_upgrade::fence::WriteFence;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
     }
     Context {
         settings: Arc::new(settings),
-        ..request_context(Clearance::Unstaged)
+        ..request_context(WriteFence::Unstaged)
     }
 }
 
@@ -69,7 +69,7 @@
                 polls::Effect::Store(StoreCall::Commit(transaction)) => {
                     assert!(transaction.changes.is_empty(), "a question writes nothing");
                     self.calls += 1;
-                    let answer = StoreAnswer::Committed(Outcome::Applied(1));
+                    let answer = StoreAnswer::Committed(CommitOutcome::Applied(1));
                     effects.extend(batcher.on(answer, now));
                 }
                 polls::Effect::Answer(_, answer) => {
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,16 +4,17 @@
 
 use common::*;
 use serde_json::{json, Value};
-use stairstage::coordination::cluster::{Core, Effect, Written};
+use stairstage::coordination::cluster::{Effect, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::job::{JobSpec, JobState};
 use stairstage::protocol::store::{Change, Transaction};
 use stairstage::protocol::worker::*;
 use stairstage::storage::records::*;
 use std::collections::BTreeMap;
 
-/// A core with the records that it writes, and the ends that it has looked up.
+/// A manager with the records that it writes, and the ends that it has looked up.
 struct Leader {
-    core: Core,
+    manager: ClusterManager,
     store: Store,
     sought: Vec<String>,
     launched: Vec<(String, u64)>,
@@ -27,7 +28,7 @@
 impl Leader {
     fn new() -> Leader {
         Leader {
-            core: core(),
+            manager: manager(),
             store: Store::default(),
             sought: Vec::new(),
             launched: Vec::new(),
@@ -40,11 +41,11 @@
 
     /// Another leader takes over, with the records alone.
     fn elected(mut self, now: f64) -> Leader {
-        let txn = Transaction::default().put(LEADER, json!({"node": "a"}));
+        let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
-        self.core = core_with_token(token);
+        self.manager = core_with_token(token);
         // The time of day is that of the test.
-        self.core
+        self.manager
             .recover(self.store.records(), (1000.0 * now) as u64, now);
         self
     }
@@ -57,8 +58,8 @@
         let value = serde_json::to_value(&record).unwrap();
         let txn = Transaction::default().put(open_key(id), value);
         let version = self.store.commit(&txn).unwrap();
-        self.core
-            .job_opened(record, version, (1000.0 * now) as u64, now);
+        self.manager
+            .job_accepted(record, version, (1000.0 * now) as u64, now);
     }
 
     /// As any node does it for a user, and the leader hears of it.
@@ -70,12 +71,12 @@
             .put(end_key(id), json!({"state": "cancelled"}))
             .put(open_key(id), record);
         self.store.commit(&txn).unwrap();
-        self.core.ended(id, JobState::Cancelled, now);
+        self.manager.job_end_recorded(id, JobState::Cancelled, now);
     }
 
     fn act(&mut self, now: f64) {
         let Leader {
-            core,
+            manager,
             store,
             sought,
             launched,
@@ -83,22 +84,22 @@
             ends_held,
             reads,
         } = self;
-        each_effect(core, now, |core, effect| match effect {
+        each_effect(manager, now, |manager, effect| match effect {
             Effect::Write { id, transaction } if !*ends_held || !ends(&transaction) => {
                 let written = match store.commit(&transaction) {
-                    Ok(revision) => Written::Applied(revision),
+                    Ok(revision) => WriteOutcome::Applied(revision),
                     Err(_) => store.reread(&transaction),
                 };
-                core.written(id, written, now);
+                manager.write_finished(id, written, now);
             }
-            Effect::FindEnds(ids) => {
+            Effect::ReadEnds(ids) => {
                 sought.extend(ids.iter().map(|id| id.to_string()));
                 let unread = || ids.iter().map(|id| (id.clone(), None)).collect();
                 let ends = if *reads { store.ends(&ids) } else { unread() };
-                core.found(ends, now);
+                manager.ends_found(ends, now);
             }
-            Effect::Orders { orders, .. } => launched.extend(starts(&orders.commands)),
-            Effect::Ended { id, state } => {
+            Effect::SendCommands { orders, .. } => launched.extend(starts(&orders.commands)),
+            Effect::JobEnded { id, state } => {
                 ended.insert(id.to_string(), state);
             }
             _ => {}
@@ -106,7 +107,7 @@
     }
 
     /// The machine shows what was launched on it: these jobs' tasks are over, the others run.
-    fn report(&mut self, seq: u64, over: &[&str], now: f64) {
+    fn report(&mut self, sequence: u64, over: &[&str], now: f64) {
         let done = |name: &str| over.iter().any(|id| name.starts_with(&format!("{id}/")));
         let show = |(task, attempt): &(String, u64)| {
             let (state, cause) = match done(task) {
@@ -116,15 +117,15 @@
             shown(&[(task.clone(), *attempt)], state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(show).collect();
-        let report = worker_report("m-1", seq, self.core.token, tasks);
-        let mut answer = self.core.report(&report, now);
-        if let stairstage::coordination::cluster::ReportOutcome::Answer(answer) = &mut answer {
+        let report = worker_report("m-1", sequence, self.manager.token, tasks);
+        let mut answer = self.manager.heartbeat(&report, now);
+        if let stairstage::coordination::cluster::HeartbeatOutcome::Answer(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
         }
         // A direct command has been answered by that as well.
-        self.core.ordered(
+        self.manager.commands_answered(
             &"m-1".into(),
-            stairstage::coordination::cluster::Ordered::Executed(report),
+            stairstage::coordination::cluster::CommandOutcome::Executed(report),
             now,
         );
     }
@@ -166,7 +167,7 @@
     leader.act(2.0);
     assert!(!leader.has_launched("req-2"));
     assert_eq!(
-        leader.core.status("req-2").unwrap().state,
+        leader.manager.status("req-2").unwrap().state,
         JobState::Pending
     );
     let mut leader = leader.elected(2.0);
@@ -225,7 +226,7 @@
     leader.act(1.0);
     assert_eq!(leader.ended.keys().collect::<Vec<_>>(), ["req-1"]);
     // Meanwhile nothing is said of those that end with it.
-    assert!(leader.core.status("req-3").is_none());
+    assert!(leader.manager.status("req-3").is_none());
     // The leader ends halfway; the next one finds the rest by the records.
     leader.store.values.remove(&open_key("req-2"));
     leader
@@ -260,7 +261,9 @@
         .insert(end_key("req-1"), (json!({"state": "done"}), 1));
     leader.report(1, &[], 0.0);
     leader.act(0.0);
-    leader.core.ended("req-1", JobState::Done, 1.0);
+    leader
+        .manager
+        .job_end_recorded("req-1", JobState::Done, 1.0);
     assert!(leader.has_launched("req-2"));
     assert_eq!(leader.end("req-2"), None);
 }
@@ -271,14 +274,14 @@
     leader.submit("req-1", &[], plain, 0.0);
     leader.submit("req-2", &["req-1"], plain, 0.0);
     leader.cancel("req-1", 0.0);
-    // Written by another node, of which the leader has not heard.
+    // WriteOutcome by another node, of which the leader has not heard.
     leader
         .store
         .values
         .insert(end_key("req-2"), (json!({"state": "cancelled"}), 7));
     leader.act(0.0);
     leader.act(1.0);
-    assert!(leader.store.under(OPEN).is_empty());
+    assert!(leader.store.under(OPEN_PREFIX).is_empty());
     assert_eq!(leader.ended["req-2"], JobState::Cancelled);
 }
 
@@ -288,9 +291,9 @@
     let text = SETTINGS.replace("{ name = \"t\" }", guaranteed);
     let settings = stairstage::settings::Settings::parse("test", &text).unwrap();
     let mut leader = Leader::new();
-    leader.core = Core::new(settings.into(), 1, 0.0);
-    leader.core.valid_until = f64::INFINITY;
-    leader.core.set_types(vec![machine_type()]);
+    leader.manager = ClusterManager::new(settings.into(), 1, 0.0);
+    leader.manager.lease_valid_until = f64::INFINITY;
+    leader.manager.set_machine_types(vec![machine_type()]);
     leader.report(1, &[], 0.0);
     // The first waits for ever; the last fits the guarantee and the limit by itself, and so goes
     // before another team's work that came earlier and would fill the machine.
--- a/tests/play/links.rs
+++ b/tests/play/links.rs
@@ -1,4 +1,4 @@
-//! Links between the leader and the workers on which answers take too long.
+//! ControllerHandles between the leader and the workers on which answers take too long.
 
 use crate::rules::check_days;
 use crate::simulation::Simulation;
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -5,7 +5,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
-use stairstage::coordination::cluster::{Core, Effect, Ordered, ReportOutcome, Written};
+use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::*;
 use stairstage::storage::records::OpenRecord;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +36,7 @@
 const MACHINES: usize = 6;
 
 struct Play {
-    core: Core,
+    manager: ClusterManager,
     now: f64,
     seqs: [u64; MACHINES],
     /// Tasks on each machine, with their ends.
@@ -49,7 +50,7 @@
 impl Play {
     fn new() -> Play {
         Play {
-            core: core(),
+            manager: manager(),
             now: 0.0,
             seqs: [0; MACHINES],
             running: vec![BTreeMap::new(); MACHINES],
@@ -69,7 +70,7 @@
         body["passage_s"] = json!(load.run_s * load.estimate);
         body["due_s"] = json!(load.due_s);
         let record = OpenRecord::accepted(parsed(&body), 0);
-        self.core
+        self.manager
             .job_open(record, number as u64 + 1, self.now, self.now);
         self.run_s.insert(id.clone(), load.run_s);
         let arrived = self.now;
@@ -107,7 +108,7 @@
         }
     }
 
-    fn report(&mut self, machine: usize) -> Report {
+    fn report(&mut self, machine: usize) -> Heartbeat {
         self.seqs[machine] += 1;
         let now = self.now;
         let over: Vec<(String, u64)> = self.running[machine]
@@ -123,15 +124,15 @@
         let exited: Vec<(String, u64)> = self.exited[machine].iter().cloned().collect();
         let mut tasks = shown(&running, TaskState::Running, None);
         tasks.extend(shown(&exited, TaskState::Exited, Some(Cause::Done)));
-        Report {
+        Heartbeat {
             machine: format!("m-{machine}"),
             endpoint: "127.0.0.1:9".into(),
             kind: "m4".into(),
             zone: "z".into(),
             spot: false,
-            session: 1,
-            seq: self.seqs[machine],
-            token: self.core.token,
+            incarnation: 1,
+            sequence: self.seqs[machine],
+            token: self.manager.token,
             notice_s: None,
             tasks,
         }
@@ -140,21 +141,21 @@
     fn second(&mut self) {
         for machine in 0..MACHINES {
             let report = self.report(machine);
-            if let ReportOutcome::Answer(answer) = self.core.report(&report, self.now) {
+            if let HeartbeatOutcome::Answer(answer) = self.manager.heartbeat(&report, self.now) {
                 self.run(machine, &answer.commands);
             }
         }
-        self.core.tick(self.now);
-        self.core.step(self.now);
+        self.manager.tick(self.now);
+        self.manager.step(self.now);
         loop {
-            let effects = self.core.take_effects();
+            let effects = self.manager.take_effects();
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
                 self.carry_out(effect);
             }
-            self.core.step(self.now);
+            self.manager.step(self.now);
         }
         self.now += 1.0;
     }
@@ -163,27 +164,35 @@
         match effect {
             Effect::Write { id, .. } => {
                 self.written += 1;
-                self.core
-                    .written(id, Written::Applied(self.written), self.now);
+                self.manager
+                    .write_finished(id, WriteOutcome::Applied(self.written), self.now);
             }
-            Effect::Orders {
+            Effect::SendCommands {
                 machine, orders, ..
             } => {
                 let i: usize = machine[2..].parse().unwrap();
                 self.run(i, &orders.commands);
                 let report = self.report(i);
-                self.core
-                    .ordered(&machine, Ordered::Executed(report), self.now);
+                self.manager.commands_answered(
+                    &machine,
+                    CommandOutcome::Executed(report),
+                    self.now,
+                );
             }
-            Effect::FindEnds(_) => {}
+            Effect::ReadEnds(_) => {}
             // The fleet stays as it is.
-            Effect::Return(names) => self.core.returned(&names, false, self.now),
-            Effect::Rent(rent) => self.core.rented(&rent.request, Some(Vec::new()), self.now),
+            Effect::ReturnMachines(names) => {
+                self.manager.machines_returned(&names, false, self.now)
+            }
+            Effect::RentMachines(rent) => {
+                self.manager
+                    .machines_rented(&rent.request, Some(Vec::new()), self.now)
+            }
             Effect::RaiseToken => {
-                let token = self.core.token + 1;
-                self.core.token_raised(Some(token), self.now);
+                let token = self.manager.token + 1;
+                self.manager.token_raised(Some(token), self.now);
             }
-            Effect::Ended { id, .. } => {
+            Effect::JobEnded { id, .. } => {
                 self.fates
                     .get_mut(&*id)
                     .unwrap()
@@ -245,7 +254,7 @@
         let mut play = Play::new();
         for machine in 0..MACHINES {
             let report = play.report(machine);
-            play.core.report(&report, 0.0);
+            play.manager.heartbeat(&report, 0.0);
         }
         let end_s = loads.last().unwrap().at_s + 240.0;
         let mut next = 0;
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -4,7 +4,8 @@
 use crate::common::Refusal;
 use crate::services::Fate;
 use serde_json::json;
-use stairstage::coordination::cluster::{Core, Effect, Ordered, Written};
+use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
 use stairstage::storage::records::*;
@@ -27,16 +28,16 @@
 
     /// Another leader begins, with what the state service holds.
     pub fn elect(&mut self) {
-        let txn = Transaction::default().put(LEADER, json!({"node": "a"}));
+        let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
-        let mut core = Core::new(self.settings.clone(), token, self.now);
-        core.set_types(self.types.clone());
-        core.valid_until = f64::INFINITY;
-        core.recover(self.store.records(), self.wall_ms(), self.now);
+        let mut manager = ClusterManager::new(self.settings.clone(), token, self.now);
+        manager.set_machine_types(self.types.clone());
+        manager.lease_valid_until = f64::INFINITY;
+        manager.recover(self.store.records(), self.wall_ms(), self.now);
         if self.peers_promise {
-            core.promised(self.now);
+            manager.peers_promised(self.now);
         }
-        self.leader = Some(core);
+        self.leader = Some(manager);
     }
 
     pub(super) fn carry_out_late(&mut self) {
@@ -61,15 +62,15 @@
                 false => self.store.reread(&write.transaction),
             };
             let leader = self.leader.as_mut();
-            if let Some(core) = leader.filter(|c| c.first_token() == write.leader) {
-                core.written(write.id, result, now);
+            if let Some(manager) = leader.filter(|c| c.first_token() == write.leader) {
+                manager.write_finished(write.id, result, now);
             }
         }
     }
 
-    pub(super) fn commit(&mut self, txn: &Transaction) -> Written {
+    pub(super) fn commit(&mut self, txn: &Transaction) -> WriteOutcome {
         match self.store.commit(txn) {
-            Ok(revision) => Written::Applied(revision),
+            Ok(revision) => WriteOutcome::Applied(revision),
             Err(Refusal::Conflict) => self.store.reread(txn),
             Err(Refusal::TooLarge) => panic!("too large: {txn:?}"),
         }
@@ -77,21 +78,21 @@
 
     pub(super) fn decide(&mut self) {
         let now = self.now;
-        let Some(core) = &mut self.leader else {
+        let Some(manager) = &mut self.leader else {
             return;
         };
-        core.tick(now);
-        core.step(now);
-        while let Some(core) = &mut self.leader {
-            let effects = core.take_effects();
+        manager.tick(now);
+        manager.step(now);
+        while let Some(manager) = &mut self.leader {
+            let effects = manager.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
                 self.carry_out(effect);
             }
-            if let Some(core) = &mut self.leader {
-                core.step(now);
+            if let Some(manager) = &mut self.leader {
+                manager.step(now);
             }
         }
     }
@@ -100,37 +101,38 @@
         let now = self.now;
         match effect {
             Effect::Write { id, transaction } => self.write(id, transaction),
-            Effect::Orders {
+            Effect::SendCommands {
                 machine, orders, ..
             } => {
                 let result = self.deliver(&machine, &orders);
-                self.core().ordered(&machine, result, now);
+                self.manager().commands_answered(&machine, result, now);
             }
-            Effect::FindEnds(ids) => {
+            Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
-                self.core().found(ends, now);
+                self.manager().ends_found(ends, now);
             }
-            Effect::Return(names) => {
+            Effect::ReturnMachines(names) => {
                 let taken = self.cloud.takes_back;
                 if taken {
                     self.workers.retain(|name, _| !names.contains(name));
                 }
-                self.core().returned(&names, taken, now);
+                self.manager().machines_returned(&names, taken, now);
             }
-            Effect::Rent(rent) => {
+            Effect::RentMachines(rent) => {
                 let machines = self.rent(&rent.zone, rent.count as usize);
-                self.core().rented(&rent.request, Some(machines), now);
+                self.manager()
+                    .machines_rented(&rent.request, Some(machines), now);
             }
             Effect::RaiseToken => {
                 let token = self.raise_token();
-                self.core().token_raised(token, now);
+                self.manager().token_raised(token, now);
             }
             // Users are told by the record, which any node may read.
-            Effect::Ended { .. } => {}
+            Effect::JobEnded { .. } => {}
         }
     }
 
-    pub(super) fn core(&mut self) -> &mut Core {
+    pub(super) fn manager(&mut self) -> &mut ClusterManager {
         self.leader.as_mut().expect("its effects are carried out")
     }
 
@@ -138,10 +140,14 @@
         let now = self.now;
         let fate = self.state.fate(&transaction, &mut self.random, now);
         let (at, answered) = match fate {
-            Fate::Refused => return self.core().written(id, Written::Refused, now),
+            Fate::Refused => {
+                return self
+                    .manager()
+                    .write_finished(id, WriteOutcome::Rejected, now)
+            }
             Fate::Answered(at) if at <= now => {
                 let result = self.commit(&transaction);
-                return self.core().written(id, result, now);
+                return self.manager().write_finished(id, result, now);
             }
             Fate::Answered(at) => (at, true),
             Fate::Unanswered(at) => {
@@ -156,7 +162,7 @@
                 (given_up, false)
             }
         };
-        let leader = self.core().first_token();
+        let leader = self.manager().first_token();
         self.pending.push(PendingWrite {
             at,
             leader,
@@ -166,13 +172,13 @@
         });
     }
 
-    pub(super) fn deliver(&mut self, name: &str, orders: &Orders) -> Ordered {
+    pub(super) fn deliver(&mut self, name: &str, orders: &CommandBatch) -> CommandOutcome {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
-            return Ordered::Unknown;
+            return CommandOutcome::Unknown;
         };
         if !worker.hears(now) {
-            return Ordered::Unknown;
+            return CommandOutcome::Unknown;
         }
         let accepted = worker.accepts(orders);
         if accepted {
@@ -181,11 +187,11 @@
         }
         let report = self.workers.get_mut(name).unwrap().report();
         if self.random.chance(self.slow_links) {
-            return Ordered::Unknown;
+            return CommandOutcome::Unknown;
         }
         match accepted {
-            true => Ordered::Executed(report),
-            false => Ordered::Rejected(Some(report)),
+            true => CommandOutcome::Executed(report),
+            false => CommandOutcome::Rejected(Some(report)),
         }
     }
 
@@ -194,8 +200,8 @@
             return None;
         }
         let txn = Transaction::default()
-            .version(LEADER, self.core().token)
-            .put(LEADER, json!({"node": "a"}));
+            .version(LEADER_KEY, self.manager().token)
+            .put(LEADER_KEY, json!({"node": "a"}));
         self.store.commit(&txn).ok()
     }
 }
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -2,7 +2,7 @@
 
 use super::Simulation;
 use crate::worker::Worker;
-use stairstage::coordination::cluster::ReportOutcome;
+use stairstage::coordination::cluster::HeartbeatOutcome;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::parse_task;
 use stairstage::protocol::worker::*;
@@ -91,12 +91,12 @@
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             let worker = self.workers.get_mut(&name).unwrap();
-            let Some(core) = self.leader.as_mut().filter(|_| worker.is_heard(now)) else {
+            let Some(manager) = self.leader.as_mut().filter(|_| worker.is_heard(now)) else {
                 continue;
             };
-            let heard = core.report(&worker.report(), now);
+            let heard = manager.heartbeat(&worker.report(), now);
             let in_time = !self.random.chance(self.slow_links);
-            if let ReportOutcome::Answer(answer) = heard {
+            if let HeartbeatOutcome::Answer(answer) = heard {
                 if in_time && worker.hears(now) && worker.take_answer(&answer, now) {
                     self.obey(&name, &answer.commands);
                 }
@@ -162,8 +162,8 @@
         }
         self.listed = self.now;
         let list: Vec<ListedMachine> = self.workers.values().map(|w| self.listing(w)).collect();
-        if let Some(core) = &mut self.leader {
-            core.listed(&list, self.now);
+        if let Some(manager) = &mut self.leader {
+            manager.machines_listed(&list, self.now);
         }
     }
 
--- a/tests/play/simulation/mod.rs
+++ b/tests/play/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated day in virtual time: users, workers, cloud and state service around the leader's core.
+//! A simulated day in virtual time: users, workers, cloud and state service around the leader's manager.
 
 mod leader;
 mod machines;
@@ -9,7 +9,7 @@
 use crate::worker::Worker;
 use crate::workload::{JobPlan, Random};
 use leader::PendingWrite;
-use stairstage::coordination::cluster::Core;
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::store::Transaction;
 use stairstage::settings::Settings;
@@ -45,7 +45,7 @@
     pub store: Store,
     pub state: StateService,
     pub cloud: Cloud,
-    pub leader: Option<Core>,
+    pub leader: Option<ClusterManager>,
     /// The share of answers to reports, and of answers to direct commands, that take longer than their
     /// receivers wait.
     pub slow_links: f64,
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -46,8 +46,8 @@
                 .put(open_key(&id), serde_json::to_value(&record).unwrap());
             let version = self.store.commit(&txn).expect("a new job");
             let (wall_ms, now) = (self.wall_ms(), self.now);
-            if let Some(core) = &mut self.leader {
-                core.job_opened(record, version, wall_ms, now);
+            if let Some(manager) = &mut self.leader {
+                manager.job_accepted(record, version, wall_ms, now);
             }
             let outcome = Outcome {
                 arrived: plan.at_s,
@@ -106,8 +106,8 @@
             return;
         }
         self.outcomes.get_mut(id).unwrap().cancelled = Some(self.now);
-        if let Some(core) = &mut self.leader {
-            core.cancel(id, self.now);
+        if let Some(manager) = &mut self.leader {
+            manager.cancel(id, self.now);
         }
     }
 
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -37,8 +37,8 @@
     pub cpus: f64,
     pub rented_s: f64,
     pub up_s: f64,
-    session: u64,
-    seq: u64,
+    incarnation: u64,
+    sequence: u64,
     pub token: u64,
     renewed: f64,
     /// By task and attempt.
@@ -64,8 +64,8 @@
             cpus,
             rented_s,
             up_s,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
             renewed: up_s,
             tasks: BTreeMap::new(),
@@ -103,30 +103,30 @@
         self.cpus - self.live().map(|(_, t)| t.cpus).sum::<f64>()
     }
 
-    pub fn report(&mut self) -> Report {
-        self.seq += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskReport {
+    pub fn report(&mut self) -> Heartbeat {
+        self.sequence += 1;
+        let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: t.state,
             cause: t.cause,
             saved: None,
         });
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             endpoint: "127.0.0.1:9".into(),
             kind: self.kind.clone(),
             zone: self.zone.clone(),
             spot: false,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: tasks.collect(),
         }
     }
 
-    pub fn take_answer(&mut self, answer: &ReportAnswer, sent: f64) -> bool {
+    pub fn take_answer(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
         if answer.token < self.token {
             return false;
         }
@@ -135,13 +135,13 @@
         true
     }
 
-    pub fn accepts(&self, orders: &Orders) -> bool {
-        orders.token >= self.token && orders.session == self.session
+    pub fn accepts(&self, orders: &CommandBatch) -> bool {
+        orders.token >= self.token && orders.incarnation == self.incarnation
     }
 
     pub fn expire(&mut self, lease_s: f64, now: f64) {
         if self.is_up(now) && now - self.renewed > lease_s {
-            self.session += 1;
+            self.incarnation += 1;
             self.renewed = now;
             self.tasks.clear();
         }
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -5,7 +5,7 @@
 use stairstage::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
 use stairstage::coordination::requests::{Answer, Reason, StoreAnswer, StoreCall};
 use stairstage::protocol::job::{JobState, JobStatus};
-use stairstage::storage::key_value_store::{Outcome, Unavailable};
+use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use std::collections::{BTreeMap, VecDeque};
 
 pub const NODES: usize = 3;
@@ -197,7 +197,7 @@
         };
         let answer = match (self.is_cut_off(node), &call) {
             (false, _) => self.service.answer(&call, self.now),
-            (true, StoreCall::Commit(_)) => StoreAnswer::Committed(Outcome::Refused),
+            (true, StoreCall::Commit(_)) => StoreAnswer::Committed(CommitOutcome::Refused),
             (true, StoreCall::Read(_)) => StoreAnswer::Read(Err(Unavailable)),
             (true, StoreCall::List { .. }) => StoreAnswer::Listed(Err(Unavailable)),
         };
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 use stairstage::coordination::requests::{StoreAnswer, StoreCall};
 use stairstage::protocol::job::JobState;
-use stairstage::storage::key_value_store::{Outcome, Unavailable};
+use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use stairstage::storage::records::{end_key, open_key};
-use stairstage::storage::token_bucket::Budget;
+use stairstage::storage::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 
 /// Jobs that end in a second.
@@ -19,7 +19,7 @@
 
 pub struct StateService {
     store: Store,
-    requests: Budget,
+    requests: TokenBucket,
     rps: f64,
     /// How jobs have ended.
     pub ends: BTreeMap<usize, JobState>,
@@ -33,7 +33,7 @@
     pub fn new(seed: u64, rps: f64, jobs: usize) -> StateService {
         let mut service = StateService {
             store: Store::default(),
-            requests: Budget::new(rps, rps),
+            requests: TokenBucket::new(rps, rps),
             rps,
             ends: BTreeMap::new(),
             random: SplitMix64(seed),
@@ -118,7 +118,7 @@
             }
             StoreCall::Commit(transaction) => StoreAnswer::Committed(match allowed {
                 true => self.store.compared(transaction),
-                false => Outcome::Limited,
+                false => CommitOutcome::Limited,
             }),
         }
     }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -26,9 +26,9 @@
 };
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Change;
-use stairstage::storage::key_value_store::{Outcome, Unavailable};
+use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use stairstage::storage::records::{end_key, EndRecord};
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 
 /// What a combination has to come about for, over all schedules.
 const OFTEN: usize = 50;
@@ -143,16 +143,16 @@
     Context {
         peers: vec!["n1".into(), "n2".into()],
         from_peer,
-        ..common::request_context(Clearance::Unstaged)
+        ..common::request_context(WriteFence::Unstaged)
     }
 }
 
-fn committed(outcome: Outcome) -> Event {
+fn committed(outcome: CommitOutcome) -> Event {
     Event::Store(StoreAnswer::Committed(outcome))
 }
 
 fn unanswered() -> Event {
-    committed(Outcome::Unknown)
+    committed(CommitOutcome::Unknown)
 }
 
 fn unavailable() -> Event {
@@ -260,7 +260,7 @@
     let mut batcher = batcher();
     assert!(batcher.ask(1, poll, 0.0).is_empty());
     assert!(compares(&batcher.next(0.0)));
-    let refused = batcher.on(StoreAnswer::Committed(Outcome::Refused), 0.0);
+    let refused = batcher.on(StoreAnswer::Committed(CommitOutcome::Refused), 0.0);
     assert!(
         matches!(refused[..], [polls::Effect::HandOn(1)]),
         "{refused:?}"
@@ -284,7 +284,7 @@
     let mut batcher = batcher();
     assert!(batcher.ask(1, poll, 0.0).is_empty());
     assert!(compares(&batcher.next(0.0)));
-    let present = Outcome::Conflict(vec![end_key(&job)]);
+    let present = CommitOutcome::Conflict(vec![end_key(&job)]);
     let nothing_yet = batcher.on(StoreAnswer::Committed(present), 0.0);
     assert!(nothing_yet.is_empty(), "{nothing_yet:?}");
     let reads = batcher.next(0.0);
@@ -314,7 +314,7 @@
 fn a_name_that_cannot_be_read_is_no_name_that_was_never_accepted() {
     let (waiting, _) = waiting_job();
     let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
-    let reads = request.on(committed(Outcome::Applied(1)));
+    let reads = request.on(committed(CommitOutcome::Applied(1)));
     assert!(reads_store(&reads), "{reads:?}");
     let handed_on = request.on(unavailable());
     assert!(asks(&handed_on, "n1"), "{handed_on:?}");
@@ -327,7 +327,7 @@
     let (waiting, needed) = waiting_job();
     let needed = jobs::id_of(needed);
     let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
-    let reads = request.on(committed(Outcome::Conflict(vec![end_key(&needed)])));
+    let reads = request.on(committed(CommitOutcome::Conflict(vec![end_key(&needed)])));
     assert!(reads_store(&reads), "{reads:?}");
     let commits = request.on(cancellation_read(&needed));
     let [Effect::Store(StoreCall::Commit(transaction))] = &commits[..] else {
@@ -337,7 +337,7 @@
     let writes_end = matches!(&transaction.changes[..],
         [Change::Put { key, .. }] if *key == own_end);
     assert!(writes_end, "{transaction:?}");
-    let told = request.on(committed(Outcome::Applied(2)));
+    let told = request.on(committed(CommitOutcome::Applied(2)));
     let cancelled = matches!(&told[..],
         [.., Effect::Answer(Answer::Accepted { state, .. })] if *state == JobState::Cancelled);
     assert!(cancelled, "{told:?}");
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -4,17 +4,17 @@
 use crate::parts::{Fate, Leader};
 use crate::world::{name_of, World};
 use serde_json::json;
-use stairstage::coordination::cluster::Core;
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::Located;
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::protocol::store::Transaction;
-use stairstage::storage::key_value_store::Outcome;
+use stairstage::storage::key_value_store::CommitOutcome;
 use stairstage::storage::records::*;
 
 impl World {
-    fn leads(&mut self, node: usize) -> Option<&mut Core> {
+    fn leads(&mut self, node: usize) -> Option<&mut ClusterManager> {
         let leader = self.leader.as_mut().filter(|l| l.node == node);
-        leader.map(|l| &mut l.core)
+        leader.map(|l| &mut l.manager)
     }
 
     pub fn opened(&mut self, node: usize, record: OpenRecord, version: u64) {
@@ -22,15 +22,15 @@
         if is_over && !record.cancelled {
             return;
         }
-        if let Some(core) = self.leads(node) {
-            core.job_opened(record, version, 0, 0.0);
+        if let Some(manager) = self.leads(node) {
+            manager.job_accepted(record, version, 0, 0.0);
         }
     }
 
     pub fn ended(&mut self, node: usize, job: u8, state: JobState) {
         self.nodes[node].ends.insert(&id_of(job), state);
-        if let Some(core) = self.leads(node) {
-            core.ended(&id_of(job), state, 0.0);
+        if let Some(manager) = self.leads(node) {
+            manager.job_end_recorded(&id_of(job), state, 0.0);
         }
     }
 
@@ -45,7 +45,7 @@
         let leader = self.nodes[node].leader.filter(|l| *l != node).map(name_of);
         let picture = self.leads(node);
         let leads = picture.is_some();
-        let status = end.or_else(|| picture.and_then(|core| core.status(&id)));
+        let status = end.or_else(|| picture.and_then(|manager| manager.status(&id)));
         Located {
             status,
             leads,
@@ -56,12 +56,16 @@
     /// A node is elected, and reads the records.
     pub fn elect(&mut self, node: usize) {
         let record = json!({"node": name_of(node)});
-        let transaction = Transaction::default().put(LEADER, record);
+        let transaction = Transaction::default().put(LEADER_KEY, record);
         let token = self.store.commit(&transaction).unwrap();
-        let mut core = Core::new(self.settings.clone(), token, 0.0);
-        core.valid_until = f64::INFINITY;
-        core.recover(self.store.records(), 0, 0.0);
-        self.leader = Some(Leader { node, token, core });
+        let mut manager = ClusterManager::new(self.settings.clone(), token, 0.0);
+        manager.lease_valid_until = f64::INFINITY;
+        manager.recover(self.store.records(), 0, 0.0);
+        self.leader = Some(Leader {
+            node,
+            token,
+            manager,
+        });
         self.nodes[node].leader = Some(node);
     }
 
@@ -105,8 +109,8 @@
             self.end_met_requests(job);
         }
         match (outcome, end) {
-            (Outcome::Applied(_), Some(state)) => self.ended(node, job, state),
-            (Outcome::Conflict(_), Some(_)) => {
+            (CommitOutcome::Applied(_), Some(state)) => self.ended(node, job, state),
+            (CommitOutcome::Conflict(_), Some(_)) => {
                 if let Some(state) = recorded_end(&self.store, job) {
                     self.ended(node, job, state);
                 }
@@ -115,7 +119,7 @@
         }
     }
 
-    /// As `Core::write_end` has it.
+    /// As `ClusterManager::write_end` has it.
     fn end_of(
         &self,
         leader: &Leader,
@@ -123,7 +127,7 @@
         token: u64,
     ) -> Option<(Transaction, Option<JobState>)> {
         let (id, needed) = (id_of(job), needs(job));
-        let state = leader.core.status(&id).map(|status| status.state);
+        let state = leader.manager.status(&id).map(|status| status.state);
         let is_open = self.store.item(&open_key(&id)).is_some();
         let needed_end = needed.map(|n| recorded_end(&self.store, n));
         let end = match (state, needed_end) {
@@ -133,7 +137,7 @@
             _ => return None,
         };
         let closing = Transaction::default()
-            .version(LEADER, token)
+            .version(LEADER_KEY, token)
             .delete(open_key(&id));
         let transaction = match end {
             None => closing,
--- a/tests/requests/parts.rs
+++ b/tests/requests/parts.rs
@@ -1,7 +1,7 @@
 //! What a world of nodes and their requests is made of.
 
 use crate::rules::{Kind, Question};
-use stairstage::coordination::cluster::Core;
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::polls::PollBatcher;
 use stairstage::coordination::requests::{Request, StoreCall};
 use stairstage::protocol::store::Transaction;
@@ -80,5 +80,5 @@
 pub struct Leader {
     pub node: usize,
     pub token: u64,
-    pub core: Core,
+    pub manager: ClusterManager,
 }
--- a/tests/requests/seen.rs
+++ b/tests/requests/seen.rs
@@ -28,7 +28,7 @@
     /// Requests by kind that were under way when the state service, which had refused one node, began
     /// to refuse all.
     refusals_met: BTreeMap<Kind, usize>,
-    /// Written by requests that are still under way and have lost the answer.
+    /// WriteOutcome by requests that are still under way and have lost the answer.
     unknown: BTreeMap<u64, (usize, BTreeSet<String>)>,
 }
 
--- a/tests/requests/world.rs
+++ b/tests/requests/world.rs
@@ -12,9 +12,9 @@
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::settings::Settings;
-use stairstage::storage::key_value_store::{Outcome, Unavailable};
+use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use stairstage::storage::recent_jobs::EndIndex;
-use stairstage_upgrade::fence::Clearance;
+use stairstage_upgrade::fence::WriteFence;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -93,7 +93,7 @@
         Context {
             settings: self.settings.clone(),
             types: Arc::new(vec![machine_type]),
-            clearance: Clearance::Unstaged,
+            clearance: WriteFence::Unstaged,
             peers: (0..NODES).filter(|i| *i != node).map(name_of).collect(),
             from_peer,
             now_ms: 0,
@@ -333,7 +333,7 @@
             }
             StoreCall::Commit(_) if refused => {
                 self.seen.refused += 1;
-                StoreAnswer::Committed(Outcome::Refused)
+                StoreAnswer::Committed(CommitOutcome::Refused)
             }
             StoreCall::Commit(transaction) => {
                 StoreAnswer::Committed(self.commit(by, node, transaction, fate))
@@ -347,14 +347,14 @@
         node: usize,
         transaction: Transaction,
         fate: Fate,
-    ) -> Outcome {
+    ) -> CommitOutcome {
         match fate {
             Fate::Answered => self.apply(node, &transaction),
             Fate::AnswerLost => {
-                if let Outcome::Applied(_) = self.apply(node, &transaction) {
+                if let CommitOutcome::Applied(_) = self.apply(node, &transaction) {
                     self.seen.answer_lost(by, node, &transaction);
                 }
-                Outcome::Unknown
+                CommitOutcome::Unknown
             }
             Fate::Late => {
                 let applied_before = self.nodes[node].applied;
@@ -364,21 +364,21 @@
                     by,
                     applied_before,
                 });
-                Outcome::Unknown
+                CommitOutcome::Unknown
             }
-            Fate::Lost => Outcome::Unknown,
-            Fate::Refused => Outcome::Refused,
+            Fate::Lost => CommitOutcome::Unknown,
+            Fate::Refused => CommitOutcome::Refused,
         }
     }
 
-    fn apply(&mut self, node: usize, transaction: &Transaction) -> Outcome {
+    fn apply(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
         let conflicts = self.store.conflicts(transaction);
         match self.store.commit(transaction) {
             Ok(version) => {
                 self.nodes[node].applied += usize::from(!transaction.changes.is_empty());
-                Outcome::Applied(version)
+                CommitOutcome::Applied(version)
             }
-            Err(Refusal::Conflict) => Outcome::Conflict(conflicts),
+            Err(Refusal::Conflict) => CommitOutcome::Conflict(conflicts),
             Err(Refusal::TooLarge) => panic!("too large: {transaction:?}"),
         }
     }
@@ -393,7 +393,7 @@
         let is_given_up = !self.running.contains_key(&late.by);
         let applied = matches!(
             self.apply(late.node, &late.transaction),
-            Outcome::Applied(_)
+            CommitOutcome::Applied(_)
         );
         self.seen.late_write(applied, is_newer, is_given_up);
     }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -5,7 +5,8 @@
 use common::full_fleet::*;
 use common::http::*;
 use common::*;
-use stairstage::coordination::cluster::{Core, Effect};
+use stairstage::coordination::cluster::Effect;
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::*;
 use stairstage::settings::Settings;
 use stairstage::storage::records::OpenRecord;
@@ -19,15 +20,17 @@
 
 #[test]
 fn a_launch_writes_no_more_in_a_large_fleet_than_a_record_holds() {
-    let FullFleet { mut core, now, .. } = full_fleet(2200);
-    report_of(&mut core, "m-new", 1, None, Vec::new(), now);
-    submit(&mut core, "req-9999", "sweep", "normal", None, 9999);
+    let FullFleet {
+        mut manager, now, ..
+    } = full_fleet(2200);
+    report_of(&mut manager, "m-new", 1, None, Vec::new(), now);
+    submit(&mut manager, "req-9999", "sweep", "normal", None, 9999);
     let (mut launched, mut most) = (0, 0);
     for tenth in 0..20 {
         let at = now + f64::from(tenth) / 10.0;
-        carry_out_all(&mut core, at, |effect| {
+        carry_out_all(&mut manager, at, |effect| {
             most = most.max(effect_bytes(effect));
-            if let Effect::Orders { orders, .. } = effect {
+            if let Effect::SendCommands { orders, .. } = effect {
                 launched += starts(&orders.commands).len();
             }
         });
@@ -42,12 +45,12 @@
     // Looks at machines and places, and bytes of what is answered and sent.
     let cost = |machines: u32| {
         let FullFleet {
-            mut core,
+            mut manager,
             tasks,
             now,
             ..
         } = full_fleet(machines);
-        reports_without_news(&mut core, &tasks, now)
+        reports_without_news(&mut manager, &tasks, now)
     };
     let small = cost(20);
     assert_eq!(small.0, 0);
@@ -57,7 +60,7 @@
 #[test]
 fn passes_are_paced_by_what_they_take() {
     let FullFleet {
-        mut core,
+        mut manager,
         mut tasks,
         now: begun,
         ..
@@ -76,16 +79,16 @@
         }
         let name = format!("m-{machine}");
         report_of(
-            &mut core,
+            &mut manager,
             &name,
             10 + u64::from(i),
             None,
             tasks[machine].clone(),
             now,
         );
-        if core.step(now) {
+        if manager.step(now) {
             passes += 1;
-            core.pass_took(0.05, now);
+            manager.cycle_took(0.05, now);
         }
     }
     // Two seconds, and a quarter of a second from one pass to the next.
@@ -105,17 +108,17 @@
     let text = SETTINGS.replace("write_rps = 100.0", "write_rps = 5.0");
     let text = text.replace("value_kb = 16.0", "value_kb = 1.0");
     let settings = Arc::new(Settings::parse("test", &text).unwrap());
-    let mut core = Core::new(settings, 1, 0.0);
-    core.valid_until = f64::INFINITY;
-    core.set_types(vec![machine_type()]);
+    let mut manager = ClusterManager::new(settings, 1, 0.0);
+    manager.lease_valid_until = f64::INFINITY;
+    manager.set_machine_types(vec![machine_type()]);
     // Large enough that their ends cost next to nothing.
     for n in 1..=4 {
         let spec = parsed(&submission(&format!("req-{n}"), "sweep", "normal", 2000));
         let record = OpenRecord::accepted(spec, 0);
-        core.job_opened(record, n, 0, 0.0);
+        manager.job_accepted(record, n, 0, 0.0);
     }
     let mut seqs = vec![0; machines];
-    let mut tasks: Vec<Vec<TaskReport>> = vec![Vec::new(); machines];
+    let mut tasks: Vec<Vec<TaskStatus>> = vec![Vec::new(); machines];
     let mut launched = vec![0; machines];
     let come_at = 30.0;
     for tenth in 0..900 {
@@ -137,11 +140,11 @@
                 t.cause = Some(Cause::Done);
             }
             let name = format!("m-{i}");
-            report_of(&mut core, &name, seqs[i], None, tasks[i].clone(), now);
+            report_of(&mut manager, &name, seqs[i], None, tasks[i].clone(), now);
             tasks[i].retain(|t| t.state != TaskState::Exited);
         }
-        carry_out_all(&mut core, now, |effect| {
-            if let Effect::Orders {
+        carry_out_all(&mut manager, now, |effect| {
+            if let Effect::SendCommands {
                 machine, orders, ..
             } = effect
             {
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -3,43 +3,45 @@
 mod common;
 
 use common::*;
-use stairstage::coordination::cluster::{Effect, Written};
+use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::protocol::worker::*;
 
 #[test]
 fn no_launch_leaves_before_its_place_is_recorded() {
-    let mut core = core();
-    submit(&mut core, "req-1", "sweep", "normal", None, 1);
-    report(&mut core, 1, Vec::new(), 0.0);
-    core.step(0.0);
-    let effects = core.take_effects();
+    let mut manager = manager();
+    submit(&mut manager, "req-1", "sweep", "normal", None, 1);
+    report(&mut manager, 1, Vec::new(), 0.0);
+    manager.step(0.0);
+    let effects = manager.take_effects();
     assert!(effects.iter().any(|e| matches!(e, Effect::Write { .. })));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Orders { .. })));
-    assert!(starts(&report(&mut core, 2, Vec::new(), 0.5)).is_empty());
+    assert!(!effects
+        .iter()
+        .any(|e| matches!(e, Effect::SendCommands { .. })));
+    assert!(starts(&report(&mut manager, 2, Vec::new(), 0.5)).is_empty());
 }
 
 #[test]
 fn a_deadline_brings_a_job_forward() {
-    let mut core = core();
-    submit(&mut core, "req-1", "sweep", "normal", Some(300.0), 1);
-    submit(&mut core, "req-2", "sweep", "normal", Some(50.0), 2);
-    report(&mut core, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut core, 0.0);
+    let mut manager = manager();
+    submit(&mut manager, "req-1", "sweep", "normal", Some(300.0), 1);
+    submit(&mut manager, "req-2", "sweep", "normal", Some(50.0), 2);
+    report(&mut manager, 1, Vec::new(), 0.0);
+    let tasks = launched(&mut manager, 0.0);
     assert_eq!(tasks.len(), 4);
     assert!(tasks.iter().all(|t| t.0.starts_with("req-2/")), "{tasks:?}");
 }
 
 #[test]
 fn a_job_that_failed_on_the_only_machine_is_tried_there_again() {
-    let mut core = core();
-    submit(&mut core, "req-1", "sweep", "normal", None, 1);
-    report(&mut core, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut core, 0.0);
+    let mut manager = manager();
+    submit(&mut manager, "req-1", "sweep", "normal", None, 1);
+    report(&mut manager, 1, Vec::new(), 0.0);
+    let tasks = launched(&mut manager, 0.0);
     let failed = shown(&tasks, TaskState::Exited, Some(Cause::Error));
     // The first direct command is still unanswered, so launches come with the answers.
-    let mut pass = |seq, shown: &[TaskReport], now| {
-        launched(&mut core, now);
-        starts(&report(&mut core, seq, shown.to_vec(), now))
+    let mut pass = |sequence, shown: &[TaskStatus], now| {
+        launched(&mut manager, now);
+        starts(&report(&mut manager, sequence, shown.to_vec(), now))
     };
     assert!(pass(2, &failed, 1.0).is_empty());
     let again = pass(3, &failed, 1.5);
@@ -53,8 +55,8 @@
     let tried = pass(6, &[], 6.5);
     assert_eq!(tried.len(), 1, "{tried:?}");
     let runs = shown(&tried, TaskState::Running, None);
-    for (seq, now) in [(7, 12.0), (8, 18.0), (9, 23.5)] {
-        assert!(pass(seq, &runs, now).is_empty(), "at {now}");
+    for (sequence, now) in [(7, 12.0), (8, 18.0), (9, 23.5)] {
+        assert!(pass(sequence, &runs, now).is_empty(), "at {now}");
     }
     let rest = pass(10, &runs, 24.5);
     assert_eq!(rest.len(), 3, "{rest:?}");
@@ -63,26 +65,33 @@
 
 #[test]
 fn a_service_stops_lesser_work_for_its_room() {
-    let mut core = core();
-    submit(&mut core, "req-1", "sweep", "normal", None, 1);
-    report(&mut core, 1, Vec::new(), 0.0);
-    let batch = launched(&mut core, 0.0);
-    report(&mut core, 2, shown(&batch, TaskState::Running, None), 1.0);
-    submit(&mut core, "req-2", "standing", "critical", None, 2);
-    core.step(1.0);
+    let mut manager = manager();
+    submit(&mut manager, "req-1", "sweep", "normal", None, 1);
+    report(&mut manager, 1, Vec::new(), 0.0);
+    let batch = launched(&mut manager, 0.0);
+    report(
+        &mut manager,
+        2,
+        shown(&batch, TaskState::Running, None),
+        1.0,
+    );
+    submit(&mut manager, "req-2", "standing", "critical", None, 2);
+    manager.step(1.0);
     let mut commands = Vec::new();
     for _ in 0..4 {
-        for effect in core.take_effects() {
+        for effect in manager.take_effects() {
             match effect {
-                Effect::Write { id, .. } => core.written(id, Written::Applied(200 + id), 1.0),
-                Effect::Orders { orders, .. } => commands.extend(orders.commands),
+                Effect::Write { id, .. } => {
+                    manager.write_finished(id, WriteOutcome::Applied(200 + id), 1.0)
+                }
+                Effect::SendCommands { orders, .. } => commands.extend(orders.commands),
                 _ => {}
             }
         }
-        core.step(1.0);
+        manager.step(1.0);
     }
     commands.extend(report(
-        &mut core,
+        &mut manager,
         3,
         shown(&batch, TaskState::Running, None),
         1.5,
@@ -102,12 +111,12 @@
 
 #[test]
 fn a_direct_launch_is_not_forgotten_while_a_copy_may_come() {
-    let mut core = core();
-    submit(&mut core, "req-1", "sweep", "normal", None, 1);
-    report(&mut core, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut core, 0.0);
+    let mut manager = manager();
+    submit(&mut manager, "req-1", "sweep", "normal", None, 1);
+    report(&mut manager, 1, Vec::new(), 0.0);
+    let tasks = launched(&mut manager, 0.0);
     let stopped = shown(&tasks, TaskState::Exited, Some(Cause::Stopped));
-    let commands = report(&mut core, 2, stopped, 1.0);
+    let commands = report(&mut manager, 2, stopped, 1.0);
     let forgets = commands
         .iter()
         .filter(|c| matches!(c, Command::Forget { .. }));
@@ -116,11 +125,11 @@
 
 #[test]
 fn a_notice_stops_a_whole_gang_so_that_it_can_save() {
-    let mut core = core();
-    submit(&mut core, "req-1", "group", "normal", None, 1);
-    report_of(&mut core, "m-1", 1, None, Vec::new(), 0.0);
-    report_of(&mut core, "m-2", 1, None, Vec::new(), 0.0);
-    let tasks = launched(&mut core, 0.0);
+    let mut manager = manager();
+    submit(&mut manager, "req-1", "group", "normal", None, 1);
+    report_of(&mut manager, "m-1", 1, None, Vec::new(), 0.0);
+    report_of(&mut manager, "m-2", 1, None, Vec::new(), 0.0);
+    let tasks = launched(&mut manager, 0.0);
     assert_eq!(tasks.len(), 8);
     assert!(
         tasks.iter().all(|t| t.1 == tasks[0].1),
@@ -128,7 +137,7 @@
     );
     let (one, other) = tasks.split_at(4);
     report_of(
-        &mut core,
+        &mut manager,
         "m-1",
         2,
         None,
@@ -136,7 +145,7 @@
         1.0,
     );
     report_of(
-        &mut core,
+        &mut manager,
         "m-2",
         2,
         None,
@@ -144,7 +153,7 @@
         1.0,
     );
     let mut commands = report_of(
-        &mut core,
+        &mut manager,
         "m-1",
         3,
         Some(8.0),
@@ -152,7 +161,7 @@
         2.0,
     );
     commands.extend(report_of(
-        &mut core,
+        &mut manager,
         "m-2",
         3,
         None,
