--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -7,7 +7,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
-use stairstage::coordination::cluster::{Core, Effect, Ordered, Written};
+use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
@@ -27,43 +28,45 @@
 }
 
 /// A leader whose records may be so large.
-fn leader(store: &mut Store, value_kb: f64, now: f64) -> Core {
+fn leader(store: &mut Store, value_kb: f64, now: f64) -> ClusterManager {
     let text = SETTINGS.replace("value_kb = 16.0", &format!("value_kb = {value_kb}"));
     let settings = Arc::new(Settings::parse("test", &text).unwrap());
-    let txn = Transaction::default().put(LEADER, json!({"node": "a"}));
+    let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
     store.value_bytes = usize::MAX;
     let token = store.commit(&txn).unwrap();
-    let mut core = Core::new(settings, token, now);
-    core.set_types(vec![machine_type()]);
-    core.valid_until = f64::INFINITY;
-    core.recover(store.records(), 0, now);
+    let mut manager = ClusterManager::new(settings, token, now);
+    manager.set_machine_types(vec![machine_type()]);
+    manager.lease_valid_until = f64::INFINITY;
+    manager.recover(store.records(), 0, now);
     store.value_bytes = (value_kb * 1024.0) as usize;
-    core
+    manager
 }
 
 /// Carries effects out; at most so many writes are applied before the leader ends.
-fn work(core: &mut Core, store: &mut Store, now: f64, most_writes: usize) {
+fn work(manager: &mut ClusterManager, store: &mut Store, now: f64, most_writes: usize) {
     let mut writes = 0;
-    each_effect(core, now, |core, effect| match effect {
+    each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, transaction } if writes < most_writes => {
             writes += 1;
             let written = match store.commit(&transaction) {
-                Ok(revision) => Written::Applied(revision),
+                Ok(revision) => WriteOutcome::Applied(revision),
                 Err(Refusal::Conflict) => store.reread(&transaction),
                 Err(Refusal::TooLarge) => panic!("too large: {transaction:?}"),
             };
-            core.written(id, written, now);
+            manager.write_finished(id, written, now);
+        }
+        Effect::SendCommands { machine, .. } => {
+            manager.commands_answered(&machine, CommandOutcome::Unknown, now)
         }
-        Effect::Orders { machine, .. } => core.ordered(&machine, Ordered::Unknown, now),
         _ => {}
     });
 }
 
 /// So many machines report for the first time, with nothing on them.
-fn hear(core: &mut Core, machines: usize, now: f64) {
+fn hear(manager: &mut ClusterManager, machines: usize, now: f64) {
     for i in 0..machines {
-        let report = worker_report(&format!("m-{i}"), 1, core.token, vec![]);
-        core.report(&report, now);
+        let report = worker_report(&format!("m-{i}"), 1, manager.token, vec![]);
+        manager.heartbeat(&report, now);
     }
 }
 
@@ -78,8 +81,8 @@
 /// Every place that any record tells of.
 fn places(store: &Store) -> BTreeSet<(String, String, u32)> {
     let mut all = BTreeSet::new();
-    for item in store.under(PLACE) {
-        let record: PlaceRecord = serde_json::from_value(item.value).unwrap();
+    for item in store.under(PLACEMENT_PREFIX) {
+        let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
         for (id, machines) in record.places {
             for (machine, tasks) in machines {
                 let place = |(task, _): (u32, u64)| (id.clone(), machine.clone(), task);
@@ -114,8 +117,8 @@
         accept(&mut store, "req-1", TASKS);
         let recorded = |store: &Store| -> BTreeSet<u32> {
             let mut done = BTreeSet::new();
-            for item in store.under(RUN) {
-                let record: RunRecord = serde_json::from_value(item.value).unwrap();
+            for item in store.under(COMPLETION_PREFIX) {
+                let record: StoredCompletions = serde_json::from_value(item.value).unwrap();
                 done.extend(record.done.iter().flat_map(|(first, last)| *first..=*last));
             }
             done
@@ -126,26 +129,26 @@
                 store.led_by_production(32);
             }
             let before = recorded(&store);
-            let mut core = leader(&mut store, value_kb, now);
-            prop_assert_eq!(core.status("req-1").unwrap().done as usize, before.len());
+            let mut manager = leader(&mut store, value_kb, now);
+            prop_assert_eq!(manager.status("req-1").unwrap().done as usize, before.len());
             let done: Vec<(String, u64)> = done.iter().map(|t| (format!("req-1/{t}"), 1)).collect();
             let tasks = shown(&done, TaskState::Exited, Some(Cause::Done));
-            core.report(&worker_report("m-1", 1 + i as u64, 1, tasks), now);
+            manager.heartbeat(&worker_report("m-1", 1 + i as u64, 1, tasks), now);
             // Long enough for a record of what completes to be due, however scarce the budget.
             now += 60.0;
-            work(&mut core, &mut store, now, writes);
+            work(&mut manager, &mut store, now, writes);
             prop_assert!(recorded(&store).is_superset(&before));
         }
-        let mut core = leader(&mut store, 2.0, now);
+        let mut manager = leader(&mut store, 2.0, now);
         let rest: Vec<(String, u64)> = (0..TASKS).map(|t| (format!("req-1/{t}"), 1)).collect();
         let tasks = shown(&rest, TaskState::Exited, Some(Cause::Done));
-        core.report(&worker_report("m-1", 99, 1, tasks), now);
+        manager.heartbeat(&worker_report("m-1", 99, 1, tasks), now);
         now += 1.0;
-        work(&mut core, &mut store, now, usize::MAX);
+        work(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
-        work(&mut core, &mut store, now, usize::MAX);
+        work(&mut manager, &mut store, now, usize::MAX);
         prop_assert!(store.item(&end_key("req-1")).is_some(), "it ends");
-        let left = store.under(RUN);
+        let left = store.under(COMPLETION_PREFIX);
         prop_assert!(left.is_empty(), "no record of it is left: {left:?}");
     }
 
@@ -157,19 +160,19 @@
         }
         // A leader with large records places everything.
         let mut now = 0.0;
-        let mut core = leader(&mut store, 16.0, now);
-        hear(&mut core, 9, now);
-        work(&mut core, &mut store, now, usize::MAX);
+        let mut manager = leader(&mut store, 16.0, now);
+        hear(&mut manager, 9, now);
+        work(&mut manager, &mut store, now, usize::MAX);
         let placed = places(&store);
         prop_assert_eq!(placed.len(), 36);
         for (i, (value_kb, writes, _)) in terms.into_iter().enumerate() {
             if i == production {
                 store.led_by_production(2048);
             }
-            let mut core = leader(&mut store, value_kb, now);
+            let mut manager = leader(&mut store, value_kb, now);
             for _ in 0..writes {
                 now += 10.0;
-                work(&mut core, &mut store, now, 1);
+                work(&mut manager, &mut store, now, 1);
                 // No worker was heard: nothing is proven gone, and so nothing may be forgotten.
                 prop_assert_eq!(&places(&store), &placed);
             }
@@ -181,14 +184,14 @@
 fn a_leader_with_small_records_comes_to_write_them_all() {
     let mut store = unbounded();
     accept(&mut store, "req-1", 36);
-    let mut core = leader(&mut store, 16.0, 0.0);
-    hear(&mut core, 9, 0.0);
-    work(&mut core, &mut store, 0.0, usize::MAX);
-    let mut core = leader(&mut store, 0.25, 0.0);
+    let mut manager = leader(&mut store, 16.0, 0.0);
+    hear(&mut manager, 9, 0.0);
+    work(&mut manager, &mut store, 0.0, usize::MAX);
+    let mut manager = leader(&mut store, 0.25, 0.0);
     for second in 0..60 {
-        work(&mut core, &mut store, f64::from(second), usize::MAX);
+        work(&mut manager, &mut store, f64::from(second), usize::MAX);
     }
-    let large = store.under(PLACE).into_iter();
+    let large = store.under(PLACEMENT_PREFIX).into_iter();
     let large = large.filter(|i| i.value.to_string().len() > 256).count();
     assert_eq!((large, places(&store).len()), (0, 36));
 }
@@ -198,28 +201,28 @@
     let mut store = unbounded();
     accept(&mut store, "req-1", 36);
     accept(&mut store, "req-2", 1);
-    let mut core = leader(&mut store, 16.0, 0.0);
-    hear(&mut core, 10, 0.0);
+    let mut manager = leader(&mut store, 16.0, 0.0);
+    hear(&mut manager, 10, 0.0);
     // It takes far less than the settings say, of now and of later.
     (store.value_bytes, store.txn_ops) = (300, 2);
     let mut launched = BTreeSet::new();
     for tenth in 0..100 {
         let now = f64::from(tenth) / 10.0;
-        each_effect(&mut core, now, |core, effect| match effect {
+        each_effect(&mut manager, now, |manager, effect| match effect {
             Effect::Write { id, transaction } => {
                 let written = match store.commit(&transaction) {
-                    Ok(revision) => Written::Applied(revision),
+                    Ok(revision) => WriteOutcome::Applied(revision),
                     Err(Refusal::Conflict) => store.reread(&transaction),
-                    Err(Refusal::TooLarge) => Written::TooLarge,
+                    Err(Refusal::TooLarge) => WriteOutcome::TooLarge,
                 };
-                core.written(id, written, now);
+                manager.write_finished(id, written, now);
             }
-            Effect::Orders {
+            Effect::SendCommands {
                 machine, orders, ..
             } => {
                 launched.extend(starts(&orders.commands).into_iter().map(|s| s.0));
                 let known = worker_report(&machine, 0, 1, vec![]);
-                core.ordered(&machine, Ordered::Executed(known), now);
+                manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
             }
             _ => {}
         });
@@ -246,11 +249,15 @@
     assert_eq!(written, serde_json::from_str::<Value>(OPEN_RECORD).unwrap());
     let end: EndRecord = serde_json::from_str(END_RECORD).unwrap();
     assert_eq!((end.state, end.at_ms), (JobState::Done, None));
-    let run: RunRecord = serde_json::from_str(RUN_RECORD).unwrap();
+    let run: StoredCompletions = serde_json::from_str(RUN_RECORD).unwrap();
     assert_eq!(run.done, [(0, 3), (7, 7)]);
-    assert_eq!(parse_run_key("run/req-1/0"), Some(("req-1", 0)));
-    assert_eq!(Cut { tasks: 2048 }.position(0), None, "never written anew");
-    let places: PlaceRecord = serde_json::from_str(PLACE_RECORD).unwrap();
+    assert_eq!(parse_completion_key("run/req-1/0"), Some(("req-1", 0)));
+    assert_eq!(
+        CompletionShards { tasks: 2048 }.position(0),
+        None,
+        "never written anew"
+    );
+    let places: StoredPlacements = serde_json::from_str(PLACE_RECORD).unwrap();
     assert_eq!(
         serde_json::to_value(&places).unwrap(),
         serde_json::from_str::<Value>(PLACE_RECORD).unwrap()
@@ -281,12 +288,12 @@
     written["cancelled"] = json!(true);
     written.as_object_mut().unwrap().remove("waits");
     let back: OpenRecord = serde_json::from_value(written).unwrap();
-    let mut core = core();
-    report(&mut core, 1, vec![], 0.0);
-    core.job_opened(back, 5, 0, 0.0);
-    assert!(launched(&mut core, 0.0).is_empty());
+    let mut manager = manager();
+    report(&mut manager, 1, vec![], 0.0);
+    manager.job_accepted(back, 5, 0, 0.0);
+    assert!(launched(&mut manager, 0.0).is_empty());
     assert_eq!(
-        core.status("req-000412").map(|s| s.state),
+        manager.status("req-000412").map(|s| s.state),
         None,
         "its end is recorded"
     );
@@ -320,7 +327,7 @@
         done in prop::collection::btree_set(0u32..100_000, 0..200),
     ) {
         let mut placement_record = stairstage::coordination::state::PlacementRecord::default();
-        let mut record = PlaceRecord::default();
+        let mut record = StoredPlacements::default();
         for (id, task, attempt, machine) in &entries {
             placement_record.insert(((&**id).into(), *task, *attempt), (&**machine).into());
         }
@@ -335,15 +342,15 @@
             prop_assert!(placement_record.remove(entry));
         }
         prop_assert_eq!(placement_record.bytes(), EMPTY_BYTES);
-        let mut run = RunRecord::default();
+        let mut run = StoredCompletions::default();
         done.iter().for_each(|t| run.push_done(*t));
         prop_assert!(serde_json::to_string(&run).unwrap().len() <= run.bytes());
     }
 
     #[test]
     fn a_full_record_of_completed_tasks_fits(bytes in 100usize..20_000) {
-        let cut = Cut::within(bytes);
-        let mut run = RunRecord::default();
+        let cut = CompletionShards::within(bytes);
+        let mut run = StoredCompletions::default();
         let first = 99_999 - 2 * (cut.tasks as u32 / 2);
         (0..cut.tasks as u32 / 2).for_each(|i| run.push_done(first + 2 * i));
         prop_assert!(serde_json::to_string(&run).unwrap().len() <= bytes);
