--- a/crates/upgrade/src/operation.rs
+++ b/crates/upgrade/src/operation.rs
@@ -147,9 +147,10 @@
     }
 
     fn again(&self) -> Step {
-        match self.tries < TRIES {
-            true => Step::Read,
-            false => Step::Finished(Outcome::Unreached),
+        if self.tries < TRIES {
+            Step::Read
+        } else {
+            Step::Finished(Outcome::Unreached)
         }
     }
 }
--- a/crates/upgrade/src/window.rs
+++ b/crates/upgrade/src/window.rs
@@ -83,9 +83,10 @@
         if !self.is_on(day.weekday()) {
             return None;
         }
-        let closing_day = match self.closes > self.opens {
-            true => day,
-            false => day.tomorrow().ok()?,
+        let closing_day = if self.closes > self.opens {
+            day
+        } else {
+            day.tomorrow().ok()?
         };
         let opens = instant(day, self.opens, &self.zone)?;
         let closes = instant(closing_day, self.closes, &self.zone)?;
--- a/crates/upgrade/tests/histories.rs
+++ b/crates/upgrade/tests/histories.rs
@@ -227,9 +227,10 @@
     }
 
     fn asks(&mut self, operator: usize, aborts: bool) {
-        let request = match aborts {
-            true => Request::Abort,
-            false => Request::Finalize(Asked::ByOperator),
+        let request = if aborts {
+            Request::Abort
+        } else {
+            Request::Finalize(Asked::ByOperator)
         };
         let timing = Timing {
             now_ms: 0,
--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -15,7 +15,7 @@
 
 /// What to do about an upgrade.
 #[derive(Subcommand)]
-pub enum UpgradeCommand {
+pub(super) enum UpgradeCommand {
     /// Tells who runs which release, the active version, and what holds the next one up.
     Status(UpgradeFiles),
     /// Tells whether `finalize` would raise the version now, and every reason why not.
@@ -28,7 +28,7 @@
 
 /// Where the settings are, and how to tell.
 #[derive(Args)]
-pub struct UpgradeFiles {
+pub(super) struct UpgradeFiles {
     /// The settings file of any controller of the cluster (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
@@ -56,7 +56,7 @@
 }
 
 /// Runs the command and returns its exit code.
-pub fn run(command: &UpgradeCommand) -> ExitCode {
+pub(super) fn run(command: &UpgradeCommand) -> ExitCode {
     let (UpgradeCommand::Status(files)
     | UpgradeCommand::Plan(files)
     | UpgradeCommand::Finalize(files)
--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -4,7 +4,7 @@
 use super::Demand;
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::scheduling::placement::may_use;
-use crate::coordination::state::*;
+use crate::coordination::state::{Deadline, Job, Machine, Name};
 use crate::coordination::Time;
 use std::collections::{HashMap, HashSet};
 
--- a/src/coordination/autoscaling/demand/gangs.rs
+++ b/src/coordination/autoscaling/demand/gangs.rs
@@ -3,7 +3,7 @@
 use super::supply::may_use_type;
 use super::Demand;
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::*;
+use crate::coordination::state::Job;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobKind, JobSpec};
 use std::cmp::Reverse;
--- a/src/coordination/autoscaling/demand/mod.rs
+++ b/src/coordination/autoscaling/demand/mod.rs
@@ -5,7 +5,7 @@
 mod supply;
 
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::*;
+use crate::coordination::state::{Job, MachinePhase, Resources};
 use crate::coordination::Time;
 use crate::protocol::job::{JobKind, JobSpec};
 use std::sync::Arc;
--- a/src/coordination/autoscaling/demand/supply.rs
+++ b/src/coordination/autoscaling/demand/supply.rs
@@ -1,7 +1,7 @@
 //! The machines that are at hand or on their way, and which jobs may use them.
 
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::*;
+use crate::coordination::state::{Job, MachinePhase, Resources};
 use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
@@ -20,7 +20,7 @@
 }
 
 impl Supply<'_> {
-    pub fn suits(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn suits(&self, spec: &JobSpec) -> bool {
         let zone = spec.zone.as_ref().is_none_or(|z| z == self.zone);
         zone && (spec.spot || !self.spot) && may_use_type(spec, self.kind)
     }
--- a/src/coordination/autoscaling/replica_rates.rs
+++ b/src/coordination/autoscaling/replica_rates.rs
@@ -44,7 +44,7 @@
 }
 
 impl ReplicaRates {
-    pub fn new(spec: Arc<JobSpec>, now: Time) -> ReplicaRates {
+    pub(crate) fn new(spec: Arc<JobSpec>, now: Time) -> ReplicaRates {
         ReplicaRates {
             spec,
             first: now,
@@ -53,18 +53,18 @@
         }
     }
 
-    pub fn arrived(&mut self, spec: &Arc<JobSpec>, now: Time) {
+    pub(crate) fn arrived(&mut self, spec: &Arc<JobSpec>, now: Time) {
         self.spec = spec.clone();
         self.first = self.first.min(now);
         self.came.add(spec.tasks, now);
     }
 
-    pub fn left(&mut self, replicas: u32, now: Time) {
+    pub(crate) fn left(&mut self, replicas: u32, now: Time) {
         self.went.add(replicas, now);
     }
 
     /// By the last few boot times; what was there in the first `skipped_s` does not count.
-    pub fn within_a_boot(&self, boot_s: f64, skipped_s: f64, now: Time) -> Rates {
+    pub(crate) fn within_a_boot(&self, boot_s: f64, skipped_s: f64, now: Time) -> Rates {
         let window_s = WINDOW_BOOTS * boot_s;
         let from = (now - window_s).max(self.first + skipped_s);
         Rates {
@@ -73,7 +73,7 @@
         }
     }
 
-    pub fn forget_old(&mut self, boot_s: f64, now: Time) {
+    pub(crate) fn forget_old(&mut self, boot_s: f64, now: Time) {
         let from = now - WINDOW_BOOTS * boot_s;
         self.came.forget_before(from);
         self.went.forget_before(from);
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -3,7 +3,7 @@
 use crate::coordination::autoscaling::scale_out::MIN_CHARGE_S;
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::scheduling::placement::may_use;
-use crate::coordination::state::*;
+use crate::coordination::state::{AllocationId, Job, Machine, MachinePhase, Name, Resources};
 use crate::coordination::Time;
 use std::collections::HashMap;
 use tracing::info;
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -3,9 +3,9 @@
 use crate::coordination::autoscaling::demand::{merged, Demand};
 use crate::coordination::autoscaling::replica_rates::ReplicaRates;
 use crate::coordination::cluster::{ClusterState, Effect};
-use crate::coordination::state::*;
+use crate::coordination::state::{Machine, MachinePhase, Name, Resources};
 use crate::coordination::Time;
-use crate::protocol::cloud::*;
+use crate::protocol::cloud::{ListedMachine, MachineState, MachineType, Rent, MAX_RENTED};
 use crate::protocol::job::{JobKind, JobSpec};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -5,8 +5,11 @@
 //! report ([`ClusterState::tasks_not_shown`]), a new incarnation, a lease that is over by our clock, or the
 //! cloud's word.
 
-use crate::coordination::cluster::*;
-use crate::coordination::state::*;
+use crate::coordination::cluster::{ClusterState, DRIFT, WORKER_RETRY_S};
+use crate::coordination::state::{
+    Allocation, AllocationId, AllocationRef, AllocationState, Machine, MachinePhase, Name,
+    PlacementRecord, Stop,
+};
 use crate::coordination::Time;
 use crate::protocol::job::JobKind;
 use crate::protocol::worker::Heartbeat;
@@ -356,9 +359,10 @@
     /// have begun just then, and what is sent to it runs in no later one.
     pub(crate) fn renewed_by(&self, m: &Machine) -> Option<Time> {
         let known = m.answered.max(m.heard.unwrap_or(m.answered));
-        match m.token >= self.first_token {
-            true => Some(known.max(self.elected_at)),
-            false => self.promised.map(|t| t.max(known)),
+        if m.token >= self.first_token {
+            Some(known.max(self.elected_at))
+        } else {
+            self.promised.map(|t| t.max(known))
         }
     }
 
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -1,7 +1,7 @@
 //! Commands to workers, and the tokens that they carry.
 
-use crate::coordination::cluster::*;
-use crate::coordination::state::*;
+use crate::coordination::cluster::{ClusterState, CommandOutcome, Effect, MAX_COMMANDS};
+use crate::coordination::state::{Allocation, AllocationState, Job, MachinePhase, Name};
 use crate::coordination::Time;
 use crate::protocol::worker::{Cause, Command, CommandBatch};
 use crate::storage::records::CompletionShards;
--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -8,7 +8,7 @@
 //! however far: each gets its end on record, and users are told of it then.
 
 use crate::coordination::cluster::{ClusterState, Effect};
-use crate::coordination::state::*;
+use crate::coordination::state::{Deadline, Job, Name};
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::storage::records::EndRecord;
@@ -197,9 +197,10 @@
     fn takes_s(&self, job: &Job) -> f64 {
         let rates = self.types.iter().map(|t| t.fetch_gb_per_s);
         let rate = rates.fold(f64::INFINITY, f64::min);
-        let fetch_s = match rate.is_finite() && rate > 0.0 {
-            true => job.spec.image_gb / rate,
-            false => 0.0,
+        let fetch_s = if rate.is_finite() && rate > 0.0 {
+            job.spec.image_gb / rate
+        } else {
+            0.0
         };
         job.predicted_s + fetch_s
     }
--- a/src/coordination/cluster/heartbeat_routing.rs
+++ b/src/coordination/cluster/heartbeat_routing.rs
@@ -60,9 +60,10 @@
         }
         visits.at = now;
         let first = visits.count == 1 && !self.lease_outlasts_redirect;
-        match first || visits.count >= MAX_REDIRECTS {
-            true => Route::PassOn,
-            false => Route::Redirect,
+        if first || visits.count >= MAX_REDIRECTS {
+            Route::PassOn
+        } else {
+            Route::Redirect
         }
     }
 
--- a/src/coordination/cluster/heartbeats.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -1,8 +1,10 @@
 //! What workers report, and how they are answered.
 
 use crate::coordination::cluster::commands::unrecorded;
-use crate::coordination::cluster::*;
-use crate::coordination::state::*;
+use crate::coordination::cluster::{ClusterState, HeartbeatOutcome, MAX_COMMANDS};
+use crate::coordination::state::{
+    AllocationId, AllocationState, Machine, MachinePhase, Name, Stop, MAX_UNACKNOWLEDGED,
+};
 use crate::coordination::Time;
 use crate::protocol::job::{parse_task, JobKind};
 use crate::protocol::worker::{
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs: their descriptions, their state as users are told it, and their completed tasks.
 
-use crate::coordination::cluster::*;
-use crate::coordination::state::*;
+use crate::coordination::cluster::{ClusterState, Effect};
+use crate::coordination::state::{AllocationId, AllocationRef, Job, Name};
 use crate::coordination::Time;
 use crate::protocol::job::{JobKind, JobState, JobStatus};
 use crate::storage::records::OpenRecord;
@@ -139,12 +139,12 @@
         }
         job.setbacks = 0;
         // Another place of a task that is done is of no use.
-        let rest: Vec<AllocationRef> = match is_gang {
-            true => Vec::new(),
-            false => job
-                .tasks
+        let rest: Vec<AllocationRef> = if is_gang {
+            Vec::new()
+        } else {
+            job.tasks
                 .get(task as usize)
-                .map_or(Vec::new(), |t| t.at.clone()),
+                .map_or(Vec::new(), |t| t.at.clone())
         };
         let over = job.is_over();
         self.proves_faults(id);
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -1,7 +1,7 @@
 //! Machines that are silent, faulty or about to be taken; jobs that fail wherever they run.
 
 use crate::coordination::cluster::{ClusterState, Effect, DRIFT};
-use crate::coordination::state::*;
+use crate::coordination::state::{AllocationId, Machine, MachinePhase, Name, WAITS_WITH_ROOM_S};
 use crate::coordination::Time;
 use crate::protocol::cloud::MAX_RETURNED;
 use crate::protocol::job::JobKind;
@@ -125,9 +125,10 @@
     /// that are not told within `gang_peer_s` of the first fail, and the save with them.
     fn stop_orderly(&mut self, name: &Name, key: &AllocationId, grace_s: f64, now: Time) {
         let job = self.jobs.get(&key.0);
-        match job.is_some_and(|j| j.spec.kind == JobKind::Gang) {
-            true => self.stop_all(&key.0, grace_s, now),
-            false => self.stop(name, key, grace_s, now),
+        if job.is_some_and(|j| j.spec.kind == JobKind::Gang) {
+            self.stop_all(&key.0, grace_s, now)
+        } else {
+            self.stop(name, key, grace_s, now)
         }
     }
 
@@ -163,9 +164,10 @@
     /// at fault. Many workers leave short gaps only, once they have found this leader.
     pub fn receives_no_heartbeats(&self, now: Time) -> bool {
         let interval_s = UNHEARD_REPORTS * self.settings.cluster.workers.report_s;
-        let patience_s = match self.known_to_most {
-            true => interval_s.min(UNHEARD_GAPS * self.silence_of_all_s()),
-            false => interval_s,
+        let patience_s = if self.known_to_most {
+            interval_s.min(UNHEARD_GAPS * self.silence_of_all_s())
+        } else {
+            interval_s
         };
         let last = self.reported_here.unwrap_or(self.elected_at);
         now - last > patience_s && !self.machines.is_empty()
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -17,14 +17,14 @@
 pub mod writes;
 
 use crate::coordination::prediction::Predictor;
-use crate::coordination::state::*;
+use crate::coordination::state::{AllocationId, Job, Machine, Name, PlacementRecord};
 use crate::coordination::Time;
 use crate::protocol::cloud::{MachineType, Rent};
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Transaction, VersionedValue};
-use crate::protocol::worker::*;
+use crate::protocol::worker::{CommandBatch, Heartbeat, HeartbeatResponse};
 use crate::settings::{Settings, Team, LONGEST_REPORT_INTERVAL};
-use crate::storage::records::*;
+use crate::storage::records::CompletionShards;
 use crate::storage::token_bucket::TokenBucket;
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -1,10 +1,12 @@
 //! How a new leader rebuilds its picture: from the records, then from the workers themselves.
 
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::*;
+use crate::coordination::state::{Name, PlacementRecord};
 use crate::coordination::Time;
 use crate::protocol::store::VersionedValue;
-use crate::storage::records::*;
+use crate::storage::records::{
+    parse_completion_key, parse_placement_key, OpenRecord, StoredCompletions, StoredPlacements,
+};
 use std::collections::BTreeMap;
 use tracing::info;
 
--- a/src/coordination/cluster/writes.rs
+++ b/src/coordination/cluster/writes.rs
@@ -1,7 +1,9 @@
 //! What the state service is told, within its budget, and what became of it.
 
-use crate::coordination::cluster::*;
-use crate::coordination::state::*;
+use crate::coordination::cluster::{
+    ClusterState, Effect, InFlight, SentPlacementRecord, WriteOutcome, TXN_BYTES, WRITES_IN_FLIGHT,
+};
+use crate::coordination::state::{AllocationId, AllocationState, Job, Name, PlacementRecord};
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Transaction, VersionedValue};
@@ -85,9 +87,10 @@
         self.spent.ends += changes as usize;
         let mut txn = self.begin().delete(open_key(&id));
         if !cancelled {
-            let state = match doomed {
-                true => JobState::Cancelled,
-                false => JobState::Done,
+            let state = if doomed {
+                JobState::Cancelled
+            } else {
+                JobState::Done
             };
             let end = EndRecord { state, at_ms };
             txn = txn
@@ -415,9 +418,10 @@
         job.ended = true;
         let told = job.cancelled;
         job.cancelled |= job.doomed;
-        let state = match job.cancelled {
-            true => JobState::Cancelled,
-            false => JobState::Done,
+        let state = if job.cancelled {
+            JobState::Cancelled
+        } else {
+            JobState::Done
         };
         if job.doomed && !told {
             self.fleet.left(&job.spec, now);
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -63,7 +63,13 @@
 }
 
 impl Term {
-    pub fn new(node: String, token: u64, lease: u64, lease_life: Duration, now: Time) -> Term {
+    pub(super) fn new(
+        node: String,
+        token: u64,
+        lease: u64,
+        lease_life: Duration,
+        now: Time,
+    ) -> Term {
         Term {
             node,
             first_token: token,
@@ -76,12 +82,12 @@
         }
     }
 
-    pub fn lease(&self) -> u64 {
+    pub(super) fn lease(&self) -> u64 {
         self.lease
     }
 
     /// Takes in how the last operation ended; returns the next one, or why the term is over.
-    pub fn handle(
+    pub(super) fn handle(
         &mut self,
         input: Input,
         now: Time,
@@ -103,7 +109,7 @@
     }
 
     /// Renewals go before everything else.
-    pub fn next_operation(&mut self, now: Time) -> Operation {
+    pub(super) fn next_operation(&mut self, now: Time) -> Operation {
         if now >= self.renew_at {
             self.activity = Activity::Renewing { sent: now };
             return Operation::Renew {
--- a/src/coordination/prediction.rs
+++ b/src/coordination/prediction.rs
@@ -107,9 +107,10 @@
         }
         let error = self.value(&terms) - run_s;
         let weight = (size.max(0.0) * run_s).ln().max(MIN_WEIGHT);
-        let slope = match error >= 0.0 {
-            true => 2.0 * error * weight,
-            false => -weight,
+        let slope = if error >= 0.0 {
+            2.0 * error * weight
+        } else {
+            -weight
         };
         let rate = RATE * (self.steps / self.norm.max(f64::MIN_POSITIVE)).sqrt();
         for (i, x) in terms.iter().enumerate() {
--- a/src/coordination/requests/lookup.rs
+++ b/src/coordination/requests/lookup.rs
@@ -113,9 +113,10 @@
 
     fn on(&mut self, answer: StoreAnswer) -> Progress<bool> {
         if self.reading_end {
-            return match is_cancelled(answer)? {
-                true => Ok(Step::Finished(true)),
-                false => self.next(),
+            return if is_cancelled(answer)? {
+                Ok(Step::Finished(true))
+            } else {
+                self.next()
             };
         }
         match answer.value::<OpenRecord>()? {
--- a/src/coordination/requests/polls/mod.rs
+++ b/src/coordination/requests/polls/mod.rs
@@ -204,9 +204,10 @@
         let read = !self.reads.is_empty();
         if (compare || read) && self.requests.take(now, 1.0) {
             let read_first = read && (!compare || self.compared_last);
-            let call = match read_first {
-                true => self.begin_read(),
-                false => self.begin_comparison(now).or_else(|| self.begin_read()),
+            let call = if read_first {
+                self.begin_read()
+            } else {
+                self.begin_comparison(now).or_else(|| self.begin_read())
             };
             effects.extend(call.map(Effect::Store));
         }
--- a/src/coordination/requests/polls/read_results.rs
+++ b/src/coordination/requests/polls/read_results.rs
@@ -62,9 +62,10 @@
                 ends.push((job, state));
             }
         }
-        match ends.is_empty() {
-            true => Vec::new(),
-            false => vec![Effect::Ended(ends)],
+        if ends.is_empty() {
+            Vec::new()
+        } else {
+            vec![Effect::Ended(ends)]
         }
     }
 
--- a/src/coordination/requests/polls/reads.rs
+++ b/src/coordination/requests/polls/reads.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 /// Records in a page at the most, and for each that is wanted: reading what nobody asks for costs time.
-pub const MAX_LISTED: usize = 400;
+pub(super) const MAX_LISTED: usize = 400;
 const LISTED_FOR_ONE: usize = 16;
 
 /// What is read of a job.
@@ -103,9 +103,10 @@
     pub(super) fn next(&mut self) -> Option<(ReadCall, StoreCall)> {
         let ends_wait = !self.ends.wanted.is_empty();
         self.read_end_last = ends_wait && (self.open.wanted.is_empty() || !self.read_end_last);
-        let kind = match self.read_end_last {
-            true => RecordKind::End,
-            false => RecordKind::Open,
+        let kind = if self.read_end_last {
+            RecordKind::End
+        } else {
+            RecordKind::Open
         };
         let sweep = self.sweep(kind);
         let wanted = sweep.wanted.len();
--- a/src/coordination/requests/prerequisites.rs
+++ b/src/coordination/requests/prerequisites.rs
@@ -49,9 +49,10 @@
             cancelled: false,
             stage: Stage::Comparing,
         };
-        let step = match spec.waits_on.contains(&spec.id) {
-            true => Step::Finished(Needed::Never("waits_on: names the job itself".into())),
-            false => prerequisites.next(),
+        let step = if spec.waits_on.contains(&spec.id) {
+            Step::Finished(Needed::Never("waits_on: names the job itself".into()))
+        } else {
+            prerequisites.next()
         };
         (prerequisites, step)
     }
@@ -75,9 +76,10 @@
 
     fn compare(&mut self) -> Step<Needed> {
         let Some(jobs) = self.chunks.pop_front() else {
-            return Step::Finished(match self.cancelled {
-                true => Needed::Cancelled,
-                false => Needed::Accepted,
+            return Step::Finished(if self.cancelled {
+                Needed::Cancelled
+            } else {
+                Needed::Accepted
             });
         };
         let none = Transaction::default();
--- a/src/coordination/scheduling/placement/arrays.rs
+++ b/src/coordination/scheduling/placement/arrays.rs
@@ -3,7 +3,7 @@
 use super::SchedulingCycle;
 use crate::coordination::scheduling::backfill::Reservation;
 use crate::coordination::scheduling::queue::Blocked;
-use crate::coordination::state::*;
+use crate::coordination::state::{Job, Resources};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -43,7 +43,7 @@
 pub(crate) struct MachinesByCost(BinaryHeap<Reverse<Candidate>>);
 
 impl MachinesByCost {
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
@@ -69,7 +69,7 @@
 impl SchedulingCycle<'_> {
     /// The machines that have room for a task of an array, the best first. They go where their
     /// image is, else in the order in which machines fill.
-    pub fn rooms_for(&mut self, job: &Job) -> Result<MachinesByCost, Blocked> {
+    pub(crate) fn rooms_for(&mut self, job: &Job) -> Result<MachinesByCost, Blocked> {
         let need = job.need();
         let mut found: Vec<Reverse<Candidate>> = Vec::new();
         // A job at its team's limit waits for that, and must not come to hold the reservation.
@@ -99,7 +99,7 @@
     }
 
     /// Places as many tasks of an array as can be, on machines that have room for one.
-    pub fn place_tasks(
+    pub(crate) fn place_tasks(
         &mut self,
         job: &Job,
         mut rooms: MachinesByCost,
--- a/src/coordination/scheduling/placement/gangs.rs
+++ b/src/coordination/scheduling/placement/gangs.rs
@@ -3,12 +3,12 @@
 use super::{failure_penalty_s, SchedulingCycle};
 use crate::coordination::scheduling::backfill::Reservation;
 use crate::coordination::scheduling::queue::Blocked;
-use crate::coordination::state::*;
+use crate::coordination::state::{Job, Name};
 use std::collections::{BTreeSet, HashMap};
 
 impl SchedulingCycle<'_> {
     /// All tasks of a gang, or none.
-    pub fn place_gang(
+    pub(crate) fn place_gang(
         &mut self,
         job: &Job,
         mut head: Option<&mut Reservation>,
--- a/src/coordination/scheduling/placement/mod.rs
+++ b/src/coordination/scheduling/placement/mod.rs
@@ -5,7 +5,7 @@
 mod services;
 
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::*;
+use crate::coordination::state::{AllocationId, Job, Machine, Name, Resources};
 use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -55,7 +55,7 @@
 const SUSPECT_JOBS: usize = 2;
 
 impl<'a> SchedulingCycle<'a> {
-    pub fn new(core: &'a ClusterState, now: Time) -> SchedulingCycle<'a> {
+    pub(crate) fn new(core: &'a ClusterState, now: Time) -> SchedulingCycle<'a> {
         let machines: Vec<&Machine> = core.machines.values().collect();
         let kinds: Vec<Option<&MachineType>> =
             machines.iter().map(|m| core.type_of(&m.kind)).collect();
@@ -83,29 +83,29 @@
         }
     }
 
-    pub fn finish(self) -> SchedulingPlan {
+    pub(crate) fn finish(self) -> SchedulingPlan {
         self.plans
     }
 
-    pub fn machine(&self, i: usize) -> &'a Machine {
+    pub(crate) fn machine(&self, i: usize) -> &'a Machine {
         self.machines[i]
     }
 
     /// Processors of all machines that take tasks.
-    pub fn cpus(&self) -> f64 {
+    pub(crate) fn cpus(&self) -> f64 {
         let open = self.kinds.iter().zip(&self.open).filter(|(_, open)| **open);
         open.map(|(kind, _)| kind.map_or(0.0, |t| t.cpus)).sum()
     }
 
     /// What batches may use of a machine's room.
-    pub fn room(&self, i: usize) -> Resources {
+    pub(crate) fn room(&self, i: usize) -> Resources {
         let mut room = self.rooms[i];
         room.take(&self.warm[i]);
         room
     }
 
     /// Machines that may take a task of the job at all.
-    pub fn allowed<'b>(&'b self, job: &'b Job) -> impl Iterator<Item = usize> + 'b {
+    pub(crate) fn allowed<'b>(&'b self, job: &'b Job) -> impl Iterator<Item = usize> + 'b {
         (0..self.machines.len()).filter(move |i| {
             let m = self.machines[*i];
             self.open[*i] && may_use(job, m)
--- a/src/coordination/scheduling/placement/services.rs
+++ b/src/coordination/scheduling/placement/services.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use crate::coordination::scheduling::queue::{outranks, Blocked};
-use crate::coordination::state::*;
+use crate::coordination::state::{Allocation, AllocationId, AllocationState, Job, Resources};
 
 /// Seconds of waiting that a free start is worth against stopping other work.
 const PREEMPTION_PENALTY_S: f64 = 1.0;
@@ -12,7 +12,7 @@
 
 impl SchedulingCycle<'_> {
     /// A replica goes where it starts soonest; lesser work makes room where that is sooner.
-    pub fn place_service(&mut self, job: &Job, task: u32) -> Result<(), Blocked> {
+    pub(crate) fn place_service(&mut self, job: &Job, task: u32) -> Result<(), Blocked> {
         if !self.within_limit(job, 1) {
             return Err(Blocked::Rule);
         }
@@ -67,9 +67,10 @@
     }
 
     fn apart_s(&self, i: usize) -> f64 {
-        match self.machines[i].holds_services() {
-            true => 0.0,
-            false => APART_S,
+        if self.machines[i].holds_services() {
+            0.0
+        } else {
+            APART_S
         }
     }
 
@@ -116,7 +117,7 @@
 
     /// Sets room aside for the replicas that are expected before a machine could be rented: where
     /// their image is, and on the fullest machines.
-    pub fn keep_warm(&mut self) {
+    pub(crate) fn keep_warm(&mut self) {
         for (need, count, image) in self.core.fleet.expected(self.core, self.now) {
             let mut free: Vec<(bool, f64, usize)> = (0..self.machines.len())
                 .filter(|i| self.open[*i] && !self.machines[*i].spot)
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -4,7 +4,9 @@
 use crate::coordination::scheduling::backfill::{reserve, reserve_gang, Frees, Reservation};
 use crate::coordination::scheduling::deadlines::{met, RemainingWork};
 use crate::coordination::scheduling::placement::SchedulingCycle;
-use crate::coordination::state::*;
+use crate::coordination::state::{
+    AllocationId, AllocationState, Deadline, Job, MachinePhase, Name, WAITS_WITH_ROOM_S,
+};
 use crate::coordination::Time;
 use crate::protocol::job::{JobKind, Priority};
 use crate::protocol::worker::TaskState;
@@ -58,9 +60,10 @@
         let mut services: Vec<&Job> = Vec::new();
         let mut queue: Vec<&Job> = Vec::new();
         for job in self.jobs.values().filter(|j| waits(j, now)) {
-            match job.is_service() {
-                true => services.push(job),
-                false => queue.push(job),
+            if job.is_service() {
+                services.push(job)
+            } else {
+                queue.push(job)
             }
         }
         services.sort_by_key(|j| (Reverse(j.priority), j.arrival_order));
@@ -86,9 +89,10 @@
         let mut gangs: HashMap<Name, u64> = HashMap::new();
         for plan in plans.places {
             let fresh = self.unique();
-            let attempt = match plan.gang {
-                true => *gangs.entry(plan.job.clone()).or_insert(fresh),
-                false => fresh,
+            let attempt = if plan.gang {
+                *gangs.entry(plan.job.clone()).or_insert(fresh)
+            } else {
+                fresh
             };
             let key = (plan.job, plan.task, attempt);
             self.add_place(key, &plan.machine, AllocationState::Pending, now);
@@ -108,9 +112,10 @@
         let of_class = aims.filter(|o| o.kind == "deadline" && o.class.as_deref() == Some(class));
         let mut times: Vec<f64> = of_class.filter_map(|o| o.times).collect();
         times.sort_by(f64::total_cmp);
-        match times.is_empty() {
-            true => vec![1.0],
-            false => times,
+        if times.is_empty() {
+            vec![1.0]
+        } else {
+            times
         }
     }
 
@@ -155,9 +160,10 @@
                     continue;
                 }
                 taken += dues[i].work;
-                let time = match dues[i].at.is_finite() {
-                    true => dues[i].at - job.predicted_s,
-                    false => job.ready,
+                let time = if dues[i].at.is_finite() {
+                    dues[i].at - job.predicted_s
+                } else {
+                    job.ready
                 };
                 turns.insert(job.id.clone(), (tier, time));
             }
@@ -257,17 +263,19 @@
                 _ => Ok(()),
             };
         }
-        let most = match job.is_on_trial(pass.now) {
-            true => most.min(1_usize.saturating_sub(job.live as usize)),
-            false => most,
+        let most = if job.is_on_trial(pass.now) {
+            most.min(1_usize.saturating_sub(job.live as usize))
+        } else {
+            most
         };
         if most == 0 {
             return Ok(());
         }
         let rooms = pass.rooms_for(job)?;
-        let held = match rooms.is_empty() {
-            true => None,
-            false => head.reservation(self, pass),
+        let held = if rooms.is_empty() {
+            None
+        } else {
+            head.reservation(self, pass)
         };
         pass.place_tasks(job, rooms, held, guaranteed, most)
     }
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -140,9 +140,10 @@
     /// Whether nothing is left of it but the record of its end.
     pub fn is_over(&self) -> bool {
         let done = !self.is_service() && self.done as usize == self.tasks.len();
-        match self.cancelled || self.doomed {
-            true => self.live == 0 && !self.ended,
-            false => done && !self.ended,
+        if self.cancelled || self.doomed {
+            self.live == 0 && !self.ended
+        } else {
+            done && !self.ended
         }
     }
 
@@ -157,9 +158,10 @@
 
     /// How many of its tasks may be in one zone.
     pub fn most_in_zone(&self) -> u32 {
-        match self.spec.spread {
-            true => self.spec.tasks.div_ceil(2),
-            false => u32::MAX,
+        if self.spec.spread {
+            self.spec.tasks.div_ceil(2)
+        } else {
+            u32::MAX
         }
     }
 
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -79,9 +79,10 @@
 
     /// What a new place adds to the record.
     pub fn bytes_for(&self, key: &AllocationId, machine: &Name) -> usize {
-        let job = match self.holds_job(&key.0) {
-            true => 0,
-            false => job_bytes(&key.0),
+        let job = if self.holds_job(&key.0) {
+            0
+        } else {
+            job_bytes(&key.0)
         };
         job + place_bytes(machine, key.1, key.2)
     }
--- a/src/coordination/state/resources.rs
+++ b/src/coordination/state/resources.rs
@@ -51,9 +51,12 @@
 
     /// How many tasks of a shape fit.
     pub fn slots(&self, need: &Resources) -> u32 {
-        let ratio = |have: f64, want: f64| match want > 0.0 {
-            true => ((have + SLACK) / want).floor().max(0.0),
-            false => f64::from(u16::MAX),
+        let ratio = |have: f64, want: f64| {
+            if want > 0.0 {
+                ((have + SLACK) / want).floor().max(0.0)
+            } else {
+                f64::from(u16::MAX)
+            }
         };
         ratio(self.cpus, need.cpus)
             .min(ratio(self.gpus, need.gpus))
--- a/src/service/cloud_calls.rs
+++ b/src/service/cloud_calls.rs
@@ -3,7 +3,9 @@
 use super::gateway::SharedTypes;
 use super::messages::Message;
 use super::spawn;
-use crate::protocol::cloud::*;
+use crate::protocol::cloud::{
+    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, Rent, LIST_PAGE,
+};
 use crate::protocol::store::Transaction;
 use crate::protocol::TOO_MANY_REQUESTS;
 use crate::settings::Settings;
--- a/src/service/controller/reports.rs
+++ b/src/service/controller/reports.rs
@@ -34,9 +34,10 @@
         if !renews {
             return self.redirect(report, body, passed_on, respond);
         }
-        let source = match passed_on {
-            true => HeartbeatSource::Peer,
-            false => HeartbeatSource::Worker,
+        let source = if passed_on {
+            HeartbeatSource::Peer
+        } else {
+            HeartbeatSource::Worker
         };
         let reply = match manager.heartbeat_from(source, &report, now) {
             HeartbeatOutcome::Answer(answer) => {
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -16,7 +16,11 @@
 /// The state service must have been out of reach for this long.
 const DOUBT: Duration = Duration::from_secs(3);
 
-pub fn watch(store: KeyValueStore, peers: Peers, epoch: Instant) -> anyhow::Result<Arc<Health>> {
+pub(super) fn watch(
+    store: KeyValueStore,
+    peers: Peers,
+    epoch: Instant,
+) -> anyhow::Result<Arc<Health>> {
     let isolated = Arc::new(AtomicBool::new(false));
     let told = isolated.clone();
     spawn("isolation", move || loop {
@@ -26,11 +30,10 @@
             && !peers.is_empty()
             && !peers.names().any(|name| peers.reaches(name, PAUSE / 2));
         if alone != isolated.swap(alone, Ordering::Relaxed) {
-            match alone {
-                true => {
-                    warn!("neither the state service nor a peer is reached: leaves the rotation")
-                }
-                false => info!("is no longer cut off"),
+            if alone {
+                warn!("neither the state service nor a peer is reached: leaves the rotation")
+            } else {
+                info!("is no longer cut off")
             }
         }
     })?;
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -132,9 +132,10 @@
 
     /// Has another controller answer, unless this one was asked by another itself.
     fn hand_on(&self, asked: UserPoll) {
-        match asked.from_peer {
-            true => (asked.respond)(reply_of(Answer::Later(Reason::NoStateService))),
-            false => gateway::offer(&self.gateway, Task::hand_on(asked.poll.job, asked.respond)),
+        if asked.from_peer {
+            (asked.respond)(reply_of(Answer::Later(Reason::NoStateService)))
+        } else {
+            gateway::offer(&self.gateway, Task::hand_on(asked.poll.job, asked.respond))
         }
     }
 
--- a/src/service/upgrade/shared.rs
+++ b/src/service/upgrade/shared.rs
@@ -11,9 +11,10 @@
 impl SharedWriteFence {
     /// `staged` tells whether upgrades are staged at all.
     pub fn new(staged: bool) -> SharedWriteFence {
-        let clearance = match staged {
-            true => WriteFence::Unread,
-            false => WriteFence::Unstaged,
+        let clearance = if staged {
+            WriteFence::Unread
+        } else {
+            WriteFence::Unstaged
         };
         SharedWriteFence(Arc::new(RwLock::new(clearance)))
     }
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -1,7 +1,9 @@
 //! The state service's client.
 
 use super::request_counts::{RecentRequests, RequestCounts, RequestKind};
-use crate::protocol::store::*;
+use crate::protocol::store::{
+    Applied, Events, Granted, Page, Refused, Transaction, VersionedValue,
+};
 use crate::protocol::TOO_MANY_REQUESTS;
 use crate::transport::client::{Answer, Client};
 use serde::de::DeserializeOwned;
@@ -164,9 +166,10 @@
 
     /// The same, for a caller that cannot wait as long as usual.
     pub fn commit_within(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
-        let kind = match transaction.changes.is_empty() {
-            true => RequestKind::Comparison,
-            false => RequestKind::Change,
+        let kind = if transaction.changes.is_empty() {
+            RequestKind::Comparison
+        } else {
+            RequestKind::Change
         };
         let answer = self.client.post("/txn", transaction, timeout);
         match self.noted(kind, answer) {
--- a/src/transport/front.rs
+++ b/src/transport/front.rs
@@ -184,9 +184,12 @@
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let path = request.uri().path().to_string();
         let worker = path.starts_with("/agent/");
-        let class = class.get_or_init(|| match worker {
-            true => Counted::below(self.bounds.workers, &self.workers),
-            false => Counted::below(self.bounds.users, &self.users),
+        let class = class.get_or_init(|| {
+            if worker {
+                Counted::below(self.bounds.workers, &self.workers)
+            } else {
+                Counted::below(self.bounds.users, &self.users)
+            }
         });
         let admitted = class.is_some();
         if !admitted && !worker {
@@ -215,9 +218,10 @@
     async fn call(&self, request: Request<Incoming>, path: &str) -> Result<Call, Reply> {
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (request.method(), &parts[..]) {
-            (&Method::GET, ["healthz"]) => Err(match (self.health)() {
-                true => Reply::json(200, &()),
-                false => Reply::later("this node is cut off"),
+            (&Method::GET, ["healthz"]) => Err(if (self.health)() {
+                Reply::json(200, &())
+            } else {
+                Reply::later("this node is cut off")
             }),
             (&Method::POST, ["v2", "runs"]) => self.body(request).await.map(Call::Submit),
             (&Method::POST, ["agent", "beat"]) => self.body(request).await.map(Call::Report),
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -224,9 +224,10 @@
         };
         let waits = asked.waits;
         let reply = self.call(within, async move {
-            match waits {
-                true => client.ask_waiting(request).await,
-                false => client.ask(request).await,
+            if waits {
+                client.ask_waiting(request).await
+            } else {
+                client.ask(request).await
             }
         })?;
         Some(Reply {
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -12,9 +12,10 @@
 
 impl Cluster {
     pub(super) fn latency(&mut self) -> Micros {
-        let (low, high) = match self.random.chance(SLOW_SHARE) {
-            true => SLOW_LATENCY,
-            false => LATENCY,
+        let (low, high) = if self.random.chance(SLOW_SHARE) {
+            SLOW_LATENCY
+        } else {
+            LATENCY
         };
         self.random.between(low, high)
     }
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -10,7 +10,7 @@
 
 impl Cluster {
     /// The controller hands over, if it leads.
-    pub fn resign(&mut self, node: usize) {
+    pub(crate) fn resign(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
         };
@@ -21,7 +21,7 @@
     }
 
     /// The controller asks for a higher token, if it leads.
-    pub fn raise_token(&mut self, node: usize) {
+    pub(crate) fn raise_token(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
         };
@@ -88,9 +88,10 @@
         let Some(process) = self.process(by) else {
             return;
         };
-        let at = match process.requests.is_empty() {
-            true => self.real_time(by.node, until).max(self.now),
-            false => self.now,
+        let at = if process.requests.is_empty() {
+            self.real_time(by.node, until).max(self.now)
+        } else {
+            self.now
         };
         self.schedule(at, Occurrence::WaitOver(by, number));
     }
--- a/tests/common/election_cluster/mod.rs
+++ b/tests/common/election_cluster/mod.rs
@@ -117,7 +117,7 @@
     since: Micros,
 }
 
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now: Micros,
     pub store: LeaseStore,
     /// Elections of which a controller was told.
@@ -139,7 +139,7 @@
 
 impl Cluster {
     /// Nodes whose leases have that length. The troubles of requests meet `trouble_share` of them.
-    pub fn new(lease: Micros, latest_end: Micros, trouble_share: f64, seed: u64) -> Cluster {
+    pub(crate) fn new(lease: Micros, latest_end: Micros, trouble_share: f64, seed: u64) -> Cluster {
         let nodes = CLOCK_RATES.iter().enumerate().map(|(i, rate)| Node {
             name: format!("node-{i}"),
             clock_rate: *rate,
@@ -169,31 +169,31 @@
         cluster
     }
 
-    pub fn nodes(&self) -> usize {
+    pub(crate) fn nodes(&self) -> usize {
         self.nodes.len()
     }
 
     /// The node that believes its lease valid.
-    pub fn leader(&self) -> Option<usize> {
+    pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |node: &usize| self.valid_token(*node).is_some();
         (0..self.nodes.len()).find(leads)
     }
 
     /// The token of a node that believes its lease valid.
-    pub fn valid_token(&self, node: usize) -> Option<u64> {
+    pub(crate) fn valid_token(&self, node: usize) -> Option<u64> {
         let process = self.nodes[node].process.as_ref()?;
         let term = process.term.as_ref()?;
         (self.local_time(node) < term.valid_until).then_some(term.token)
     }
 
     /// The node that is named in the leader's record, whether or not it knows.
-    pub fn recorded_leader(&self) -> Option<usize> {
+    pub(crate) fn recorded_leader(&self) -> Option<usize> {
         let record = self.store.leader()?;
         self.nodes.iter().position(|node| node.name == record.node)
     }
 
     /// Plays until then.
-    pub fn run_until(&mut self, end: Micros) {
+    pub(crate) fn run_until(&mut self, end: Micros) {
         loop {
             let next_event = self.queue.first_key_value().map(|((at, _), _)| *at);
             let next = [next_event, self.store.next_lease_end(), Some(end)];
@@ -216,12 +216,12 @@
         }
     }
 
-    pub fn run_for(&mut self, time: Micros) {
+    pub(crate) fn run_for(&mut self, time: Micros) {
         self.run_until(self.now + time);
     }
 
     /// Plays until a node other than `former` leads, and fails if that takes longer.
-    pub fn run_until_led(&mut self, former: Option<usize>, within: Micros) -> usize {
+    pub(crate) fn run_until_led(&mut self, former: Option<usize>, within: Micros) -> usize {
         let end = self.now + within;
         while self.now < end {
             self.run_for(SECOND / 100);
--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A leader of many machines, each full of running tasks.
-pub struct FullFleet {
+pub(crate) struct FullFleet {
     pub manager: ClusterManager,
     /// What runs on each machine.
     pub tasks: Vec<Vec<TaskStatus>>,
@@ -19,7 +19,7 @@
 
 /// The most that any transaction held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LargestWrite {
+pub(crate) struct LargestWrite {
     pub value_bytes: usize,
     pub changes: usize,
     pub conditions: usize,
@@ -38,13 +38,13 @@
 }
 
 /// The description of the job for each machine.
-pub fn job_of_machine(machine: u32) -> OpenRecord {
+pub(crate) fn job_of_machine(machine: u32) -> OpenRecord {
     let spec = parsed(&submission(&format!("req-{machine}"), "sweep", "normal", 4));
     OpenRecord::accepted(spec, 0)
 }
 
 /// A leader of so many machines of the only type, and of as many jobs, each with a machine's tasks.
-pub fn full_fleet(machines: u32) -> FullFleet {
+pub(crate) fn full_fleet(machines: u32) -> FullFleet {
     let mut manager = manager();
     for i in 0..machines {
         report_of(&mut manager, &format!("m-{i}"), 1, None, Vec::new(), 0.0);
@@ -94,11 +94,11 @@
     }
 }
 
-pub fn machine_number(name: &str) -> usize {
+pub(crate) fn machine_number(name: &str) -> usize {
     name[2..].parse().unwrap()
 }
 
-pub fn effect_bytes(effect: &Effect) -> usize {
+pub(crate) fn effect_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Write { transaction, .. } => serde_json::to_vec(transaction).unwrap().len(),
         Effect::SendCommands { orders, .. } => serde_json::to_vec(orders).unwrap().len(),
@@ -107,7 +107,7 @@
 }
 
 /// Like `carry_out`, but shows every effect.
-pub fn carry_out_all(manager: &mut ClusterManager, now: f64, mut show: impl FnMut(&Effect)) {
+pub(crate) fn carry_out_all(manager: &mut ClusterManager, now: f64, mut show: impl FnMut(&Effect)) {
     each_effect(manager, now, |manager, effect| {
         show(&effect);
         match effect {
@@ -126,7 +126,7 @@
 
 /// What twenty reports of a machine cost in which nothing is new: looks at machines and places, and bytes
 /// of what is answered and sent.
-pub fn reports_without_news(
+pub(crate) fn reports_without_news(
     manager: &mut ClusterManager,
     tasks: &[Vec<TaskStatus>],
     now: f64,
--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 
 /// Sends a request, and waits for the head of its answer.
-pub fn send(stream: &mut TcpStream, method: &str, path: &str, body: &str) -> String {
+pub(crate) fn send(stream: &mut TcpStream, method: &str, path: &str, body: &str) -> String {
     let length = body.len();
     let head = format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n");
     stream.write_all(head.as_bytes()).unwrap();
@@ -13,7 +13,7 @@
 }
 
 /// The head of an answer, and what came with it.
-pub fn answer(stream: &mut TcpStream) -> String {
+pub(crate) fn answer(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let mut bytes = [0; 4096];
     while !text.contains("\r\n\r\n") {
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -10,26 +10,26 @@
 use std::collections::BTreeMap;
 
 /// Real time in microseconds.
-pub type Micros = u64;
+pub(crate) type Micros = u64;
 
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 /// A lease ends late by at most this.
-pub const LATEST_END: Micros = SECOND / 10;
+pub(crate) const LATEST_END: Micros = SECOND / 10;
 
 /// Pseudo-random numbers that depend on nothing but a seed.
-pub struct Random(SplitMix64);
+pub(crate) struct Random(SplitMix64);
 
 impl Random {
-    pub fn new(seed: u64) -> Random {
+    pub(crate) fn new(seed: u64) -> Random {
         Random(SplitMix64(seed))
     }
 
     /// A number from `low` to `high`, both included.
-    pub fn between(&mut self, low: u64, high: u64) -> u64 {
+    pub(crate) fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.0.next() % (high - low + 1)
     }
 
-    pub fn chance(&mut self, share: f64) -> bool {
+    pub(crate) fn chance(&mut self, share: f64) -> bool {
         (self.between(0, 999_999) as f64) < share * 1e6
     }
 }
@@ -45,7 +45,7 @@
     ends_at: Micros,
 }
 
-pub struct LeaseStore {
+pub(crate) struct LeaseStore {
     revision: u64,
     keys: BTreeMap<String, StoredKey>,
     leases: BTreeMap<u64, Lease>,
@@ -59,7 +59,7 @@
 
 impl LeaseStore {
     /// Leases end late by up to `latest_end`.
-    pub fn new(seed: u64, latest_end: Micros) -> LeaseStore {
+    pub(crate) fn new(seed: u64, latest_end: Micros) -> LeaseStore {
         LeaseStore {
             revision: 0,
             keys: BTreeMap::new(),
@@ -73,12 +73,12 @@
     }
 
     /// When the next lease ends; none does during an outage.
-    pub fn next_lease_end(&self) -> Option<Micros> {
+    pub(crate) fn next_lease_end(&self) -> Option<Micros> {
         let ends = self.leases.values().map(|lease| lease.ends_at);
         ends.min().filter(|_| !self.outage)
     }
 
-    pub fn expire(&mut self, now: Micros) {
+    pub(crate) fn expire(&mut self, now: Micros) {
         if self.outage {
             return;
         }
@@ -89,21 +89,21 @@
         }
     }
 
-    pub fn end_outage(&mut self, now: Micros) {
+    pub(crate) fn end_outage(&mut self, now: Micros) {
         self.outage = false;
         for lease in self.leases.values_mut() {
             lease.ends_at = now + lease.life + self.random.between(0, self.latest_end);
         }
     }
 
-    pub fn grant(&mut self, life: Micros, now: Micros) -> u64 {
+    pub(crate) fn grant(&mut self, life: Micros, now: Micros) -> u64 {
         self.revision += 1;
         let ends_at = now + life + self.random.between(0, self.latest_end);
         self.leases.insert(self.revision, Lease { life, ends_at });
         self.revision
     }
 
-    pub fn renew(&mut self, lease: u64, now: Micros) -> Renewal {
+    pub(crate) fn renew(&mut self, lease: u64, now: Micros) -> Renewal {
         let Some(lease) = self.leases.get_mut(&lease) else {
             return Renewal::Over;
         };
@@ -112,7 +112,7 @@
     }
 
     /// Ends a lease, and removes what is attached to it.
-    pub fn release(&mut self, lease: u64) {
+    pub(crate) fn release(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let attached = |(key, stored): (&String, &StoredKey)| {
             (stored.lease == Some(lease)).then(|| key.clone())
@@ -125,11 +125,11 @@
         }
     }
 
-    pub fn version(&self, key: &str) -> u64 {
+    pub(crate) fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
-    pub fn leader(&self) -> Option<CurrentLeader> {
+    pub(crate) fn leader(&self) -> Option<CurrentLeader> {
         let stored = self.keys.get(LEADER_KEY)?;
         let record: LeaderRecord = serde_json::from_value(stored.value.clone()).unwrap();
         Some(CurrentLeader {
@@ -138,7 +138,7 @@
         })
     }
 
-    pub fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
+    pub(crate) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         let lease_of = |change: &Change| match change {
             Change::Put { lease, .. } => *lease,
             Change::Delete { .. } => None,
@@ -196,7 +196,7 @@
     }
 
     /// The changes of the leader's record after a revision.
-    pub fn leader_changes_after(&self, revision: u64) -> Events {
+    pub(crate) fn leader_changes_after(&self, revision: u64) -> Events {
         let changes = self.leader_changes.iter();
         Events {
             revision: self.revision,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! What several tests of the manager begin with.
 #![allow(dead_code)] // no test uses all of it
 
-pub mod full_fleet;
-pub mod http;
-pub mod random;
+pub(crate) mod full_fleet;
+pub(crate) mod http;
+pub(crate) mod random;
 
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::recovery::Records;
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 
 /// The only type of machine: room for four tasks of a job as described below.
-pub fn machine_type() -> MachineType {
+pub(crate) fn machine_type() -> MachineType {
     MachineType {
         name: "m4".into(),
         cpus: 4.0,
@@ -40,19 +40,19 @@
 }
 
 /// A submission of small tasks that never save.
-pub fn submission(id: &str, rig: &str, precedence: &str, tasks: u32) -> Value {
+pub(crate) fn submission(id: &str, rig: &str, precedence: &str, tasks: u32) -> Value {
     json!({"name_id":id,"duty":"c","crew":"t","rig":rig,"precedence":precedence,"legs":tasks,
         "cpus":1.0,"gpus":0.0,"mem_gb":1.0,"kit":"i","size_gb":1.0,"hulls":null,"berth":null,
         "same_place":false,"spread":false,"driftwood":false,"passage_s":20.0,
         "fix_interval_s":0.0,"fix_s":0.0,"due_s":null})
 }
 
-pub fn parsed(submission: &Value) -> JobSpec {
+pub(crate) fn parsed(submission: &Value) -> JobSpec {
     JobSpec::parse(submission.to_string().as_bytes()).unwrap()
 }
 
 /// What most tests of the manager run with.
-pub const SETTINGS: &str = r#"
+pub(crate) const SETTINGS: &str = r#"
 host_name = "a"
 zone = "z"
 front = "127.0.0.1:1"
@@ -67,7 +67,7 @@
 "#;
 
 /// What a user's request finds at a node that may write so much.
-pub fn request_context(clearance: WriteFence) -> Context {
+pub(crate) fn request_context(clearance: WriteFence) -> Context {
     Context {
         settings: Arc::new(Settings::parse("test", SETTINGS).unwrap()),
         types: Arc::new(vec![machine_type()]),
@@ -78,11 +78,11 @@
     }
 }
 
-pub fn manager() -> ClusterManager {
+pub(crate) fn manager() -> ClusterManager {
     core_with_token(1)
 }
 
-pub fn core_with_token(token: u64) -> ClusterManager {
+pub(crate) fn core_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
     let mut manager = ClusterManager::new(settings, token, 0.0);
     manager.lease_valid_until = f64::INFINITY;
@@ -90,7 +90,7 @@
     manager
 }
 
-pub fn submit(
+pub(crate) fn submit(
     manager: &mut ClusterManager,
     id: &str,
     rig: &str,
@@ -110,7 +110,7 @@
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, 0.0);
 }
 
-pub fn report(
+pub(crate) fn report(
     manager: &mut ClusterManager,
     sequence: u64,
     tasks: Vec<TaskStatus>,
@@ -120,7 +120,7 @@
 }
 
 /// A report of a machine of the only type, in its worker's first incarnation.
-pub fn worker_report(
+pub(crate) fn worker_report(
     machine: &str,
     sequence: u64,
     token: u64,
@@ -140,7 +140,7 @@
     }
 }
 
-pub fn report_of(
+pub(crate) fn report_of(
     manager: &mut ClusterManager,
     machine: &str,
     sequence: u64,
@@ -157,7 +157,7 @@
 }
 
 /// Lets the manager decide until it has nothing more to say.
-pub fn each_effect(
+pub(crate) fn each_effect(
     manager: &mut ClusterManager,
     now: f64,
     mut take: impl FnMut(&mut ClusterManager, Effect),
@@ -176,7 +176,7 @@
 }
 
 /// The same; writes succeed at once, and other effects are handed to `other`.
-pub fn carry_out(
+pub(crate) fn carry_out(
     manager: &mut ClusterManager,
     now: f64,
     mut other: impl FnMut(&mut ClusterManager, Effect),
@@ -190,7 +190,7 @@
 }
 
 /// The names of tasks that are then launched directly.
-pub fn launched(manager: &mut ClusterManager, now: f64) -> Vec<(String, u64)> {
+pub(crate) fn launched(manager: &mut ClusterManager, now: f64) -> Vec<(String, u64)> {
     let mut launched = Vec::new();
     carry_out(manager, now, |_, effect| {
         if let Effect::SendCommands { orders, .. } = effect {
@@ -200,7 +200,7 @@
     launched
 }
 
-pub fn starts(commands: &[Command]) -> Vec<(String, u64)> {
+pub(crate) fn starts(commands: &[Command]) -> Vec<(String, u64)> {
     let start = |c: &Command| match c {
         Command::Start { task, attempt } => Some((task.clone(), *attempt)),
         _ => None,
@@ -208,7 +208,11 @@
     commands.iter().filter_map(start).collect()
 }
 
-pub fn shown(tasks: &[(String, u64)], state: TaskState, cause: Option<Cause>) -> Vec<TaskStatus> {
+pub(crate) fn shown(
+    tasks: &[(String, u64)],
+    state: TaskState,
+    cause: Option<Cause>,
+) -> Vec<TaskStatus> {
     let show = |(task, attempt): &(String, u64)| TaskStatus {
         task: task.clone(),
         attempt: *attempt,
@@ -220,7 +224,7 @@
 }
 
 /// A state service that keeps values, versions and conditions, and refuses what is too large.
-pub struct Store {
+pub(crate) struct Store {
     pub values: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
     /// Bytes of a value, and changes of a transaction, that it takes.
@@ -230,7 +234,7 @@
 
 /// Why a transaction was not carried out.
 #[derive(Debug, PartialEq)]
-pub enum Refusal {
+pub(crate) enum Refusal {
     Conflict,
     TooLarge,
 }
@@ -257,14 +261,14 @@
     }
 
     /// The keys of conditions that don't hold.
-    pub fn conflicts(&self, txn: &Transaction) -> Vec<String> {
+    pub(crate) fn conflicts(&self, txn: &Transaction) -> Vec<String> {
         let version = |key: &String| self.values.get(key).map_or(0, |v| v.1);
         let fails = |c: &&Compare| version(&c.key) != c.version;
         let failed = txn.conditions.iter().filter(fails);
         failed.map(|c| c.key.clone()).collect()
     }
 
-    pub fn commit(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
+    pub(crate) fn commit(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
         if !self.takes(txn) {
             return Err(Refusal::TooLarge);
         }
@@ -286,7 +290,7 @@
         Ok(self.revision)
     }
 
-    pub fn item(&self, key: &str) -> Option<VersionedValue> {
+    pub(crate) fn item(&self, key: &str) -> Option<VersionedValue> {
         let (value, version) = self.values.get(key)?.clone();
         Some(VersionedValue {
             key: key.to_string(),
@@ -296,16 +300,17 @@
     }
 
     /// What a comparison of these conditions gives.
-    pub fn compared(&self, txn: &Transaction) -> CommitOutcome {
+    pub(crate) fn compared(&self, txn: &Transaction) -> CommitOutcome {
         let conflicts = self.conflicts(txn);
-        match conflicts.is_empty() {
-            true => CommitOutcome::Applied(self.revision),
-            false => CommitOutcome::Conflict(conflicts),
+        if conflicts.is_empty() {
+            CommitOutcome::Applied(self.revision)
+        } else {
+            CommitOutcome::Conflict(conflicts)
         }
     }
 
     /// The first items under a prefix that come after a key.
-    pub fn page(&self, prefix: &str, after: &str, limit: usize) -> Page {
+    pub(crate) fn page(&self, prefix: &str, after: &str, limit: usize) -> Page {
         let behind = (Bound::Excluded(after), Bound::Unbounded);
         let keys = self.values.range::<str, _>(behind).map(|(key, _)| key);
         let keys = keys.filter(|key| key.starts_with(prefix)).take(limit + 1);
@@ -319,12 +324,12 @@
         }
     }
 
-    pub fn under(&self, prefix: &str) -> Vec<VersionedValue> {
+    pub(crate) fn under(&self, prefix: &str) -> Vec<VersionedValue> {
         let keys = self.values.keys().filter(|k| k.starts_with(prefix));
         keys.filter_map(|k| self.item(k)).collect()
     }
 
-    pub fn records(&self) -> Records {
+    pub(crate) fn records(&self) -> Records {
         Records {
             open: self.under(OPEN_PREFIX),
             run: self.under(COMPLETION_PREFIX),
@@ -333,13 +338,13 @@
     }
 
     /// What keys hold, as it is read when a write went unanswered.
-    pub fn reread(&self, txn: &Transaction) -> WriteOutcome {
+    pub(crate) fn reread(&self, txn: &Transaction) -> WriteOutcome {
         let keys = txn.conditions.iter().map(|c| c.key.clone());
         WriteOutcome::Indeterminate(keys.map(|k| (k.clone(), self.item(&k))).collect())
     }
 
     /// The recorded ends of jobs.
-    pub fn ends(&self, ids: &[Name]) -> Vec<(Name, Option<EndRecord>)> {
+    pub(crate) fn ends(&self, ids: &[Name]) -> Vec<(Name, Option<EndRecord>)> {
         let end = |id: &Name| {
             let (value, _) = self.values.get(&end_key(id))?;
             Some(serde_json::from_value(value.clone()).unwrap())
@@ -349,7 +354,7 @@
 
     /// What an earlier leader finds and leaves that knows one cut of records only: completed tasks
     /// counted from 0, and all places in one record.
-    pub fn led_by_production(&mut self, tasks_a_chunk: u32) {
+    pub(crate) fn led_by_production(&mut self, tasks_a_chunk: u32) {
         self.revision += 1;
         let mut done: BTreeMap<String, std::collections::BTreeSet<u32>> = BTreeMap::new();
         for item in self.under(COMPLETION_PREFIX) {
@@ -393,7 +398,7 @@
 
 /// Carries effects out; direct commands get no answer. Returns the tasks that were launched so, and
 /// the machines that were given back.
-pub fn out_of_reach(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<String>) {
+pub(crate) fn out_of_reach(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<String>) {
     let (mut launches, mut returned) = (Vec::new(), Vec::new());
     manager.tick(now);
     carry_out(manager, now, |manager, effect| match effect {
@@ -413,7 +418,7 @@
 }
 
 /// Hands in a report; returns what its answer launches.
-pub fn answered(manager: &mut ClusterManager, report: &Heartbeat, now: f64) -> Vec<String> {
+pub(crate) fn answered(manager: &mut ClusterManager, report: &Heartbeat, now: f64) -> Vec<String> {
     match manager.heartbeat(report, now) {
         HeartbeatOutcome::Answer(answer) => {
             starts(&answer.commands).into_iter().map(|s| s.0).collect()
--- a/tests/common/random.rs
+++ b/tests/common/random.rs
@@ -1,10 +1,10 @@
 //! The generator of pseudo-random numbers behind the simulated histories.
 
 /// SplitMix64: the same seed gives the same sequence.
-pub struct SplitMix64(pub u64);
+pub(crate) struct SplitMix64(pub u64);
 
 impl SplitMix64 {
-    pub fn next(&mut self) -> u64 {
+    pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/tests/common/standins.rs
+++ b/tests/common/standins.rs
@@ -18,7 +18,7 @@
 
 /// Keys with values, versions and leases; what the protocol says of them, without limits on rates.
 #[derive(Default)]
-pub struct State {
+pub(crate) struct State {
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub leases: BTreeMap<u64, (Instant, Duration)>,
     changes: Vec<Value>,
@@ -77,12 +77,12 @@
     }
 
     /// Writes a key, as somebody else would.
-    pub fn put(&mut self, key: &str, value: Value) {
+    pub(crate) fn put(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.change(&json!({"write": key, "v": value}));
     }
 
-    pub fn answer(&mut self, method: &Method, url: &str, body: &Value) -> (u16, Value) {
+    pub(crate) fn answer(&mut self, method: &Method, url: &str, body: &Value) -> (u16, Value) {
         self.expire();
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
         let parameter = |name: &str| {
@@ -158,7 +158,7 @@
 }
 
 /// Serves `answer` from a few threads; a watch without news is asked again for a while.
-pub fn serve(
+pub(crate) fn serve(
     answer: impl Fn(&Method, &str, &Value) -> (u16, Value) + Send + Sync + 'static,
 ) -> SocketAddr {
     let server = Arc::new(server());
@@ -175,7 +175,10 @@
     address
 }
 
-pub fn respond(mut request: Request, answer: &dyn Fn(&Method, &str, &Value) -> (u16, Value)) {
+pub(crate) fn respond(
+    mut request: Request,
+    answer: &dyn Fn(&Method, &str, &Value) -> (u16, Value),
+) {
     let mut text = String::new();
     request.as_reader().read_to_string(&mut text).unwrap();
     let body = serde_json::from_str(&text).unwrap_or(Value::Null);
@@ -194,7 +197,7 @@
 
 /// The one machine: its tasks run until they are told to be done.
 #[derive(Default)]
-pub struct Worker {
+pub(crate) struct Worker {
     pub token: u64,
     sequence: u64,
     pub tasks: BTreeMap<(String, u64), &'static str>,
@@ -203,7 +206,7 @@
 }
 
 impl Worker {
-    pub fn report(&mut self, endpoint: SocketAddr) -> Value {
+    pub(crate) fn report(&mut self, endpoint: SocketAddr) -> Value {
         self.sequence += 1;
         if self.finish {
             self.tasks.values_mut().for_each(|t| *t = "exited");
@@ -218,7 +221,7 @@
             "recall_s": null, "legs": tasks})
     }
 
-    pub fn run(&mut self, answer: &Value) -> bool {
+    pub(crate) fn run(&mut self, answer: &Value) -> bool {
         let token = answer["helm"].as_u64().unwrap();
         if token < self.token {
             return false;
@@ -244,7 +247,7 @@
     }
 }
 
-pub struct Killed(Child);
+pub(crate) struct Killed(Child);
 
 impl Drop for Killed {
     fn drop(&mut self) {
@@ -279,7 +282,7 @@
     }
 }
 
-pub fn call(method: &str, address: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
+pub(crate) fn call(method: &str, address: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
     let request = ureq::request(method, &format!("http://{address}{path}"));
     let request = request.timeout(Duration::from_secs(3));
     let result = match body {
@@ -297,7 +300,7 @@
 
 /// Tries again until there is a result. What may take its time on a slow machine has plenty: only
 /// a hang fails the test.
-pub fn until<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
+pub(crate) fn until<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
         if let Some(result) = attempt() {
@@ -313,7 +316,7 @@
 }
 
 /// What a grid's controllers speak to, and where they listen.
-pub struct Grid {
+pub(crate) struct Grid {
     pub state: Arc<Mutex<State>>,
     pub state_down: Arc<AtomicBool>,
     /// Which of the controllers the state service refuses alone.
@@ -333,7 +336,7 @@
 
 impl Grid {
     /// `name` keeps the settings files of tests apart.
-    pub fn new(name: &'static str) -> Grid {
+    pub(crate) fn new(name: &'static str) -> Grid {
         let state = Arc::new(Mutex::new(State::default()));
         let state_down = Arc::new(AtomicBool::new(false));
         let watch_deaf = Arc::new(AtomicBool::new(false));
@@ -393,18 +396,23 @@
     }
 
     /// Starts one of the three controllers.
-    pub fn start(&self, i: usize) -> Option<Killed> {
+    pub(crate) fn start(&self, i: usize) -> Option<Killed> {
         self.start_with(i, &[])
     }
 
     /// The same, with further arguments.
-    pub fn start_with(&self, i: usize, arguments: &[&OsStr]) -> Option<Killed> {
+    pub(crate) fn start_with(&self, i: usize, arguments: &[&OsStr]) -> Option<Killed> {
         let program = Path::new(env!("CARGO_BIN_EXE_stairstage"));
         self.start_program(program, i, arguments)
     }
 
     /// The same with another program.
-    pub fn start_program(&self, program: &Path, i: usize, arguments: &[&OsStr]) -> Option<Killed> {
+    pub(crate) fn start_program(
+        &self,
+        program: &Path,
+        i: usize,
+        arguments: &[&OsStr],
+    ) -> Option<Killed> {
         let child = Command::new(program)
             .args(["serve", "--config"])
             .arg(self.settings_file(i))
@@ -417,7 +425,7 @@
     }
 
     /// The settings of one of the controllers.
-    pub fn settings_file(&self, i: usize) -> PathBuf {
+    pub(crate) fn settings_file(&self, i: usize) -> PathBuf {
         self.path(&settings_name(i))
     }
 
@@ -448,7 +456,7 @@
     }
 
     /// Writes a file of this grid's own.
-    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
+    pub(crate) fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.path(name);
         std::fs::write(&path, text).unwrap();
         path
@@ -459,12 +467,12 @@
         folder.join(format!("{}-{name}", self.name))
     }
 
-    pub fn front(&self, i: usize) -> String {
+    pub(crate) fn front(&self, i: usize) -> String {
         format!("127.0.0.1:{}", self.ports[i].0)
     }
 
     /// The worker reports to some of the nodes; only the leader answers with commands.
-    pub fn report_to(&self, nodes: &[usize]) {
+    pub(crate) fn report_to(&self, nodes: &[usize]) {
         for i in nodes {
             let body = self.worker.lock().unwrap().report(self.worker_address);
             if let Some((200, answer)) = call("POST", &self.front(*i), "/agent/beat", &body) {
@@ -474,7 +482,7 @@
     }
 
     /// Lets no lease end, however long nobody renews it.
-    pub fn keep_leases(&self) {
+    pub(crate) fn keep_leases(&self) {
         let mut state = self.state.lock().unwrap();
         for (_, life) in state.leases.values_mut() {
             *life = Duration::from_secs(3600);
@@ -482,7 +490,7 @@
     }
 
     /// Which node the leader's record names.
-    pub fn leader(&self) -> Option<usize> {
+    pub(crate) fn leader(&self) -> Option<usize> {
         let state = self.state.lock().unwrap();
         let name = state.keys.get("leader")?.0["node"].as_str()?.to_string();
         name[1..].parse().ok()
@@ -490,7 +498,7 @@
 }
 
 /// An array of two small tasks.
-pub fn small_job(id: &str) -> Value {
+pub(crate) fn small_job(id: &str) -> Value {
     json!({"name_id": id, "duty": "c", "crew": "t", "rig": "sweep",
         "precedence": "normal", "legs": 2, "cpus": 1.0, "gpus": 0.0, "mem_gb": 1.0, "kit": "i",
         "size_gb": 1.0, "same_place": false, "spread": false, "driftwood": false,
@@ -498,7 +506,7 @@
 }
 
 /// Submits to a node until it is accepted.
-pub fn accepted(front: &str, job: &Value) -> u16 {
+pub(crate) fn accepted(front: &str, job: &Value) -> u16 {
     until("a submission is accepted", || {
         let (status, _) = call("POST", front, "/v2/runs", job)?;
         (status < 500).then_some(status)
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -289,9 +289,10 @@
 fn a_raised_token_survives_an_outage_that_hides_its_outcome() {
     for (late, tenths) in (1..10).flat_map(|tenths| [(false, tenths), (true, tenths)]) {
         let (mut cluster, leader) = led_cluster();
-        match late {
-            false => cluster.lose_answers(leader, LEASE / 8),
-            true => cluster.delay_commits(leader, LEASE / 8),
+        if !late {
+            cluster.lose_answers(leader, LEASE / 8)
+        } else {
+            cluster.delay_commits(leader, LEASE / 8)
         }
         let token = cluster.valid_token(leader);
         cluster.raise_token(leader);
@@ -362,9 +363,10 @@
         cluster.pause(leader, 2 * LEASE);
         cluster.slow_controller(leader, 3 * LEASE);
         cluster.run_for(2 * LEASE + SECOND / 2);
-        match asks_for_token {
-            false => cluster.resign(leader),
-            true => cluster.raise_token(leader),
+        if !asks_for_token {
+            cluster.resign(leader)
+        } else {
+            cluster.raise_token(leader)
         }
         cluster.run_for(SECOND);
         for _ in 0..40 {
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -21,7 +21,7 @@
 
 impl World {
     /// Checks the starts of tasks on a worker, which are there already.
-    pub fn check_starts(&self, worker: usize, tasks: &[String]) {
+    pub(crate) fn check_starts(&self, worker: usize, tasks: &[String]) {
         for task in tasks {
             self.check_start(worker, task);
         }
@@ -97,7 +97,7 @@
 
     /// Once all troubles are over, no job is left waiting for long while its team is under its limit
     /// and machines that fit have room.
-    pub fn check_nothing_left_waiting(&mut self) {
+    pub(crate) fn check_nothing_left_waiting(&mut self) {
         let able: Vec<String> = self
             .jobs
             .keys()
@@ -145,15 +145,16 @@
             tasks
         };
         let slots = free.values().map(|n| *n.min(&most_in_zone));
-        let room: u32 = match spec.one_zone {
-            true => slots.max().unwrap_or(0),
-            false => slots.sum(),
+        let room: u32 = if spec.one_zone {
+            slots.max().unwrap_or(0)
+        } else {
+            slots.sum()
         };
         room >= tasks
     }
 
     /// No task of a cancelled job is left on the machine at `until`, if that is too late.
-    pub fn check_rest_of_cancelled(&self, w: &Worker, until: f64) {
+    pub(crate) fn check_rest_of_cancelled(&self, w: &Worker, until: f64) {
         for task in w.live() {
             self.check_cancelled(task, &self.jobs[split(task).0], until);
         }
@@ -166,7 +167,7 @@
     }
 
     /// A user is told how a job ended.
-    pub fn told(&mut self, id: &Name, state: JobState) {
+    pub(crate) fn told(&mut self, id: &Name, state: JobState) {
         let job = self.jobs.get_mut(&**id).expect("an accepted job");
         let before = job.told.replace(state);
         assert!(before.is_none_or(|b| b == state), "went_back: {id}");
--- a/tests/histories/combinations/cancellations.rs
+++ b/tests/histories/combinations/cancellations.rs
@@ -34,9 +34,10 @@
             world.submit_some(4);
             world.run_busy(6.0);
             world.cancel_some(0.2);
-            match world.chance(0.5) {
-                true => world.end_leader(),
-                false => world.isolate_leader(LEADER_LEASE_S),
+            if world.chance(0.5) {
+                world.end_leader()
+            } else {
+                world.isolate_leader(LEADER_LEASE_S)
             }
             for _ in 0..4 {
                 world.run_busy(0.5);
@@ -108,9 +109,10 @@
     let cancelled = Cell::new(0);
     for_each_seed(SEEDS, |world| {
         cancelled.set(cancelled.get() + cancel_as_the_leader_is_refused(world));
-        match world.chance(0.5) {
-            true => world.isolate_leader(0.0),
-            false => world.peers.restart(0),
+        if world.chance(0.5) {
+            world.isolate_leader(0.0)
+        } else {
+            world.peers.restart(0)
         }
         let incarnations = world.incarnations();
         outage_longer_than_a_cancellation(world, |world| world.isolate_leader(0.0));
--- a/tests/histories/combinations/leaders.rs
+++ b/tests/histories/combinations/leaders.rs
@@ -157,9 +157,10 @@
             world.run_busy(6.0);
             for _ in 0..3 {
                 let i = world.some_worker();
-                match world.chance(0.5) {
-                    true => world.workers[i].cut = true,
-                    false => world.workers[i].deaf = true,
+                if world.chance(0.5) {
+                    world.workers[i].cut = true
+                } else {
+                    world.workers[i].deaf = true
                 }
             }
             world.cloud_is_down = world.chance(0.5);
@@ -189,16 +190,18 @@
         for _ in 0..4 {
             for _ in 0..2 {
                 let i = world.some_worker();
-                match world.chance(0.5) {
-                    true => world.workers[i].cut = true,
-                    false => world.workers[i].hung = true,
+                if world.chance(0.5) {
+                    world.workers[i].cut = true
+                } else {
+                    world.workers[i].hung = true
                 }
             }
             world.cloud_is_down = world.chance(0.5);
             world.cancel_some(0.2);
-            match world.chance(0.5) {
-                true => world.replace_leader(),
-                false => world.change_leader(1.0),
+            if world.chance(0.5) {
+                world.replace_leader()
+            } else {
+                world.change_leader(1.0)
             }
             world.cancel_some(0.1);
             let away_s = world.between(3.0, 18.0);
--- a/tests/histories/combinations/machines.rs
+++ b/tests/histories/combinations/machines.rs
@@ -33,9 +33,10 @@
             }
             world.run_busy(5.0);
             let i = world.some_worker();
-            match world.chance(0.5) {
-                true => world.workers[i].die(),
-                false => world.workers[i].cut = true,
+            if world.chance(0.5) {
+                world.workers[i].die()
+            } else {
+                world.workers[i].cut = true
             }
             world.run_busy(3.0);
             if world.chance(0.3) {
--- a/tests/histories/combinations/messages.rs
+++ b/tests/histories/combinations/messages.rs
@@ -55,9 +55,10 @@
             world.submit_some(3);
             world.run_busy(3.0);
             // The machines of one zone, or all, lose their lease: copies come from earlier incarnations and attempts.
-            match world.chance(0.5) {
-                true => world.cut_zone("y", false),
-                false => world.workers.iter_mut().for_each(|w| w.cut = true),
+            if world.chance(0.5) {
+                world.cut_zone("y", false)
+            } else {
+                world.workers.iter_mut().for_each(|w| w.cut = true)
             }
             world.run_busy(14.0);
             world.reconnect_all();
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -12,12 +12,16 @@
 use stairstage::storage::records::LEADER_KEY;
 
 impl World {
-    pub fn worker_named(&self, name: &str) -> Option<usize> {
+    pub(crate) fn worker_named(&self, name: &str) -> Option<usize> {
         self.workers.iter().position(|w| w.name == name)
     }
 
     /// Delivers direct commands: whether they were executed, and the worker's report.
-    pub fn deliver(&mut self, worker: usize, orders: &CommandBatch) -> Option<(bool, Heartbeat)> {
+    pub(crate) fn deliver(
+        &mut self,
+        worker: usize,
+        orders: &CommandBatch,
+    ) -> Option<(bool, Heartbeat)> {
         let (w, now) = (&mut self.workers[worker], self.now);
         if !w.is_up(now) {
             return None;
@@ -34,7 +38,7 @@
     }
 
     /// Carries out what the leader and former leaders have decided.
-    pub fn effects(&mut self) {
+    pub(crate) fn effects(&mut self) {
         let all = self.leader.iter().chain(&self.formers);
         let ids: Vec<u64> = all.map(Leader::id).collect();
         for id in ids {
@@ -50,7 +54,7 @@
         }
     }
 
-    pub fn carry_out(&mut self, from: u64, effect: Effect) {
+    pub(crate) fn carry_out(&mut self, from: u64, effect: Effect) {
         let now = self.now;
         match effect {
             Effect::Write { id, transaction } => self.write(from, id, transaction),
@@ -88,7 +92,7 @@
     }
 
     /// Hands something to a controller, if it still lives.
-    pub fn with_core(
+    pub(crate) fn with_core(
         &mut self,
         id: u64,
         act: impl FnOnce(&mut stairstage::coordination::manager::ClusterManager),
@@ -134,7 +138,7 @@
         self.with_core(from, |manager| manager.write_finished(id, written, now));
     }
 
-    pub fn check_size(&self, transaction: &Transaction, result: &Result<u64, Refusal>) {
+    pub(crate) fn check_size(&self, transaction: &Transaction, result: &Result<u64, Refusal>) {
         assert!(
             *result != Err(Refusal::TooLarge),
             "too large: {transaction:?}"
@@ -159,7 +163,7 @@
     }
 
     /// Delivers direct commands, and says what their sender hears of it.
-    pub fn ordered(&mut self, worker: usize, orders: &CommandBatch) -> CommandOutcome {
+    pub(crate) fn ordered(&mut self, worker: usize, orders: &CommandBatch) -> CommandOutcome {
         match self.deliver(worker, orders) {
             None => CommandOutcome::NotSent,
             Some((true, report)) => CommandOutcome::Executed(report),
@@ -168,7 +172,7 @@
     }
 
     /// The cloud has carried out a return.
-    pub fn given_back(&mut self, names: &[String]) {
+    pub(crate) fn given_back(&mut self, names: &[String]) {
         let returned = |w: &&mut Worker| names.contains(&w.name) && !w.gone;
         for w in self.workers.iter_mut().filter(returned) {
             w.die();
@@ -196,15 +200,16 @@
     }
 
     /// A worker sends a report to the leader, or to the one before, and is answered at once.
-    pub fn report(&mut self, i: usize, answer_lost: bool, to_former: bool) {
+    pub(crate) fn report(&mut self, i: usize, answer_lost: bool, to_former: bool) {
         let sent = self.now;
         let w = &self.workers[i];
         if w.gone || w.hung || w.mute || w.cut && !(to_former && w.with_former) {
             return;
         }
-        let hears = match to_former {
-            true => self.formers.last_mut(),
-            false => self.leader.as_mut(),
+        let hears = if to_former {
+            self.formers.last_mut()
+        } else {
+            self.leader.as_mut()
         };
         let workers = &self.settings.cluster.workers;
         let Some(leader) = hears.filter(|l| l.may_renew(sent, workers)) else {
--- a/tests/histories/job.rs
+++ b/tests/histories/job.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 /// What the users and the workers of a history know of an accepted job.
-pub struct Job {
+pub(crate) struct Job {
     pub spec: JobSpec,
     /// How long its first task runs, and how much longer each further one.
     pub run_s: f64,
@@ -20,7 +20,7 @@
 }
 
 impl Job {
-    pub fn new(spec: JobSpec, run_s: f64, stagger_s: f64) -> Job {
+    pub(crate) fn new(spec: JobSpec, run_s: f64, stagger_s: f64) -> Job {
         Job {
             spec,
             run_s,
@@ -31,36 +31,36 @@
         }
     }
 
-    pub fn is_service(&self) -> bool {
+    pub(crate) fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
-    pub fn task_run_s(&self, number: u32) -> f64 {
+    pub(crate) fn task_run_s(&self, number: u32) -> f64 {
         self.run_s + self.stagger_s * f64::from(number)
     }
 
-    pub fn is_gang(&self) -> bool {
+    pub(crate) fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    pub fn is_open(&self) -> bool {
+    pub(crate) fn is_open(&self) -> bool {
         self.told.is_none() && self.cancelled_at.is_none() && !self.is_complete()
     }
 
-    pub fn is_complete(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         !self.is_service() && self.done.len() == self.spec.tasks as usize
     }
 }
 
 /// The job and the number of a task.
-pub fn split(task: &str) -> (&str, u32) {
+pub(crate) fn split(task: &str) -> (&str, u32) {
     let (job, number) = task.rsplit_once('/').expect("a task's name");
     (job, number.parse().expect("a task's number"))
 }
 
 /// What distinguishes the jobs of a timed history.
 #[derive(Clone, Debug)]
-pub struct JobShape {
+pub(crate) struct JobShape {
     pub kind: JobKind,
     pub tasks: u32,
     pub run_s: f64,
@@ -91,7 +91,7 @@
 }
 
 impl JobShape {
-    pub fn submission(&self, id: &str) -> Value {
+    pub(crate) fn submission(&self, id: &str) -> Value {
         let (rig, precedence) = match self.kind {
             JobKind::Array => ("sweep", "normal"),
             JobKind::Gang => ("group", "normal"),
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -6,7 +6,7 @@
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Workers;
 
-pub struct Leader {
+pub(crate) struct Leader {
     pub manager: ClusterManager,
     /// Whether it still reaches the state service, and so learns of every confirmed cancellation.
     pub reaches_store: bool,
@@ -20,7 +20,7 @@
 
 impl Leader {
     /// A leader that has read the records at `now`.
-    pub fn new(manager: ClusterManager, peers: &Peers, now: f64) -> Leader {
+    pub(crate) fn new(manager: ClusterManager, peers: &Peers, now: f64) -> Leader {
         let mut leader = Leader {
             manager,
             reaches_store: true,
@@ -33,12 +33,12 @@
     }
 
     /// Every cancellation on record at `sent` is known to it.
-    pub fn records_read(&mut self, sent: f64) {
+    pub(crate) fn records_read(&mut self, sent: f64) {
         self.evidence.records_read(sent);
     }
 
     /// It loses the state service; what was confirmed before that moment is known to it.
-    pub fn lose_store(&mut self, known_until: f64) {
+    pub(crate) fn lose_store(&mut self, known_until: f64) {
         if self.reaches_store {
             self.reaches_store = false;
             self.records_read(known_until);
@@ -46,13 +46,13 @@
     }
 
     /// It loses the state service and the other controllers.
-    pub fn cut_off(&mut self, known_until: f64) {
+    pub(crate) fn cut_off(&mut self, known_until: f64) {
         self.lose_store(known_until);
         self.reaches_peers = false;
     }
 
     /// Asks the other controllers which cancellations they have confirmed, if it is time to.
-    pub fn ask_peers(&mut self, peers: &Peers, now: f64, pause_s: f64) {
+    pub(crate) fn ask_peers(&mut self, peers: &Peers, now: f64, pause_s: f64) {
         if !self.reaches_peers || now - self.asked_at < pause_s {
             return;
         }
@@ -70,12 +70,12 @@
     }
 
     /// Whether it may answer reports, and so renew the leases of workers.
-    pub fn may_renew(&self, now: f64, workers: &Workers) -> bool {
+    pub(crate) fn may_renew(&self, now: f64, workers: &Workers) -> bool {
         self.reaches_store || self.evidence.may_renew(workers, now)
     }
 
     /// Tokens of its leadership begin here; no other leadership has the same.
-    pub fn id(&self) -> u64 {
+    pub(crate) fn id(&self) -> u64 {
         self.manager.first_token()
     }
 }
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -29,7 +29,7 @@
 
 /// The shares of messages that go wrong, each in its own way.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Faults {
+pub(crate) struct Faults {
     /// Direct commands that take their time, and so do their answers.
     pub slow_commands: f64,
     /// Direct commands that get no answer and are carried out once, late.
@@ -55,7 +55,7 @@
 
 /// What is on its way.
 #[derive(Debug)]
-pub enum Message {
+pub(crate) enum Message {
     Command {
         machine: Name,
         orders: CommandBatch,
@@ -89,7 +89,7 @@
 
 /// The controller and the number of a write.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerTo {
+pub(crate) struct AnswerTo {
     pub leader: u64,
     pub write: u64,
 }
@@ -99,7 +99,7 @@
     message: Message,
 }
 
-pub struct Network {
+pub(crate) struct Network {
     pub faults: Faults,
     pub random: Random,
     delayed: Vec<Delayed>,
@@ -107,7 +107,7 @@
 }
 
 impl Network {
-    pub fn new(seed: u64) -> Network {
+    pub(crate) fn new(seed: u64) -> Network {
         Network {
             faults: Faults::default(),
             random: Random::new(seed),
@@ -116,7 +116,7 @@
         }
     }
 
-    pub fn send(&mut self, at: f64, message: Message) {
+    pub(crate) fn send(&mut self, at: f64, message: Message) {
         self.delayed.push(Delayed { at, message });
     }
 
@@ -125,11 +125,11 @@
         self.send(now + delay, message);
     }
 
-    pub fn boot_s(&mut self) -> f64 {
+    pub(crate) fn boot_s(&mut self) -> f64 {
         self.random.between(BOOT_S.0, BOOT_S.1)
     }
 
-    pub fn most_news_delay_s(&self) -> f64 {
+    pub(crate) fn most_news_delay_s(&self) -> f64 {
         NEWS_S.1
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Copies of a report that arrive besides itself.
-    pub fn copy(&mut self, report: &Heartbeat, now: f64) {
+    pub(crate) fn copy(&mut self, report: &Heartbeat, now: f64) {
         if self.random.chance(self.faults.copied_reports) {
             let copy = Message::Report(report.clone());
             self.send_within(now, LATE_REPORT_S, copy);
@@ -155,7 +155,7 @@
     }
 
     /// Whether a report is held up; then it arrives late.
-    pub fn holds(&mut self, report: &Heartbeat, now: f64) -> bool {
+    pub(crate) fn holds(&mut self, report: &Heartbeat, now: f64) -> bool {
         let held = self.random.chance(self.faults.held_reports);
         if held {
             let late = Message::Report(report.clone());
@@ -165,7 +165,7 @@
     }
 
     /// Whether the answer to a report is lost; else for how long it is under way.
-    pub fn answer_delay_s(&mut self) -> Option<f64> {
+    pub(crate) fn answer_delay_s(&mut self) -> Option<f64> {
         if self.random.chance(self.faults.lost_answers) {
             return None;
         }
@@ -175,7 +175,7 @@
     }
 
     /// A leader begins: reports that were kept for this moment arrive.
-    pub fn release_kept(&mut self, now: f64) {
+    pub(crate) fn release_kept(&mut self, now: f64) {
         for report in std::mem::take(&mut self.kept) {
             self.send_within(now, self.faults.kept_s, Message::Report(report));
         }
@@ -187,11 +187,11 @@
 }
 
 impl World {
-    pub fn net(&mut self) -> &mut Network {
+    pub(crate) fn net(&mut self) -> &mut Network {
         self.network.as_mut().expect("a timed history")
     }
 
-    pub fn job_is_news(&mut self, record: OpenRecord, version: u64) {
+    pub(crate) fn job_is_news(&mut self, record: OpenRecord, version: u64) {
         let now = self.now;
         match &mut self.network {
             Some(network) => network.news(now, Message::JobsAccepted(Box::new(record), version)),
@@ -199,7 +199,7 @@
         }
     }
 
-    pub fn end_is_news(&mut self, id: &str) {
+    pub(crate) fn end_is_news(&mut self, id: &str) {
         let now = self.now;
         let state = JobState::Cancelled;
         match &mut self.network {
@@ -209,7 +209,7 @@
     }
 
     /// Sends direct commands; the way there, or back, may be interrupted.
-    pub fn send_orders(&mut self, from: u64, machine: &Name, orders: CommandBatch) {
+    pub(crate) fn send_orders(&mut self, from: u64, machine: &Name, orders: CommandBatch) {
         let now = self.now;
         let Some(i) = self.worker_named(machine) else {
             return self.with_core(from, |manager| {
@@ -255,7 +255,7 @@
     }
 
     /// Sends a write; it may be slow, late or without an answer.
-    pub fn send_write(&mut self, from: u64, id: u64, transaction: Transaction) {
+    pub(crate) fn send_write(&mut self, from: u64, id: u64, transaction: Transaction) {
         let now = self.now;
         let to = AnswerTo {
             leader: from,
@@ -305,7 +305,7 @@
     }
 
     /// What was under way arrives.
-    pub fn deliver_due(&mut self) {
+    pub(crate) fn deliver_due(&mut self) {
         let now = self.now;
         for message in self.net().due(now) {
             self.arrive(message);
@@ -402,7 +402,7 @@
     }
 
     /// A worker takes the answer to its last report.
-    pub fn accept_answer(&mut self, i: usize, answer: &HeartbeatResponse, sent: f64) {
+    pub(crate) fn accept_answer(&mut self, i: usize, answer: &HeartbeatResponse, sent: f64) {
         let now = self.now;
         let w = &mut self.workers[i];
         w.awaited = None;
--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -13,14 +13,14 @@
     incarnation: u64,
 }
 
-pub struct Peers {
+pub(crate) struct Peers {
     peers: Vec<Peer>,
     /// Cancellations that were confirmed so far; users ask one controller after the other.
     confirmed: usize,
 }
 
 impl Peers {
-    pub fn new() -> Peers {
+    pub(crate) fn new() -> Peers {
         let peer = |name: &str| Peer {
             name: name.to_string(),
             log: CancellationLog::with_incarnation(1, CAPACITY),
@@ -32,26 +32,26 @@
         }
     }
 
-    pub fn names(&self) -> impl Iterator<Item = &String> {
+    pub(crate) fn names(&self) -> impl Iterator<Item = &String> {
         self.peers.iter().map(|p| &p.name)
     }
 
     /// One of them enters a cancellation, and then tells a user of it.
-    pub fn confirm(&mut self, job: &str) {
+    pub(crate) fn confirm(&mut self, job: &str) {
         let peer = self.confirmed % self.peers.len();
         self.peers[peer].log.record(job);
         self.confirmed += 1;
     }
 
     /// The process of one of them ends and is back; nobody knows what it had confirmed.
-    pub fn restart(&mut self, number: usize) {
+    pub(crate) fn restart(&mut self, number: usize) {
         let peer = &mut self.peers[number];
         peer.incarnation += 1;
         peer.log = CancellationLog::with_incarnation(peer.incarnation, CAPACITY);
     }
 
     /// What a controller answers at once.
-    pub fn ask(&self, name: &str, asked: Cursor, now: f64) -> Option<PeerAnswer> {
+    pub(crate) fn ask(&self, name: &str, asked: Cursor, now: f64) -> Option<PeerAnswer> {
         let peer = self.peers.iter().find(|p| p.name == name)?;
         Some(PeerAnswer {
             peer: peer.name.clone(),
--- a/tests/histories/random.rs
+++ b/tests/histories/random.rs
@@ -2,10 +2,10 @@
 
 use crate::common::random::SplitMix64;
 
-pub struct Random(SplitMix64);
+pub(crate) struct Random(SplitMix64);
 
 impl Random {
-    pub fn new(seed: u64) -> Random {
+    pub(crate) fn new(seed: u64) -> Random {
         Random(SplitMix64(seed))
     }
 
@@ -14,15 +14,15 @@
         (self.0.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn between(&mut self, low: f64, high: f64) -> f64 {
+    pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.unit()
     }
 
-    pub fn below(&mut self, bound: usize) -> usize {
+    pub(crate) fn below(&mut self, bound: usize) -> usize {
         (self.0.next() % bound as u64) as usize
     }
 
-    pub fn chance(&mut self, share: f64) -> bool {
+    pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.unit() < share
     }
 }
--- a/tests/histories/settings.rs
+++ b/tests/histories/settings.rs
@@ -4,9 +4,9 @@
 use stairstage::protocol::cloud::MachineType;
 
 /// The zones that machines are in.
-pub const ZONES: [&str; 2] = ["z", "y"];
+pub(crate) const ZONES: [&str; 2] = ["z", "y"];
 
-pub const SETTINGS: &str = r#"
+pub(crate) const SETTINGS: &str = r#"
 host_name = "a"
 zone = "z"
 front = "127.0.0.1:1"
@@ -44,7 +44,7 @@
 "#;
 
 /// Two types of machine of the same size, in both zones.
-pub fn machine_types() -> Vec<MachineType> {
+pub(crate) fn machine_types() -> Vec<MachineType> {
     ["m4", "g4"]
         .map(|name| MachineType {
             name: name.into(),
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -11,7 +11,7 @@
 use stairstage::protocol::worker::*;
 
 /// Jobs that a history may submit.
-pub const JOBS: u8 = 9;
+pub(crate) const JOBS: u8 = 9;
 /// What may become of a write.
 const FATES: [WriteFate; 4] = [
     WriteFate::Answered,
@@ -22,7 +22,7 @@
 
 /// What the generated history does next.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub(crate) enum Step {
     Pass(u8),
     /// A worker reports; the answer may be lost.
     Report {
@@ -109,7 +109,7 @@
     },
 }
 
-pub fn step() -> impl Strategy<Value = Step> {
+pub(crate) fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (1u8..30).prop_map(Step::Pass),
         10 => (0u8..3, prop::bool::weighted(0.2)).prop_map(|(worker, answer_lost)| Step::Report { worker, answer_lost }),
@@ -138,7 +138,7 @@
 
 /// The same, with leaders that lose the state service, workers that reach nobody and machines that
 /// hang.
-pub fn step_with_isolation() -> impl Strategy<Value = Step> {
+pub(crate) fn step_with_isolation() -> impl Strategy<Value = Step> {
     prop_oneof![
         40 => step(),
         2 => (0u8..60).prop_map(|tenths| Step::Isolate { tenths }),
@@ -149,7 +149,7 @@
 }
 
 /// A history begins with three machines of the first type, in the first zone, and a leader.
-pub fn world() -> World {
+pub(crate) fn world() -> World {
     let workers = (0..3).map(|i| Worker::new(i, 0.0)).collect();
     let mut world = World::new(machine_types(), workers);
     world.elect();
@@ -237,7 +237,7 @@
         }
     }
 
-    pub fn apply(&mut self, step: Step) {
+    pub(crate) fn apply(&mut self, step: Step) {
         match step {
             Step::Pass(tenths) => {
                 self.pass(f64::from(tenths) / 10.0);
@@ -365,7 +365,7 @@
     }
 
     /// Every third job is an array, a service that outranks the others, or a gang.
-    pub fn submit_number(&mut self, n: u8, waits_on: u16, looks: bool) {
+    pub(crate) fn submit_number(&mut self, n: u8, waits_on: u16, looks: bool) {
         let id = format!("req-{n}");
         let accepted = |id: &String| self.jobs.contains_key(id);
         let names = (0..JOBS).filter(|i| waits_on & (1 << i) != 0 && i % 3 != 1 && *i != n);
@@ -383,7 +383,7 @@
     }
 
     /// Lets everything heal; what was accepted must come to its end.
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.holding = false;
         self.formers.clear();
         if self.leader.as_ref().is_some_and(|l| !l.reaches_store) {
--- a/tests/histories/tasks.rs
+++ b/tests/histories/tasks.rs
@@ -7,7 +7,7 @@
 
 /// How far an attempt of a gang has come.
 #[derive(Default)]
-pub struct GangRun {
+pub(crate) struct GangRun {
     complete_since: Option<f64>,
     /// Since when a task of it is missing, or on a machine that hangs.
     broken_since: Option<f64>,
@@ -23,7 +23,7 @@
 
 impl World {
     /// Tasks that have run for long enough are done.
-    pub fn progress(&mut self) {
+    pub(crate) fn progress(&mut self) {
         let mut gangs: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -39,7 +39,7 @@
 }
 
 /// Plays the same history with other random numbers, again and again, each to its end.
-pub fn for_each_seed(seeds: u64, history: impl Fn(&mut World)) {
+pub(crate) fn for_each_seed(seeds: u64, history: impl Fn(&mut World)) {
     for seed in 0..seeds {
         let _named = NamedSeed(seed);
         let mut world = timed_world(seed);
@@ -69,20 +69,20 @@
 }
 
 impl World {
-    pub fn set_faults(&mut self, faults: Faults) {
+    pub(crate) fn set_faults(&mut self, faults: Faults) {
         self.net().faults = faults;
     }
 
-    pub fn chance(&mut self, share: f64) -> bool {
+    pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.net().random.chance(share)
     }
 
-    pub fn between(&mut self, low: f64, high: f64) -> f64 {
+    pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
         self.net().random.between(low, high)
     }
 
     /// One of the machines that are there.
-    pub fn some_worker(&mut self) -> usize {
+    pub(crate) fn some_worker(&mut self) -> usize {
         let there: Vec<usize> = (0..self.workers.len())
             .filter(|i| !self.workers[*i].gone)
             .collect();
@@ -93,14 +93,14 @@
     }
 
     /// Submits a job, and returns its id.
-    pub fn submit_shape(&mut self, shape: &JobShape) -> String {
+    pub(crate) fn submit_shape(&mut self, shape: &JobShape) -> String {
         let id = format!("req-{}", self.jobs.len());
         let run_s = (shape.run_s, shape.stagger_s);
         self.submit(&id, &shape.submission(&id), run_s, false);
         id
     }
 
-    pub fn cancel_some(&mut self, share: f64) {
+    pub(crate) fn cancel_some(&mut self, share: f64) {
         let open = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_none());
         let ids: Vec<String> = open.map(|(id, _)| id.clone()).collect();
         for id in ids {
@@ -110,7 +110,7 @@
         }
     }
 
-    pub fn run_for(&mut self, seconds: f64) {
+    pub(crate) fn run_for(&mut self, seconds: f64) {
         let ticks = (seconds / TICK_S).ceil() as u64;
         for _ in 0..ticks {
             self.pass(TICK_S);
@@ -124,7 +124,7 @@
     }
 
     /// The same, while small jobs keep the teams at their limits, and some are cancelled at once.
-    pub fn run_busy(&mut self, seconds: f64) {
+    pub(crate) fn run_busy(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
             while self.open_jobs() < SMALL_JOBS {
@@ -316,33 +316,33 @@
     }
 
     /// The leader ends, and nobody leads until the next election.
-    pub fn end_leader(&mut self) {
+    pub(crate) fn end_leader(&mut self) {
         self.leader = None;
     }
 
     /// Another controller leads; the former leader is out of reach, or in doubt.
-    pub fn replace_leader(&mut self) {
+    pub(crate) fn replace_leader(&mut self) {
         self.elect();
         let now = self.now;
         self.net().release_kept(now);
     }
 
     /// Ends the leader and has another elected some time later.
-    pub fn change_leader(&mut self, after_s: f64) {
+    pub(crate) fn change_leader(&mut self, after_s: f64) {
         self.end_leader();
         self.run_busy(after_s);
         self.replace_leader();
     }
 
     /// Machines of a zone, or all but those, are cut off.
-    pub fn cut_zone(&mut self, zone: &str, with_former: bool) {
+    pub(crate) fn cut_zone(&mut self, zone: &str, with_former: bool) {
         for w in self.workers.iter_mut().filter(|w| w.zone == zone) {
             w.cut = true;
             w.with_former = with_former;
         }
     }
 
-    pub fn reconnect(&mut self, i: usize) {
+    pub(crate) fn reconnect(&mut self, i: usize) {
         let w = &mut self.workers[i];
         w.cut = false;
         w.with_former = false;
@@ -354,7 +354,7 @@
         }
     }
 
-    pub fn resume(&mut self, i: usize) {
+    pub(crate) fn resume(&mut self, i: usize) {
         if self.workers[i].hung {
             let now = self.now;
             let held = self.workers[i].resume(now);
@@ -369,7 +369,7 @@
         }
     }
 
-    pub fn reconnect_all(&mut self) {
+    pub(crate) fn reconnect_all(&mut self) {
         for i in 0..self.workers.len() {
             self.resume(i);
             self.reconnect(i);
@@ -377,7 +377,7 @@
     }
 
     /// All troubles are over: every job that nobody has cancelled comes to its end.
-    pub fn settle(&mut self) {
+    pub(crate) fn settle(&mut self) {
         self.set_faults(Faults::default());
         self.cloud_is_down = false;
         self.reconnect_all();
@@ -404,7 +404,7 @@
     }
 
     /// Submits jobs of any shape.
-    pub fn submit_some(&mut self, count: usize) {
+    pub(crate) fn submit_some(&mut self, count: usize) {
         for _ in 0..count {
             let shape = self.some_shape();
             self.submit_shape(&shape);
@@ -412,7 +412,7 @@
     }
 
     /// A job of any shape that these machines can run.
-    pub fn some_shape(&mut self) -> JobShape {
+    pub(crate) fn some_shape(&mut self) -> JobShape {
         let random = &mut self.net().random;
         let zones = [None, None, Some("z"), Some("y")];
         let kind = [
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeMap;
 
 /// Processors of a machine.
-pub const CPUS: f64 = 4.0;
+pub(crate) const CPUS: f64 = 4.0;
 /// A worker takes no answer to a report after this time, and tries the next node a second later.
-pub const ANSWER_TIMEOUT_S: f64 = 4.0;
-pub const RETRY_S: f64 = 1.0;
+pub(crate) const ANSWER_TIMEOUT_S: f64 = 4.0;
+pub(crate) const RETRY_S: f64 = 1.0;
 /// A worker sends no two reports within this time.
 const MIN_REPORT_PAUSE_S: f64 = 0.5;
 
 #[derive(Clone)]
-pub struct TaskOnWorker {
+pub(crate) struct TaskOnWorker {
     pub state: TaskState,
     pub cause: Option<Cause>,
     pub since: f64,
@@ -20,12 +20,12 @@
 
 /// A report that its worker waits to have answered.
 #[derive(Clone, Copy)]
-pub struct AwaitedAnswer {
+pub(crate) struct AwaitedAnswer {
     pub sequence: u64,
     pub sent: f64,
 }
 
-pub struct Worker {
+pub(crate) struct Worker {
     pub name: String,
     pub kind: &'static str,
     pub zone: &'static str,
@@ -55,7 +55,7 @@
 }
 
 impl Worker {
-    pub fn new(number: usize, now: f64) -> Worker {
+    pub(crate) fn new(number: usize, now: f64) -> Worker {
         Worker {
             name: format!("m-{number}"),
             kind: "m4",
@@ -81,7 +81,7 @@
     }
 
     /// Its process ended and is back at once, with fresh counters and without tasks.
-    pub fn restart(&mut self, now: f64) {
+    pub(crate) fn restart(&mut self, now: f64) {
         self.incarnation = 1;
         self.sequence = 0;
         self.token = 0;
@@ -90,18 +90,18 @@
     }
 
     /// It stops with all that is on it.
-    pub fn die(&mut self) {
+    pub(crate) fn die(&mut self) {
         self.gone = true;
         self.tasks.clear();
     }
 
-    pub fn is_up(&self, now: f64) -> bool {
+    pub(crate) fn is_up(&self, now: f64) -> bool {
         !self.gone && now >= self.up_at
     }
 
     /// Its lease is over: it has killed and forgotten every task. One that hangs does so before
     /// anything else once it runs again; until then its tasks stand still for good.
-    pub fn expire(&mut self, now: f64) {
+    pub(crate) fn expire(&mut self, now: f64) {
         self.incarnation += 1;
         self.tasks.clear();
         self.awaited = None;
@@ -110,7 +110,7 @@
     }
 
     /// It runs again; what was held back meanwhile is handed out.
-    pub fn resume(&mut self, now: f64) -> Vec<CommandBatch> {
+    pub(crate) fn resume(&mut self, now: f64) -> Vec<CommandBatch> {
         self.hung = false;
         if self.renewed == f64::INFINITY {
             self.renewed = now;
@@ -120,30 +120,30 @@
     }
 
     /// Something has changed, which it reports soon.
-    pub fn report_change(&mut self, now: f64) {
+    pub(crate) fn report_change(&mut self, now: f64) {
         let soon = now.max(self.last_report + MIN_REPORT_PAUSE_S);
         self.next_report = self.next_report.min(soon);
     }
 
     /// Takes an answer to the report that it sent then; returns the tasks that started.
-    pub fn take(&mut self, answer: &HeartbeatResponse, sent: f64, now: f64) -> Vec<String> {
+    pub(crate) fn take(&mut self, answer: &HeartbeatResponse, sent: f64, now: f64) -> Vec<String> {
         self.token = answer.token;
         self.renewed = sent;
         self.run(&answer.commands, now)
     }
 
     /// Whether it executes direct commands.
-    pub fn accepts(&self, orders: &CommandBatch) -> bool {
+    pub(crate) fn accepts(&self, orders: &CommandBatch) -> bool {
         orders.token >= self.token && orders.incarnation == self.incarnation
     }
 
     /// A report of its own; one that answers a direct command has a later number too.
-    pub fn own_report(&mut self, now: f64) -> Heartbeat {
+    pub(crate) fn own_report(&mut self, now: f64) -> Heartbeat {
         self.last_report = now;
         self.report()
     }
 
-    pub fn report(&mut self) -> Heartbeat {
+    pub(crate) fn report(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -169,7 +169,7 @@
         }
     }
 
-    pub fn live(&self) -> impl Iterator<Item = &String> {
+    pub(crate) fn live(&self) -> impl Iterator<Item = &String> {
         let live = self
             .tasks
             .iter()
@@ -177,7 +177,7 @@
         live.map(|((task, _), _)| task)
     }
 
-    pub fn exit(&mut self, key: &(String, u64), cause: Cause, now: f64) {
+    pub(crate) fn exit(&mut self, key: &(String, u64), cause: Cause, now: f64) {
         if let Some(task) = self.tasks.get_mut(key) {
             task.state = TaskState::Exited;
             task.cause = Some(cause);
@@ -186,7 +186,7 @@
     }
 
     /// Runs commands; returns the tasks that started.
-    pub fn run(&mut self, commands: &[Command], now: f64) -> Vec<String> {
+    pub(crate) fn run(&mut self, commands: &[Command], now: f64) -> Vec<String> {
         let mut started = Vec::new();
         for command in commands {
             match command {
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -21,7 +21,7 @@
 
 /// What becomes of a write.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum WriteFate {
+pub(crate) enum WriteFate {
     #[default]
     Answered,
     /// It is carried out at once; only its answer is lost.
@@ -31,7 +31,7 @@
     Late,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: f64,
     pub settings: Arc<Settings>,
     pub types: Vec<MachineType>,
@@ -63,7 +63,7 @@
 }
 
 impl World {
-    pub fn new(types: Vec<MachineType>, workers: Vec<Worker>) -> World {
+    pub(crate) fn new(types: Vec<MachineType>, workers: Vec<Worker>) -> World {
         World {
             now: 0.0,
             settings: Arc::new(Settings::parse("test", SETTINGS).unwrap()),
@@ -89,7 +89,7 @@
     }
 
     /// A controller is elected; who has led until now loses the state service, if it still lives.
-    pub fn elect(&mut self) {
+    pub(crate) fn elect(&mut self) {
         if let Some(lease_end) = self.isolated_until() {
             self.pass((lease_end - self.now).max(0.0));
         }
@@ -117,7 +117,7 @@
     }
 
     /// The leader loses the state service and the other controllers; its lease goes on for a while.
-    pub fn isolate_leader(&mut self, lease_s: f64) {
+    pub(crate) fn isolate_leader(&mut self, lease_s: f64) {
         self.refuse_leader(lease_s);
         if let Some(leader) = &mut self.leader {
             leader.reaches_peers = false;
@@ -125,7 +125,7 @@
     }
 
     /// The state service refuses the leader; its lease there goes on for a while.
-    pub fn refuse_leader(&mut self, lease_s: f64) {
+    pub(crate) fn refuse_leader(&mut self, lease_s: f64) {
         let (known_until, now) = (self.known_until(), self.now);
         if let Some(leader) = self.leader.as_mut().filter(|l| l.reaches_store) {
             leader.lose_store(known_until);
@@ -134,7 +134,7 @@
     }
 
     /// The moment up to which a controller that reaches the state service knows of everything.
-    pub fn known_until(&self) -> f64 {
+    pub(crate) fn known_until(&self) -> f64 {
         let delay_s = self
             .network
             .as_ref()
@@ -143,7 +143,7 @@
     }
 
     /// Earlier leaders are told of every cancellation that was confirmed so far.
-    pub fn tell_formers(&mut self) {
+    pub(crate) fn tell_formers(&mut self) {
         let cancelled = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_some());
         for former in &mut self.formers {
             for (id, _) in cancelled.clone() {
@@ -157,21 +157,21 @@
     }
 
     /// The controller whose leadership has this id, if it still lives.
-    pub fn controller(&mut self, id: u64) -> Option<&mut Leader> {
+    pub(crate) fn controller(&mut self, id: u64) -> Option<&mut Leader> {
         let mut all = self.leader.iter_mut().chain(&mut self.formers);
         all.find(|l| l.id() == id)
     }
 
-    pub fn manager(&mut self) -> &mut ClusterManager {
+    pub(crate) fn manager(&mut self) -> &mut ClusterManager {
         &mut self.leader.as_mut().expect("somebody leads").manager
     }
 
-    pub fn is_complete(&self, job: &str) -> bool {
+    pub(crate) fn is_complete(&self, job: &str) -> bool {
         self.jobs.get(job).is_some_and(Job::is_complete)
     }
 
     /// Whether the user of a job, or of one that it needs, has cancelled it.
-    pub fn is_taken_back(&self, id: &str) -> bool {
+    pub(crate) fn is_taken_back(&self, id: &str) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -180,7 +180,7 @@
     }
 
     /// The leases of workers that were not renewed end.
-    pub fn expire(&mut self) {
+    pub(crate) fn expire(&mut self) {
         let lease_s = self.settings.cluster.workers.lease_s;
         for i in 0..self.workers.len() {
             let over_at = self.workers[i].renewed + lease_s;
@@ -192,7 +192,7 @@
     }
 
     /// Time passes without reports; leases that are not renewed end.
-    pub fn pass(&mut self, seconds: f64) {
+    pub(crate) fn pass(&mut self, seconds: f64) {
         self.now += seconds;
         self.expire();
         for w in &self.workers {
@@ -202,7 +202,7 @@
 
     /// A submission by way of any node. `run_s`: how long the first task runs, and each further one
     /// longer; `looks`: the node checks whether what the job needs is cancelled.
-    pub fn submit(&mut self, id: &str, body: &Value, run_s: (f64, f64), looks: bool) {
+    pub(crate) fn submit(&mut self, id: &str, body: &Value, run_s: (f64, f64), looks: bool) {
         let spec = common::parsed(body);
         let names = spec.waits_on.clone();
         let record = OpenRecord::accepted(spec.clone(), 0);
@@ -235,7 +235,7 @@
     }
 
     /// A cancellation by way of any node.
-    pub fn cancel(&mut self, id: &str) {
+    pub(crate) fn cancel(&mut self, id: &str) {
         let Some(item) = self.store.item(&open_key(id)) else {
             return;
         };
@@ -267,7 +267,7 @@
     }
 
     /// Tasks of cancelled jobs that are on machines.
-    pub fn cancelled_on_machines(&self) -> usize {
+    pub(crate) fn cancelled_on_machines(&self) -> usize {
         let there = self.workers.iter().filter(|w| !w.gone);
         let jobs = there
             .flat_map(Worker::live)
@@ -276,12 +276,12 @@
     }
 
     /// The incarnations of all workers: one that goes on shows that a lease has ended.
-    pub fn incarnations(&self) -> Vec<u64> {
+    pub(crate) fn incarnations(&self) -> Vec<u64> {
         self.workers.iter().map(|w| w.incarnation).collect()
     }
 
     /// Every job has come to its end: done, or cancelled if somebody asked for that.
-    pub fn check_ends(&self) {
+    pub(crate) fn check_ends(&self) {
         let open = self.store.under(OPEN_PREFIX);
         let id = |key: &str| {
             key.strip_prefix(OPEN_PREFIX)
@@ -292,16 +292,17 @@
         assert!(open.is_empty(), "never ended: {open:#?}");
         for id in self.jobs.keys() {
             let end = self.store.item(&end_key(id)).expect("recorded").value;
-            let expected = match self.is_taken_back(id) {
-                true => "cancelled",
-                false => "done",
+            let expected = if self.is_taken_back(id) {
+                "cancelled"
+            } else {
+                "done"
             };
             assert_eq!(end["state"], expected, "orphaned, or lost: {id}");
         }
     }
 
     /// A job that is still open, and where its tasks are.
-    pub fn describe(&self, id: &str) -> String {
+    pub(crate) fn describe(&self, id: &str) -> String {
         let job = &self.jobs[id];
         let mut tasks = Vec::new();
         for w in self.workers.iter().filter(|w| !w.gone) {
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -236,9 +236,12 @@
     }
     let state = Mutex::new(state);
     // Each watch finds that it has fallen behind.
-    let address = standins::serve(move |method, url, body| match url.starts_with("/changes") {
-        true => (410, json!({})),
-        false => state.lock().unwrap().answer(method, url, body),
+    let address = standins::serve(move |method, url, body| {
+        if url.starts_with("/changes") {
+            (410, json!({}))
+        } else {
+            state.lock().unwrap().answer(method, url, body)
+        }
     });
     let (inbox, messages) = bounded(8);
     let term = Arc::new(AtomicU64::new(1));
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -110,9 +110,10 @@
     fn report(&mut self, sequence: u64, over: &[&str], now: f64) {
         let done = |name: &str| over.iter().any(|id| name.starts_with(&format!("{id}/")));
         let show = |(task, attempt): &(String, u64)| {
-            let (state, cause) = match done(task) {
-                true => (TaskState::Exited, Some(Cause::Done)),
-                false => (TaskState::Running, None),
+            let (state, cause) = if done(task) {
+                (TaskState::Exited, Some(Cause::Done))
+            } else {
+                (TaskState::Running, None)
             };
             shown(&[(task.clone(), *attempt)], state, cause).remove(0)
         };
--- a/tests/play/rules.rs
+++ b/tests/play/rules.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 
 /// The largest jobs of a class begin within this time.
-pub const LARGEST_BEGIN_WITHIN_S: f64 = 240.0;
+pub(crate) const LARGEST_BEGIN_WITHIN_S: f64 = 240.0;
 /// No job waits for this long while a machine that fits has room and its team is under its limit.
-pub const WAITS_WITH_ROOM_S: f64 = 90.0;
+pub(crate) const WAITS_WITH_ROOM_S: f64 = 90.0;
 /// No job goes for this long without an answer to a question about it.
-pub const ANSWERED_WITHIN_S: f64 = 75.0;
+pub(crate) const ANSWERED_WITHIN_S: f64 = 75.0;
 /// A job counts among the largest of its class from this share of the largest one's size on.
 const LARGE_SHARE: f64 = 0.75;
 
@@ -30,7 +30,7 @@
 }
 
 /// Plays a day for each of so many seeds; none of them breaks a rule.
-pub fn check_days(seeds: u64, day: impl Fn(u64) -> Simulation) {
+pub(crate) fn check_days(seeds: u64, day: impl Fn(u64) -> Simulation) {
     for seed in 0..seeds {
         let broken = broken_rules(&day(seed));
         let first: Vec<&String> = broken.iter().take(REPORTED).collect();
@@ -43,14 +43,14 @@
 }
 
 /// How long the slowest of these jobs took to begin.
-pub fn longest_delay_s(simulation: &Simulation, of: impl Fn(&JobPlan) -> bool) -> f64 {
+pub(crate) fn longest_delay_s(simulation: &Simulation, of: impl Fn(&JobPlan) -> bool) -> f64 {
     let outcomes = simulation.outcomes.values().filter(|o| of(&o.plan));
     let delays = outcomes.map(|o| o.began.map_or(f64::INFINITY, |t| t - o.arrived));
     delays.fold(0.0, f64::max)
 }
 
 /// Every rule that the simulated day has broken.
-pub fn broken_rules(simulation: &Simulation) -> Vec<String> {
+pub(crate) fn broken_rules(simulation: &Simulation) -> Vec<String> {
     let mut broken = unserved(simulation);
     for (id, outcome) in &simulation.outcomes {
         if outcome.longest_wait_s >= WAITS_WITH_ROOM_S {
--- a/tests/play/services.rs
+++ b/tests/play/services.rs
@@ -9,7 +9,7 @@
 const PATIENCE_S: f64 = 2.0;
 
 /// How the state service treats what it is asked.
-pub struct StateService {
+pub(crate) struct StateService {
     pub delay_s: f64,
     /// It answers 503.
     pub refuses: bool,
@@ -23,7 +23,7 @@
 }
 
 /// What becomes of a transaction.
-pub enum Fate {
+pub(crate) enum Fate {
     Refused,
     /// Carried out then, and answered.
     Answered(f64),
@@ -52,7 +52,7 @@
 
 impl StateService {
     /// Treats what it is asked otherwise from now on.
-    pub fn set(&mut self, other: StateService) {
+    pub(crate) fn set(&mut self, other: StateService) {
         let (left, counted) = (self.left, self.counted);
         *self = StateService {
             left,
@@ -62,7 +62,7 @@
     }
 
     /// Whether its limit allows so many changes now; bursts last a second.
-    pub fn allows(&mut self, changes: usize, now: f64) -> bool {
+    pub(crate) fn allows(&mut self, changes: usize, now: f64) -> bool {
         if self.changes_per_s.is_infinite() {
             return true;
         }
@@ -74,7 +74,7 @@
         allowed
     }
 
-    pub fn fate(&mut self, txn: &Transaction, random: &mut Random, now: f64) -> Fate {
+    pub(crate) fn fate(&mut self, txn: &Transaction, random: &mut Random, now: f64) -> Fate {
         if self.refuses || !self.allows(txn.changes.len(), now) {
             Fate::Refused
         } else if random.chance(self.unanswered) {
@@ -91,7 +91,7 @@
 }
 
 /// What the cloud gives and takes.
-pub struct Cloud {
+pub(crate) struct Cloud {
     pub rents: bool,
     pub takes_back: bool,
     pub boot_s: f64,
@@ -105,7 +105,7 @@
 
 impl Cloud {
     /// A cloud without machines to rent; those that are there go only if they are held to be faulty.
-    pub fn full() -> Cloud {
+    pub(crate) fn full() -> Cloud {
         Cloud {
             rents: false,
             takes_back: true,
@@ -116,7 +116,7 @@
         }
     }
 
-    pub fn with_capacity(most_in_zone: usize) -> Cloud {
+    pub(crate) fn with_capacity(most_in_zone: usize) -> Cloud {
         Cloud {
             rents: true,
             takes_back: true,
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -22,12 +22,12 @@
 
 impl Simulation {
     /// The leader ends at once.
-    pub fn depose(&mut self) {
+    pub(crate) fn depose(&mut self) {
         self.leader = None;
     }
 
     /// Another leader begins, with what the state service holds.
-    pub fn elect(&mut self) {
+    pub(crate) fn elect(&mut self) {
         let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
         let mut manager = ClusterManager::new(self.settings.clone(), token, self.now);
@@ -57,9 +57,10 @@
         let (due, later): (Vec<_>, Vec<_>) = pending.into_iter().partition(|w| w.at <= now);
         self.pending = later;
         for write in due {
-            let result = match write.answered {
-                true => self.commit(&write.transaction),
-                false => self.store.reread(&write.transaction),
+            let result = if write.answered {
+                self.commit(&write.transaction)
+            } else {
+                self.store.reread(&write.transaction)
             };
             let leader = self.leader.as_mut();
             if let Some(manager) = leader.filter(|c| c.first_token() == write.leader) {
@@ -189,9 +190,10 @@
         if self.random.chance(self.slow_links) {
             return CommandOutcome::Unknown;
         }
-        match accepted {
-            true => CommandOutcome::Executed(report),
-            false => CommandOutcome::Rejected(Some(report)),
+        if accepted {
+            CommandOutcome::Executed(report)
+        } else {
+            CommandOutcome::Rejected(Some(report))
         }
     }
 
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -13,7 +13,7 @@
 
 impl Simulation {
     /// Adds machines that are up already; returns their names.
-    pub fn add_machines(&mut self, zone: &str, count: usize) -> Vec<String> {
+    pub(crate) fn add_machines(&mut self, zone: &str, count: usize) -> Vec<String> {
         let now = self.now;
         (0..count).map(|_| self.add_machine(zone, now)).collect()
     }
@@ -174,9 +174,10 @@
             kind: worker.kind.clone(),
             zone: worker.zone.clone(),
             spot: false,
-            state: match worker.is_up(self.now) {
-                true => MachineState::Running,
-                false => MachineState::Booting,
+            state: if worker.is_up(self.now) {
+                MachineState::Running
+            } else {
+                MachineState::Booting
             },
             age_s: self.now - worker.rented_s,
         }
--- a/tests/play/simulation/mod.rs
+++ b/tests/play/simulation/mod.rs
@@ -15,21 +15,21 @@
 use stairstage::settings::Settings;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-pub use users::Outcome;
+pub(crate) use users::Outcome;
 
-pub const STEP_S: f64 = 1.0;
+pub(crate) const STEP_S: f64 = 1.0;
 
 /// A team with its limit on processors; 0 for none.
-pub struct TeamLimit {
+pub(crate) struct TeamLimit {
     pub name: &'static str,
     pub guarantee: f64,
     pub limit: f64,
 }
 
 /// The teams of most days, without limits.
-pub const UNLIMITED: [TeamLimit; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
+pub(crate) const UNLIMITED: [TeamLimit; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
 
-pub const fn team(name: &'static str, guarantee: f64, limit: f64) -> TeamLimit {
+pub(crate) const fn team(name: &'static str, guarantee: f64, limit: f64) -> TeamLimit {
     TeamLimit {
         name,
         guarantee,
@@ -37,7 +37,7 @@
     }
 }
 
-pub struct Simulation {
+pub(crate) struct Simulation {
     pub now: f64,
     pub random: Random,
     settings: Arc<Settings>,
@@ -64,7 +64,7 @@
 }
 
 impl Simulation {
-    pub fn new(seed: u64, teams: &[TeamLimit], zones: &[&str], cloud: Cloud) -> Simulation {
+    pub(crate) fn new(seed: u64, teams: &[TeamLimit], zones: &[&str], cloud: Cloud) -> Simulation {
         let teams: Vec<String> = teams
             .iter()
             .map(|t| {
@@ -108,7 +108,7 @@
         simulation
     }
 
-    pub fn plan(&mut self, plans: Vec<JobPlan>) {
+    pub(crate) fn plan(&mut self, plans: Vec<JobPlan>) {
         self.plans.extend(plans);
         self.plans.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     }
@@ -118,7 +118,7 @@
     }
 
     /// Plays until then; `trouble` may change anything before each step.
-    pub fn run(&mut self, until: f64, mut trouble: impl FnMut(&mut Simulation)) {
+    pub(crate) fn run(&mut self, until: f64, mut trouble: impl FnMut(&mut Simulation)) {
         while self.now < until {
             trouble(self);
             self.step();
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -11,7 +11,7 @@
 
 /// What became of a job.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub plan: JobPlan,
     pub arrived: f64,
     pub began: Option<f64>,
@@ -84,7 +84,7 @@
     }
 
     /// A user cancels a job, unless it has ended or the state service has no changes left.
-    pub fn cancel(&mut self, id: &str) {
+    pub(crate) fn cancel(&mut self, id: &str) {
         let Some(item) = self.store.item(&open_key(id)) else {
             return;
         };
@@ -134,9 +134,10 @@
             } else {
                 outcome.silence_s + STEP_S
             };
-            outcome.waits_s = match waiting.contains(id) {
-                true => outcome.waits_s + STEP_S,
-                false => 0.0,
+            outcome.waits_s = if waiting.contains(id) {
+                outcome.waits_s + STEP_S
+            } else {
+                0.0
             };
             outcome.longest_wait_s = outcome.longest_wait_s.max(outcome.waits_s);
             outcome.longest_silence_s = outcome.longest_silence_s.max(outcome.silence_s);
@@ -178,9 +179,10 @@
             u32::MAX
         };
         let usable = slots.values().map(|n| *n.min(&most_in_zone));
-        match plan.same_zone {
-            true => usable.max().unwrap_or(0) >= tasks,
-            false => usable.sum::<u32>() >= tasks,
+        if plan.same_zone {
+            usable.max().unwrap_or(0) >= tasks
+        } else {
+            usable.sum::<u32>() >= tasks
         }
     }
 }
--- a/tests/play/state_service.rs
+++ b/tests/play/state_service.rs
@@ -6,7 +6,7 @@
 use crate::workload::{mixed, stream, JobPlan, Random};
 
 /// More work than there is room for, some of it urgent; and the numbers that it was generated from.
-pub fn urgent_overload(seed: u64) -> (Simulation, Random) {
+pub(crate) fn urgent_overload(seed: u64) -> (Simulation, Random) {
     let mut random = Random::new(seed);
     let mut play = Simulation::new(seed, &UNLIMITED, &["z"], Cloud::full());
     play.add_machines("z", 6);
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -10,7 +10,7 @@
 const FAILS_AFTER_S: f64 = 1.0;
 
 #[derive(Clone, Debug)]
-pub struct OnWorker {
+pub(crate) struct OnWorker {
     pub state: TaskState,
     pub cause: Option<Cause>,
     /// When its present state is over: its fetch, its wait for a gang or its run.
@@ -20,17 +20,17 @@
 }
 
 impl OnWorker {
-    pub fn is_live(&self) -> bool {
+    pub(crate) fn is_live(&self) -> bool {
         self.state != TaskState::Exited
     }
 
-    pub fn exit(&mut self, cause: Cause) {
+    pub(crate) fn exit(&mut self, cause: Cause) {
         self.state = TaskState::Exited;
         self.cause = Some(cause);
     }
 }
 
-pub struct Worker {
+pub(crate) struct Worker {
     pub name: String,
     pub kind: String,
     pub zone: String,
@@ -56,7 +56,14 @@
 }
 
 impl Worker {
-    pub fn new(name: String, kind: &str, zone: &str, cpus: f64, rented_s: f64, up_s: f64) -> Self {
+    pub(crate) fn new(
+        name: String,
+        kind: &str,
+        zone: &str,
+        cpus: f64,
+        rented_s: f64,
+        up_s: f64,
+    ) -> Self {
         Worker {
             name,
             kind: kind.into(),
@@ -78,32 +85,32 @@
         }
     }
 
-    pub fn is_up(&self, now: f64) -> bool {
+    pub(crate) fn is_up(&self, now: f64) -> bool {
         now >= self.up_s
     }
 
-    pub fn is_reachable(&self, now: f64) -> bool {
+    pub(crate) fn is_reachable(&self, now: f64) -> bool {
         self.is_up(now) && now >= self.cut_until
     }
 
     /// Whether its reports arrive, and whether commands and answers do.
-    pub fn is_heard(&self, now: f64) -> bool {
+    pub(crate) fn is_heard(&self, now: f64) -> bool {
         self.is_reachable(now) && now >= self.mute_until
     }
 
-    pub fn hears(&self, now: f64) -> bool {
+    pub(crate) fn hears(&self, now: f64) -> bool {
         self.is_reachable(now) && now >= self.deaf_until
     }
 
-    pub fn live(&self) -> impl Iterator<Item = (&(String, u64), &OnWorker)> {
+    pub(crate) fn live(&self) -> impl Iterator<Item = (&(String, u64), &OnWorker)> {
         self.tasks.iter().filter(|(_, t)| t.is_live())
     }
 
-    pub fn free_cpus(&self) -> f64 {
+    pub(crate) fn free_cpus(&self) -> f64 {
         self.cpus - self.live().map(|(_, t)| t.cpus).sum::<f64>()
     }
 
-    pub fn report(&mut self) -> Heartbeat {
+    pub(crate) fn report(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
             task: task.clone(),
@@ -126,7 +133,7 @@
         }
     }
 
-    pub fn take_answer(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
+    pub(crate) fn take_answer(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
         if answer.token < self.token {
             return false;
         }
@@ -135,11 +142,11 @@
         true
     }
 
-    pub fn accepts(&self, orders: &CommandBatch) -> bool {
+    pub(crate) fn accepts(&self, orders: &CommandBatch) -> bool {
         orders.token >= self.token && orders.incarnation == self.incarnation
     }
 
-    pub fn expire(&mut self, lease_s: f64, now: f64) {
+    pub(crate) fn expire(&mut self, lease_s: f64, now: f64) {
         if self.is_up(now) && now - self.renewed > lease_s {
             self.incarnation += 1;
             self.renewed = now;
@@ -148,7 +155,7 @@
     }
 
     /// Takes a command; returns the task that it started.
-    pub fn obey(&mut self, command: &Command, plan: &JobPlan, now: f64) -> Option<String> {
+    pub(crate) fn obey(&mut self, command: &Command, plan: &JobPlan, now: f64) -> Option<String> {
         match command {
             Command::Start { task, attempt } => {
                 let key = (task.clone(), *attempt);
@@ -215,14 +222,15 @@
             plan.task_run_s(task)
         };
         t.until = now + run_s;
-        t.state = match plan.is_gang() && !fails {
-            true => TaskState::Waiting,
-            false => TaskState::Running,
+        t.state = if plan.is_gang() && !fails {
+            TaskState::Waiting
+        } else {
+            TaskState::Running
         };
     }
 
     /// Lets a task's fetch or run come to its end.
-    pub fn advance(&mut self, key: &(String, u64), plan: &JobPlan, now: f64) {
+    pub(crate) fn advance(&mut self, key: &(String, u64), plan: &JobPlan, now: f64) {
         let fails = plan.broken || self.faulty;
         let t = self.tasks.get_mut(key).expect("known task");
         if now < t.until {
--- a/tests/play/workload.rs
+++ b/tests/play/workload.rs
@@ -5,29 +5,29 @@
 use serde_json::{json, Value};
 
 /// Numbers with a fixed sequence for each seed.
-pub struct Random(SplitMix64);
+pub(crate) struct Random(SplitMix64);
 
 impl Random {
-    pub fn new(seed: u64) -> Random {
+    pub(crate) fn new(seed: u64) -> Random {
         Random(SplitMix64(seed))
     }
 
-    pub fn below(&mut self, most: u64) -> u64 {
+    pub(crate) fn below(&mut self, most: u64) -> u64 {
         self.0.next() % most.max(1)
     }
 
-    pub fn between(&mut self, low: f64, high: f64) -> f64 {
+    pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * (self.0.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn chance(&mut self, share: f64) -> bool {
+    pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.between(0.0, 1.0) < share
     }
 }
 
 /// A job as its user submits it, and how it really behaves.
 #[derive(Clone, Debug)]
-pub struct JobPlan {
+pub(crate) struct JobPlan {
     pub at_s: f64,
     pub class: &'static str,
     pub team: &'static str,
@@ -74,20 +74,20 @@
 }
 
 impl JobPlan {
-    pub fn is_gang(&self) -> bool {
+    pub(crate) fn is_gang(&self) -> bool {
         self.rig == "group"
     }
 
     /// The processors that all of its tasks take.
-    pub fn size(&self) -> f64 {
+    pub(crate) fn size(&self) -> f64 {
         f64::from(self.tasks) * self.cpus
     }
 
-    pub fn task_run_s(&self, task: u32) -> f64 {
+    pub(crate) fn task_run_s(&self, task: u32) -> f64 {
         self.run_s + self.later_s * f64::from(task)
     }
 
-    pub fn body(&self, id: &str) -> Value {
+    pub(crate) fn body(&self, id: &str) -> Value {
         let mut body = submission(id, self.rig, self.priority, self.tasks);
         let last_s = self.task_run_s(self.tasks - 1);
         body["duty"] = json!(self.class);
@@ -103,7 +103,7 @@
 }
 
 /// One-task jobs of one class, so many a second, from one time to another.
-pub fn stream(template: &JobPlan, per_s: f64, from_s: f64, to_s: f64) -> Vec<JobPlan> {
+pub(crate) fn stream(template: &JobPlan, per_s: f64, from_s: f64, to_s: f64) -> Vec<JobPlan> {
     let count = ((to_s - from_s) * per_s) as usize;
     let at_s = |i: usize| from_s + i as f64 / per_s;
     (0..count)
@@ -116,7 +116,7 @@
 
 /// Arrays and gangs of several sizes among one-task jobs, of teams `t` and `u` in turn: about
 /// `share` of what so many processors can do, until then.
-pub fn mixed(random: &mut Random, cpus: f64, share: f64, until_s: f64) -> Vec<JobPlan> {
+pub(crate) fn mixed(random: &mut Random, cpus: f64, share: f64, until_s: f64) -> Vec<JobPlan> {
     let mut plans = Vec::new();
     let mut at_s = 0.0;
     while at_s < until_s {
--- a/tests/polls/jobs.rs
+++ b/tests/polls/jobs.rs
@@ -12,19 +12,19 @@
 /// One of so many jobs ends as cancelled.
 const CANCELLED_OF: u64 = 4;
 
-pub fn id_of(number: usize) -> String {
+pub(crate) fn id_of(number: usize) -> String {
     format!("req-{number:06}")
 }
 
-pub fn is_submitted(number: usize) -> bool {
+pub(crate) fn is_submitted(number: usize) -> bool {
     number % UNKNOWN_EVERY != UNKNOWN_EVERY - 1
 }
 
-pub fn waits_on(number: usize) -> Option<usize> {
+pub(crate) fn waits_on(number: usize) -> Option<usize> {
     (number % WAITS_EVERY == 1).then(|| number - 1)
 }
 
-pub fn record_of(number: usize) -> Value {
+pub(crate) fn record_of(number: usize) -> Value {
     let waits_on: Vec<String> = waits_on(number).into_iter().map(id_of).collect();
     let mut body = submission(&id_of(number), "sweep", "normal", 4);
     body["waits_on"] = json!(waits_on);
@@ -33,7 +33,7 @@
 }
 
 /// How a job ends.
-pub fn end_of(random: &mut SplitMix64) -> (JobState, Value) {
+pub(crate) fn end_of(random: &mut SplitMix64) -> (JobState, Value) {
     let state = match random.next() % CANCELLED_OF {
         0 => JobState::Cancelled,
         _ => JobState::Done,
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -8,7 +8,7 @@
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use std::collections::{BTreeMap, VecDeque};
 
-pub const NODES: usize = 3;
+pub(crate) const NODES: usize = 3;
 const STEP_S: f64 = 0.01;
 /// Seconds that a call takes; one in so many takes long.
 const CALL_S: f64 = 0.01;
@@ -27,7 +27,7 @@
 
 /// Who leads.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Leadership {
+pub(crate) enum Leadership {
     /// One node after the other, with spells without any.
     Changes,
     Nobody,
@@ -57,12 +57,12 @@
 }
 
 /// A user's answer.
-pub struct Told {
+pub(crate) struct Told {
     pub job: usize,
     pub answer: Answer,
 }
 
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now: f64,
     pub service: StateService,
     nodes: Vec<Node>,
@@ -77,7 +77,7 @@
 }
 
 impl Cluster {
-    pub fn new(seed: u64, jobs: usize, leadership: Leadership, cut_off: bool) -> Cluster {
+    pub(crate) fn new(seed: u64, jobs: usize, leadership: Leadership, cut_off: bool) -> Cluster {
         let limits = Limits {
             requests_per_s: 0.4 * RPS / NODES as f64,
             conditions: CONDITIONS,
@@ -103,26 +103,26 @@
     }
 
     /// Polls that a node can compare in a second, each with two conditions.
-    pub fn polls_per_s(&self) -> f64 {
+    pub(crate) fn polls_per_s(&self) -> f64 {
         self.reads_per_s() * (CONDITIONS / 2) as f64
     }
 
     /// Half of a node's requests.
-    pub fn reads_per_s(&self) -> f64 {
+    pub(crate) fn reads_per_s(&self) -> f64 {
         self.limits.requests_per_s / 2.0
     }
 
     /// Requests that read all records of one kind: full pages, or as many as it takes for few.
-    pub fn pages(&self, jobs: usize) -> usize {
+    pub(crate) fn pages(&self, jobs: usize) -> usize {
         jobs.div_ceil(PAGE) + PAGE / A_PAGE_FOR
     }
 
     /// What the nodes may send in a second, together.
-    pub fn requests_share(&self) -> f64 {
+    pub(crate) fn requests_share(&self) -> f64 {
         self.limits.requests_per_s * NODES as f64
     }
 
-    pub fn most_requests_in_a_second(&self) -> usize {
+    pub(crate) fn most_requests_in_a_second(&self) -> usize {
         self.most_sent
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// A user asks a node, which asks the leader, if there is one.
-    pub fn ask(&mut self, node: usize, job: usize) {
+    pub(crate) fn ask(&mut self, node: usize, job: usize) {
         let user = Asker::User(job);
         match self.leader() {
             Some(leader) if leader == node => {
@@ -176,11 +176,11 @@
     }
 
     /// Answers that users have got since the last call.
-    pub fn take_told(&mut self) -> Vec<Told> {
+    pub(crate) fn take_told(&mut self) -> Vec<Told> {
         std::mem::take(&mut self.told)
     }
 
-    pub fn step(&mut self) {
+    pub(crate) fn step(&mut self) {
         self.now += STEP_S;
         self.service.pass(STEP_S, self.now);
         for node in 0..NODES {
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -17,7 +17,7 @@
 /// what users submit and cancel.
 const OTHERS_SHARE: f64 = 0.9;
 
-pub struct StateService {
+pub(crate) struct StateService {
     store: Store,
     requests: TokenBucket,
     rps: f64,
@@ -30,7 +30,7 @@
 }
 
 impl StateService {
-    pub fn new(seed: u64, rps: f64, jobs: usize) -> StateService {
+    pub(crate) fn new(seed: u64, rps: f64, jobs: usize) -> StateService {
         let mut service = StateService {
             store: Store::default(),
             requests: TokenBucket::new(rps, rps),
@@ -55,7 +55,7 @@
     }
 
     /// Others ask for their part, and jobs end.
-    pub fn pass(&mut self, seconds: f64, now: f64) {
+    pub(crate) fn pass(&mut self, seconds: f64, now: f64) {
         self.others += OTHERS_SHARE * self.rps * seconds;
         while self.others >= 1.0 {
             self.others -= 1.0;
@@ -98,27 +98,30 @@
     }
 
     /// Answers a node's call, or refuses it as one too many.
-    pub fn answer(&mut self, call: &StoreCall, now: f64) -> StoreAnswer {
+    pub(crate) fn answer(&mut self, call: &StoreCall, now: f64) -> StoreAnswer {
         let allowed = self.requests.take(now, 1.0);
         match call {
-            StoreCall::Read(key) => StoreAnswer::Read(match allowed {
-                true => Ok(self.store.item(key)),
-                false => Err(Unavailable),
+            StoreCall::Read(key) => StoreAnswer::Read(if allowed {
+                Ok(self.store.item(key))
+            } else {
+                Err(Unavailable)
             }),
             StoreCall::List {
                 under,
                 after,
                 limit,
-            } => StoreAnswer::Listed(match allowed {
-                true => Ok(self.store.page(under, after, *limit)),
-                false => Err(Unavailable),
+            } => StoreAnswer::Listed(if allowed {
+                Ok(self.store.page(under, after, *limit))
+            } else {
+                Err(Unavailable)
             }),
             StoreCall::Commit(transaction) if !transaction.changes.is_empty() => {
                 panic!("polls write nothing: {transaction:?}")
             }
-            StoreCall::Commit(transaction) => StoreAnswer::Committed(match allowed {
-                true => self.store.compared(transaction),
-                false => CommitOutcome::Limited,
+            StoreCall::Commit(transaction) => StoreAnswer::Committed(if allowed {
+                self.store.compared(transaction)
+            } else {
+                CommitOutcome::Limited
             }),
         }
     }
--- a/tests/polls/users.rs
+++ b/tests/polls/users.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds from an answer to the next question.
-pub const PERIOD_S: f64 = 5.0;
+pub(crate) const PERIOD_S: f64 = 5.0;
 /// No user waits longer for a response.
 const RESPONSE_S: f64 = 2.0;
 
@@ -21,7 +21,7 @@
     end: Option<JobState>,
 }
 
-pub struct Users {
+pub(crate) struct Users {
     users: Vec<User>,
     /// Who asks next, and when, in milliseconds.
     questions: BTreeSet<(u64, usize)>,
@@ -30,7 +30,7 @@
 }
 
 impl Users {
-    pub fn new(seed: u64, jobs: usize) -> Users {
+    pub(crate) fn new(seed: u64, jobs: usize) -> Users {
         let first = |number: usize| PERIOD_S * number as f64 / jobs as f64;
         let user = |number| User {
             asked_at: 0.0,
@@ -46,16 +46,16 @@
         }
     }
 
-    pub fn longest_wait_s(&self) -> f64 {
+    pub(crate) fn longest_wait_s(&self) -> f64 {
         let waits = self.users.iter().map(|user| user.longest_wait_s);
         waits.fold(0.0, f64::max)
     }
 
-    pub fn counts(&self) -> &BTreeMap<u16, usize> {
+    pub(crate) fn counts(&self) -> &BTreeMap<u16, usize> {
         &self.counts
     }
 
-    pub fn step(&mut self, cluster: &mut Cluster) {
+    pub(crate) fn step(&mut self, cluster: &mut Cluster) {
         for told in cluster.take_told() {
             self.told(&told, cluster);
         }
--- a/tests/requests/jobs.rs
+++ b/tests/requests/jobs.rs
@@ -6,19 +6,19 @@
 use stairstage::storage::records::{end_key, EndRecord};
 
 /// Jobs bear the numbers below this.
-pub const JOBS: u8 = 8;
+pub(crate) const JOBS: u8 = 8;
 const FIRST_WAITING: u8 = 3;
 const SECOND_WAITING: u8 = 4;
-pub const FITS_NO_MACHINE: u8 = 5;
-pub const LACKS_A_FIELD: u8 = 6;
-pub const NEVER_SUBMITTED: u8 = 7;
+pub(crate) const FITS_NO_MACHINE: u8 = 5;
+pub(crate) const LACKS_A_FIELD: u8 = 6;
+pub(crate) const NEVER_SUBMITTED: u8 = 7;
 
-pub fn id_of(job: u8) -> String {
+pub(crate) fn id_of(job: u8) -> String {
     format!("req-{job}")
 }
 
 /// The job that another waits for, if any.
-pub fn needs(job: u8) -> Option<u8> {
+pub(crate) fn needs(job: u8) -> Option<u8> {
     match job {
         FIRST_WAITING => Some(0),
         SECOND_WAITING => Some(FIRST_WAITING),
@@ -27,12 +27,12 @@
 }
 
 /// Whether it may ever be accepted.
-pub fn can_run(job: u8) -> bool {
+pub(crate) fn can_run(job: u8) -> bool {
     job < FITS_NO_MACHINE
 }
 
 /// The body of its submission.
-pub fn body_of(job: u8) -> Vec<u8> {
+pub(crate) fn body_of(job: u8) -> Vec<u8> {
     let mut body: Value = submission(&id_of(job), "sweep", "normal", 2);
     if let Some(needed) = needs(job) {
         body["waits_on"] = json!([id_of(needed)]);
@@ -48,7 +48,7 @@
 }
 
 /// How a job has ended, as the state service says.
-pub fn recorded_end(store: &crate::common::Store, job: u8) -> Option<JobState> {
+pub(crate) fn recorded_end(store: &crate::common::Store, job: u8) -> Option<JobState> {
     let item = store.item(&end_key(&id_of(job)))?;
     let end: EndRecord = serde_json::from_value(item.value).unwrap();
     Some(end.state)
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -17,7 +17,7 @@
         leader.map(|l| &mut l.manager)
     }
 
-    pub fn opened(&mut self, node: usize, record: OpenRecord, version: u64) {
+    pub(crate) fn opened(&mut self, node: usize, record: OpenRecord, version: u64) {
         let is_over = self.nodes[node].ends.get(&record.spec.id).is_some();
         if is_over && !record.cancelled {
             return;
@@ -27,14 +27,14 @@
         }
     }
 
-    pub fn ended(&mut self, node: usize, job: u8, state: JobState) {
+    pub(crate) fn ended(&mut self, node: usize, job: u8, state: JobState) {
         self.nodes[node].ends.insert(&id_of(job), state);
         if let Some(manager) = self.leads(node) {
             manager.job_end_recorded(&id_of(job), state, 0.0);
         }
     }
 
-    pub fn locate(&mut self, node: usize, job: u8) -> Located {
+    pub(crate) fn locate(&mut self, node: usize, job: u8) -> Located {
         let id = id_of(job);
         let end = self.nodes[node].ends.get(&id).map(|&state| JobStatus {
             id: id.clone(),
@@ -54,7 +54,7 @@
     }
 
     /// A node is elected, and reads the records.
-    pub fn elect(&mut self, node: usize) {
+    pub(crate) fn elect(&mut self, node: usize) {
         let record = json!({"node": name_of(node)});
         let transaction = Transaction::default().put(LEADER_KEY, record);
         let token = self.store.commit(&transaction).unwrap();
@@ -70,17 +70,17 @@
     }
 
     /// The leader's lease is over.
-    pub fn depose(&mut self) {
+    pub(crate) fn depose(&mut self) {
         self.leader = None;
     }
 
     /// A node hears who leads.
-    pub fn follow(&mut self, node: usize) {
+    pub(crate) fn follow(&mut self, node: usize) {
         self.nodes[node].leader = self.leader.as_ref().map(|l| l.node);
     }
 
     /// The leader's watch brings the record of a job as it is now.
-    pub fn leader_hears(&mut self, job: u8) {
+    pub(crate) fn leader_hears(&mut self, job: u8) {
         let item = self.store.item(&open_key(&id_of(job)));
         let (Some(item), Some(leader)) = (item, &self.leader) else {
             return;
@@ -92,7 +92,7 @@
 
     /// The leader records how a job has ended in its picture: its last task is done, or what it
     /// needs is cancelled, or nothing of a cancelled job is left.
-    pub fn leader_ends(&mut self, job: u8, fate: Fate) {
+    pub(crate) fn leader_ends(&mut self, job: u8, fate: Fate) {
         let Some(leader) = &self.leader else {
             return;
         };
--- a/tests/requests/parts.rs
+++ b/tests/requests/parts.rs
@@ -10,7 +10,7 @@
 
 /// What becomes of a call, or of a request that is handed to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub(crate) enum Fate {
     Answered,
     /// Carried out, and the answer is lost.
     AnswerLost,
@@ -22,7 +22,7 @@
     Refused,
 }
 
-pub struct Node {
+pub(crate) struct Node {
     pub ends: EndIndex,
     /// Who leads, as far as it knows.
     pub leader: Option<usize>,
@@ -39,7 +39,7 @@
 
 /// Who gets an answer.
 #[derive(Clone, Debug)]
-pub enum Origin {
+pub(crate) enum Origin {
     User(Question),
     /// The request of another node that has handed it on.
     Request(u64),
@@ -47,14 +47,14 @@
     Nobody,
 }
 
-pub enum Machine {
+pub(crate) enum Machine {
     Request(Box<Request>, Kind, Origin),
     /// A call of the node's batcher of polls.
     Batch,
 }
 
 /// What a machine waits for.
-pub enum Waiting {
+pub(crate) enum Waiting {
     Located,
     Store(StoreCall),
     Peer(usize),
@@ -62,7 +62,7 @@
     Child,
 }
 
-pub struct Running {
+pub(crate) struct Running {
     pub node: usize,
     pub job: Option<u8>,
     pub machine: Machine,
@@ -70,14 +70,14 @@
 }
 
 /// A transaction that is yet to be carried out.
-pub struct LateWrite {
+pub(crate) struct LateWrite {
     pub transaction: Transaction,
     pub node: usize,
     pub by: u64,
     pub applied_before: usize,
 }
 
-pub struct Leader {
+pub(crate) struct Leader {
     pub node: usize,
     pub token: u64,
     pub manager: ClusterManager,
--- a/tests/requests/rules.rs
+++ b/tests/requests/rules.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub(crate) enum Kind {
     Submit,
     Query,
     Cancel,
@@ -17,7 +17,7 @@
 
 /// What users have been told of a job, by any node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Told {
+pub(crate) enum Told {
     Accepted,
     Done,
     Cancelled,
@@ -25,7 +25,7 @@
 
 /// A user's request, and what users had been told when it was sent.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub(crate) struct Question {
     pub kind: Kind,
     pub job: u8,
     pub node: usize,
@@ -34,19 +34,19 @@
 
 /// What users have sent and been told.
 #[derive(Default)]
-pub struct Ledger {
+pub(crate) struct Ledger {
     submitted: BTreeMap<u8, ()>,
     cancel_asked: BTreeMap<u8, ()>,
     told: BTreeMap<u8, Told>,
 }
 
 impl Ledger {
-    pub fn told(&self, job: u8) -> Option<Told> {
+    pub(crate) fn told(&self, job: u8) -> Option<Told> {
         self.told.get(&job).copied()
     }
 
     /// A user sends a request.
-    pub fn asks(&mut self, kind: Kind, job: u8, node: usize) -> Question {
+    pub(crate) fn asks(&mut self, kind: Kind, job: u8, node: usize) -> Question {
         match kind {
             Kind::Submit => drop(self.submitted.insert(job, ())),
             Kind::Cancel => drop(self.cancel_asked.insert(job, ())),
@@ -68,7 +68,7 @@
     }
 
     /// A user is answered. Returns what is news to users.
-    pub fn answered(
+    pub(crate) fn answered(
         &mut self,
         question: &Question,
         answer: &PeerAnswer,
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -40,7 +40,7 @@
 
 /// How often each kind of trouble comes, in shares of one another.
 #[derive(Clone, Copy, Debug)]
-pub struct Troubles {
+pub(crate) struct Troubles {
     pub answer_lost: u32,
     pub late: u32,
     pub lost: u32,
@@ -97,7 +97,7 @@
 
 impl Troubles {
     /// Users ask, cancel and submit again, and no job ends.
-    pub const NONE: Troubles = Troubles {
+    pub(crate) const NONE: Troubles = Troubles {
         answer_lost: 0,
         late: 0,
         lost: 0,
@@ -155,7 +155,7 @@
     }
 
     /// Plays many schedules, and tells what has come about in them.
-    pub fn play(self) -> Seen {
+    pub(crate) fn play(self) -> Seen {
         let seen = RefCell::new(Seen::default());
         let mut runner = TestRunner::new(ProptestConfig {
             rng_seed: RngSeed::Fixed(SEED),
--- a/tests/requests/seen.rs
+++ b/tests/requests/seen.rs
@@ -8,7 +8,7 @@
 
 /// How often each has come about, in all schedules that were played.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub(crate) struct Seen {
     /// Requests by kind, and by what users had been told of the job before.
     asked: BTreeMap<(Kind, Option<Told>), usize>,
     /// Answers by the kind of request and by status.
@@ -33,27 +33,27 @@
 }
 
 impl Seen {
-    pub fn asked(&mut self, question: &Question) {
+    pub(crate) fn asked(&mut self, question: &Question) {
         *self
             .asked
             .entry((question.kind, question.before))
             .or_default() += 1;
     }
 
-    pub fn answered(&mut self, question: &Question, answer: &PeerAnswer) {
+    pub(crate) fn answered(&mut self, question: &Question, answer: &PeerAnswer) {
         let key = (question.kind, answer.status);
         *self.answered.entry(key).or_default() += 1;
     }
 
-    pub fn end_met(&mut self, kind: Kind) {
+    pub(crate) fn end_met(&mut self, kind: Kind) {
         *self.ends_met.entry(kind).or_default() += 1;
     }
 
-    pub fn refusal_met(&mut self, kind: Kind) {
+    pub(crate) fn refusal_met(&mut self, kind: Kind) {
         *self.refusals_met.entry(kind).or_default() += 1;
     }
 
-    pub fn answer_lost(&mut self, by: u64, node: usize, transaction: &Transaction) {
+    pub(crate) fn answer_lost(&mut self, by: u64, node: usize, transaction: &Transaction) {
         let key_of = |change: &Change| match change {
             Change::Put { key, .. } | Change::Delete { key } => key.clone(),
         };
@@ -61,39 +61,39 @@
         self.unknown.insert(by, (node, keys));
     }
 
-    pub fn read(&mut self, key: &str, node: usize) {
+    pub(crate) fn read(&mut self, key: &str, node: usize) {
         let mut unknown = self.unknown.values();
         if unknown.any(|(by, keys)| *by != node && keys.contains(key)) {
             self.read_before_known += 1;
         }
     }
 
-    pub fn finished(&mut self, request: u64) {
+    pub(crate) fn finished(&mut self, request: u64) {
         self.unknown.remove(&request);
     }
 
-    pub fn late_write(&mut self, applied: bool, is_newer: bool, is_given_up: bool) {
+    pub(crate) fn late_write(&mut self, applied: bool, is_newer: bool, is_given_up: bool) {
         self.late_applied += usize::from(applied);
         self.late_after_newer += usize::from(is_newer);
         self.late_after_giving_up += usize::from(is_given_up && applied);
     }
 
     /// How many requests of a kind came after users had been told something of the job.
-    pub fn asked_after(&self, kind: Kind, told: Told) -> usize {
+    pub(crate) fn asked_after(&self, kind: Kind, told: Told) -> usize {
         let count = self.asked.get(&(kind, Some(told)));
         count.copied().unwrap_or_default()
     }
 
-    pub fn answers(&self, kind: Kind, status: u16) -> usize {
+    pub(crate) fn answers(&self, kind: Kind, status: u16) -> usize {
         let count = self.answered.get(&(kind, status));
         count.copied().unwrap_or_default()
     }
 
-    pub fn ends_met(&self, kind: Kind) -> usize {
+    pub(crate) fn ends_met(&self, kind: Kind) -> usize {
         self.ends_met.get(&kind).copied().unwrap_or_default()
     }
 
-    pub fn refusals_met(&self, kind: Kind) -> usize {
+    pub(crate) fn refusals_met(&self, kind: Kind) -> usize {
         self.refusals_met.get(&kind).copied().unwrap_or_default()
     }
 }
--- a/tests/requests/world.rs
+++ b/tests/requests/world.rs
@@ -18,10 +18,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-pub const NODES: usize = 3;
+pub(crate) const NODES: usize = 3;
 const ENDS_KEPT: usize = 3;
 
-pub struct World {
+pub(crate) struct World {
     pub store: Store,
     pub nodes: Vec<Node>,
     pub ledger: Ledger,
@@ -37,7 +37,7 @@
     now: f64,
 }
 
-pub fn name_of(node: usize) -> String {
+pub(crate) fn name_of(node: usize) -> String {
     format!("n{node}")
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl World {
-    pub fn new() -> World {
+    pub(crate) fn new() -> World {
         let settings = Arc::new(Settings::parse("test", common::SETTINGS).unwrap());
         let node = |_| Node {
             ends: EndIndex::new(ENDS_KEPT),
@@ -101,7 +101,7 @@
     }
 
     /// A user sends a request to a node.
-    pub fn ask(&mut self, kind: Kind, job: u8, node: usize) {
+    pub(crate) fn ask(&mut self, kind: Kind, job: u8, node: usize) {
         if kind == Kind::Submit && job == NEVER_SUBMITTED {
             return;
         }
@@ -273,7 +273,7 @@
     }
 
     /// One of those that wait is answered, or not.
-    pub fn advance(&mut self, pick: u8, fate: Fate) {
+    pub(crate) fn advance(&mut self, pick: u8, fate: Fate) {
         let waits = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Child);
         let keys: Vec<u64> = self.running.keys().filter(waits).copied().collect();
         if !keys.is_empty() {
@@ -341,7 +341,7 @@
         }
     }
 
-    pub fn commit(
+    pub(crate) fn commit(
         &mut self,
         by: u64,
         node: usize,
@@ -384,7 +384,7 @@
     }
 
     /// A transaction that was given up on is carried out.
-    pub fn late_write(&mut self, pick: u8) {
+    pub(crate) fn late_write(&mut self, pick: u8) {
         if self.late.is_empty() {
             return;
         }
@@ -399,7 +399,7 @@
     }
 
     /// The polls that wait at a node are looked up, a while later.
-    pub fn confirm(&mut self, node: usize) {
+    pub(crate) fn confirm(&mut self, node: usize) {
         self.now += TICK_S;
         let effects = self.nodes[node].batcher.next(self.now);
         self.batcher_effects(node, effects);
@@ -407,7 +407,7 @@
 
     /// All troubles end: what is under way is finished, and what was late is carried out. Nodes ask
     /// the state service again after a moment.
-    pub fn settle(&mut self) {
+    pub(crate) fn settle(&mut self) {
         self.close_looks = false;
         self.now += MOMENT_S;
         for node in &mut self.nodes {
@@ -430,7 +430,7 @@
         (0..NODES).for_each(|node| self.follow(node));
     }
 
-    pub fn finish_all(&mut self) {
+    pub(crate) fn finish_all(&mut self) {
         loop {
             (0..NODES).for_each(|node| self.confirm(node));
             let waits = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Child);
@@ -446,7 +446,7 @@
     }
 
     /// The state service refuses the nodes whose bits are set.
-    pub fn refuse(&mut self, bits: u8) {
+    pub(crate) fn refuse(&mut self, bits: u8) {
         let before = self.nodes.iter().filter(|node| node.refused).count();
         for (i, node) in self.nodes.iter_mut().enumerate() {
             node.refused = bits & (1 << i) != 0;
@@ -462,7 +462,7 @@
     }
 
     /// The end of a job is written; requests about it are under way.
-    pub fn end_met_requests(&mut self, job: u8) {
+    pub(crate) fn end_met_requests(&mut self, job: u8) {
         for running in self.running.values().filter(|r| r.job == Some(job)) {
             if let Machine::Request(_, kind, _) = running.machine {
                 self.seen.end_met(kind);
--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -74,9 +74,10 @@
         self.nodes[i] = None;
         self.present[i] = present;
         let arguments = [OsStr::new("--upgrade"), self.policy.as_os_str()];
-        self.nodes[i] = match present {
-            true => self.grid.start_with(i, &arguments),
-            false => self.grid.start_program(&self.former, i, &[]),
+        self.nodes[i] = if present {
+            self.grid.start_with(i, &arguments)
+        } else {
+            self.grid.start_program(&self.former, i, &[])
         };
     }
 
