--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -1,15 +1,15 @@
 //! How many machines batches need to end in their time.
 
 use super::supply::{slots_by_zone, Supply};
-use super::Demand;
-use crate::coordination::cluster::ClusterState;
-use crate::coordination::scheduling::placement::may_use;
-use crate::coordination::state::{Deadline, Job, Machine, Name};
+use super::{Demand, DemandEstimator};
+use crate::coordination::state::{may_use, Deadline, Job, Machine, Name};
 use crate::coordination::Time;
 use std::collections::{HashMap, HashSet};
 
 /// The share of a job's time that its tasks may take to be worked off.
 const HORIZON_SHARE: f64 = 0.5;
+/// The time of a job that has none to keep to, as a factor of its predicted run time.
+const OPEN_END_FACTOR: f64 = 2.0;
 
 /// Jobs that may use some machines only, in groups with the same choice of them.
 #[derive(Default)]
@@ -23,7 +23,8 @@
     fn add(&mut self, jobs: &[&'a Job], cpus: f64) {
         let group = self.cpus.len();
         self.cpus.push(cpus);
-        self.group_of.extend(jobs.iter().map(|j| (&j.id, group)));
+        self.group_of
+            .extend(jobs.iter().map(|job| (&job.id, group)));
     }
 }
 
@@ -31,8 +32,9 @@
 struct Backlog<'a> {
     running: &'a HashMap<&'a str, f64>,
     groups: RestrictedGroups<'a>,
-    /// Work that any machine takes, and that of each group.
+    /// Work that any machine takes.
     unrestricted: f64,
+    /// The work of each group.
     of_group: Vec<f64>,
 }
 
@@ -64,65 +66,69 @@
     }
 }
 
-impl ClusterState {
+impl DemandEstimator<'_> {
     /// What the queue needs: enough that each job, after those before it, ends in its time, on
     /// machines that it may use; and for a gang, room for all of its tasks at once.
-    pub(crate) fn batch_demands(&self, supply: &[Supply], now: Time) -> Vec<Demand> {
-        let mut batches: Vec<&Job> = self
-            .jobs
-            .values()
-            .filter(|j| !j.is_service() && j.may_begin() && now >= j.retry_at)
-            .collect();
-        batches.sort_by_key(|j| j.arrival_order);
-        let running = self.work_running(now);
+    pub(super) fn batch_demands(&self, supply: &[Supply]) -> Vec<Demand> {
+        let jobs = self.cluster.jobs();
+        let batches = jobs.filter(|j| !j.is_service() && j.is_eligible() && self.now >= j.retry_at);
+        let mut batches: Vec<&Job> = batches.collect();
+        batches.sort_by_key(|job| job.arrival_order);
+        let running = self.work_running();
         let mut demands = Vec::new();
         let mut groups = RestrictedGroups::default();
         for jobs in self.by_choice(&batches).values() {
             if let Some(gang) = self.largest_gang(jobs) {
-                let slots = slots_by_zone(gang, supply, |machine| machine.room);
+                let slots = slots_by_zone(gang, supply, |machine| machine.for_batches);
                 demands.extend(self.gang_demands(gang, &slots));
             }
             let suitable = supply.iter().filter(|s| s.suits(&jobs[0].spec));
             // What may use every machine is part of the demand of all.
             if suitable.clone().count() < supply.len() {
-                let cpus: f64 = suitable.map(|s| s.room.cpus).sum();
-                let have = cpus - self.cpus_taken(jobs, now);
+                let cpus: f64 = suitable.map(|s| s.for_batches.cpus).sum();
+                let have = cpus - self.cpus_taken(jobs);
                 let backlog = Backlog::new(&running, RestrictedGroups::default());
-                let shortage = self.shortage(jobs, have, backlog, now);
+                let shortage = self.shortage(jobs, have, backlog);
                 groups.add(jobs, cpus + shortage.as_ref().map_or(0.0, Demand::cpus));
                 demands.extend(shortage);
             }
         }
         let wanted = demands.iter().map(Demand::cpus);
-        let have = supply.iter().map(|s| s.room.cpus).chain(wanted).sum();
+        let have = supply.iter().map(|s| s.for_batches.cpus).chain(wanted);
         let backlog = Backlog::new(&running, groups);
-        demands.extend(self.shortage(&batches, have, backlog, now));
+        demands.extend(self.shortage(&batches, have.sum(), backlog));
         demands
     }
 
-    /// The time in which a job's remaining work should be done.
-    fn horizon_s(&self, job: &Job, now: Time) -> f64 {
-        let objectives = &self.settings.cluster.objectives;
-        let within = objectives
-            .iter()
-            .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(&job.spec.class))
-            .filter_map(|o| o.within_s)
-            .fold(f64::INFINITY, f64::min);
-        let due = job.due.as_ref().map_or(f64::INFINITY, Deadline::latest);
-        let end = due.min(job.ready + within);
-        let predicted = job.predicted_s.max(1.0);
+    /// The time in which a job's remaining work should be done, in seconds.
+    fn horizon_s(&self, job: &Job) -> f64 {
+        let objectives = self.cluster.settings().cluster.objectives.iter();
+        let of_class = objectives
+            .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(&job.spec.class));
+        let within_s = of_class.filter_map(|o| o.within_s);
+        let within_s = within_s.fold(f64::INFINITY, f64::min);
+        let due_at = job
+            .deadline
+            .as_ref()
+            .map_or(f64::INFINITY, Deadline::latest);
+        let end: Time = due_at.min(job.ready_at + within_s);
+        let predicted_s = job.predicted_s.max(1.0);
         if !end.is_finite() {
-            return 2.0 * predicted;
+            return OPEN_END_FACTOR * predicted_s;
         }
-        (HORIZON_SHARE * (end - now)).max(predicted)
+        (HORIZON_SHARE * (end - self.now)).max(predicted_s)
     }
 
     /// The work of each job that runs, in processor seconds to its predicted end.
-    fn work_running(&self, now: Time) -> HashMap<&str, f64> {
+    fn work_running(&self) -> HashMap<&str, f64> {
         let mut work: HashMap<&str, f64> = HashMap::new();
-        for m in self.machines.values() {
-            for (key, p) in m.live().filter(|(_, p)| p.load.run_s.is_some()) {
-                *work.entry(&key.0).or_default() += (p.predicted_end(now) - now) * p.load.need.cpus;
+        for machine in self.cluster.machines() {
+            for (id, allocation) in machine.live_allocations() {
+                if !allocation.profile.is_service() {
+                    let left_s = allocation.predicted_end(self.now) - self.now;
+                    let cpus = allocation.profile.request.cpus;
+                    *work.entry(&id.job).or_default() += left_s * cpus;
+                }
             }
         }
         work
@@ -130,53 +136,42 @@
 
     /// Processors on machines that these jobs may use which other batches hold for longer than it
     /// takes until a machine is up.
-    fn cpus_taken(&self, jobs: &[&Job], now: Time) -> f64 {
-        let until = now + self.boot_s();
-        let own: HashSet<&Name> = jobs.iter().map(|j| &j.id).collect();
-        let machines = self.machines.values();
-        let suitable = machines.filter(|m| self.takes_tasks(m, now) && may_use(jobs[0], m));
-        let others = suitable.flat_map(Machine::live).filter(|(key, place)| {
-            let batch = place.load.run_s.is_some();
-            batch && !own.contains(&key.0) && place.predicted_end(now) > until
+    fn cpus_taken(&self, jobs: &[&Job]) -> f64 {
+        let until = self.now + self.cluster.machine_types().mean_boot_s();
+        let own: HashSet<&Name> = jobs.iter().map(|job| &job.id).collect();
+        let machines = self.cluster.machines();
+        let suitable =
+            machines.filter(|m| self.cluster.accepts_tasks(m, self.now) && may_use(jobs[0], m));
+        let others = suitable.flat_map(Machine::live_allocations);
+        let others = others.filter(|(id, allocation)| {
+            let is_batch = !allocation.profile.is_service();
+            is_batch && !own.contains(&id.job) && allocation.predicted_end(self.now) > until
         });
-        others.map(|(_, place)| place.load.need.cpus).sum()
-    }
-
-    /// Seconds until a machine is up, on average over the types.
-    pub(crate) fn boot_s(&self) -> f64 {
-        let boots = self.types.iter().map(|t| t.boot_s);
-        boots.sum::<f64>() / self.types.len().max(1) as f64
+        others.map(|(_, a)| a.profile.request.cpus).sum()
     }
 
     /// What jobs lack, in their order, with so many processors: new machines work only once they
     /// have booted, and what is done by then needs none.
-    fn shortage(
-        &self,
-        jobs: &[&Job],
-        have: f64,
-        mut backlog: Backlog,
-        now: Time,
-    ) -> Option<Demand> {
-        let boot_s = self.boot_s();
-        let mut best: Option<(f64, &Job)> = None;
+    fn shortage(&self, jobs: &[&Job], have: f64, mut backlog: Backlog) -> Option<Demand> {
+        let boot_s = self.cluster.machine_types().mean_boot_s();
+        let mut largest: Option<(f64, &Job)> = None;
         for job in jobs {
             backlog.add(job);
-            if self.wanted(job, job.unplaced_count()) == 0 {
+            if self.cluster.within_quota(job, job.unplaced_count()) == 0 {
                 continue;
             }
-            let least_s = boot_s + job.predicted_s;
-            let within_s = self.horizon_s(job, now).max(least_s);
-            let more = (backlog.work_within(within_s) - have * within_s) / (within_s - boot_s);
-            if more > 0.0 && best.is_none_or(|b| more > b.0) {
-                best = Some((more, job));
+            let min_s = boot_s + job.predicted_s;
+            let within_s = self.horizon_s(job).max(min_s);
+            let cpus = (backlog.work_within(within_s) - have * within_s) / (within_s - boot_s);
+            if cpus > 0.0 && largest.is_none_or(|(most, _)| cpus > most) {
+                largest = Some((cpus, job));
             }
         }
-        let (cpus, job) = best?;
-        let count = (cpus / job.spec.cpus.max(1e-3)).ceil() as u32;
+        let (cpus, job) = largest?;
         Some(Demand {
             spec: job.spec.clone(),
-            count,
-            spot: job.spec.spot && self.settings.policy.spot,
+            count: (cpus / job.spec.cpus.max(1e-3)).ceil() as u32,
+            spot: self.may_use_spot(job),
         })
     }
 }
--- a/src/coordination/autoscaling/demand/supply.rs
+++ b/src/coordination/autoscaling/demand/supply.rs
@@ -1,105 +1,111 @@
-//! The machines that are at hand or on their way, and which jobs may use them.
+//! The machines that are at hand or coming, and which jobs may use them.
 
-use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::{Job, MachinePhase, Resources};
-use crate::coordination::Time;
+use super::DemandEstimator;
+use crate::coordination::state::{may_use_type, Job, Machine, MachinePhase, Resources};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
 use std::collections::BTreeMap;
 use std::iter::repeat_n;
 
-/// A machine that is up, boots or has been asked for, with the room that no service takes, and the
-/// room that nothing takes.
+/// A machine that is up, boots or has been asked for.
 #[derive(Clone)]
-pub(crate) struct Supply<'a> {
-    pub kind: &'a MachineType,
-    pub zone: &'a str,
-    pub spot: bool,
-    pub room: Resources,
-    pub free: Resources,
+pub(super) struct Supply<'a> {
+    machine_type: &'a MachineType,
+    zone: &'a str,
+    spot: bool,
+    /// What no service takes.
+    pub(super) for_batches: Resources,
+    /// What nothing takes.
+    pub(super) free: Resources,
 }
 
 impl Supply<'_> {
-    pub(crate) fn suits(&self, spec: &JobSpec) -> bool {
-        let zone = spec.zone.as_ref().is_none_or(|z| z == self.zone);
-        zone && (spec.spot || !self.spot) && may_use_type(spec, self.kind)
+    /// Whether the job's description lets its tasks use the machine, and one of them would fit it.
+    pub(super) fn suits(&self, spec: &JobSpec) -> bool {
+        let zone_allowed = spec.zone.as_ref().is_none_or(|z| z == self.zone);
+        zone_allowed && (spec.spot || !self.spot) && may_use_type(spec, self.machine_type)
     }
 }
 
 /// The machines that jobs may use.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Choice<'a> {
-    types: Vec<&'a str>,
+pub(super) struct MachineChoice<'a> {
+    machine_types: Vec<&'a str>,
     zone: Option<&'a str>,
     spot: bool,
 }
 
-/// Whether a task fits a type of machine that the job's description allows.
-pub(crate) fn may_use_type(spec: &JobSpec, kind: &MachineType) -> bool {
-    let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&kind.name));
-    allowed && Resources::of_type(kind).fits(&Resources::of(spec))
-}
-
-/// How many tasks of a job fit machines of each zone, by the room that counts.
-pub(crate) fn slots_by_zone<'a>(
+/// How many tasks of a job fit machines of each zone, by the resources that count.
+pub(super) fn slots_by_zone<'a>(
     job: &Job,
     supply: &[Supply<'a>],
-    room: impl Fn(&Supply) -> Resources,
+    resources: impl Fn(&Supply) -> Resources,
 ) -> BTreeMap<&'a str, u32> {
     let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in supply.iter().filter(|s| s.suits(&job.spec)) {
-        *slots.entry(machine.zone).or_default() += room(machine).slots(&job.need());
+        *slots.entry(machine.zone).or_default() += resources(machine).slots(&job.request());
     }
     slots
 }
 
-impl ClusterState {
-    /// The machines that are up or come, with the room that batches can use.
-    pub(crate) fn supply(&self, now: Time) -> Vec<Supply<'_>> {
+impl<'a> DemandEstimator<'a> {
+    /// The machines that are up or come, with what batches can use of them.
+    pub(super) fn supply(&self) -> Vec<Supply<'a>> {
+        let machine_types = self.cluster.machine_types();
         let mut supply = Vec::new();
-        for r in self.fleet.renting.values() {
-            let coming = self.type_of(&r.kind).map(|kind| Supply {
-                kind,
-                zone: &r.zone,
-                spot: r.spot,
-                room: Resources::of_type(kind),
-                free: Resources::of_type(kind),
-            });
-            let count = r.count as usize;
-            supply.extend(coming.into_iter().flat_map(|s| repeat_n(s, count)));
-        }
-        let present = self.machines.values();
-        for m in present.filter(|m| m.phase == MachinePhase::Booting || self.takes_tasks(m, now)) {
-            let Some(kind) = self.type_of(&m.kind) else {
+        for rent in self.autoscaler.pending_rentals.values() {
+            let Some(machine_type) = machine_types.get(&rent.kind) else {
                 continue;
             };
-            let mut room = Resources::of_type(kind);
-            for (_, place) in m.live().filter(|(_, p)| p.load.run_s.is_none()) {
-                room.take(&place.load.need);
+            let coming = Supply {
+                machine_type,
+                zone: &rent.zone,
+                spot: rent.spot,
+                for_batches: Resources::of_type(machine_type),
+                free: Resources::of_type(machine_type),
+            };
+            supply.extend(repeat_n(coming, rent.count as usize));
+        }
+        for machine in self.cluster.machines() {
+            let is_booting = machine.phase == MachinePhase::Booting;
+            if is_booting || self.cluster.accepts_tasks(machine, self.now) {
+                supply.extend(self.supply_of(machine));
             }
-            supply.push(Supply {
-                kind,
-                zone: &m.zone,
-                spot: m.spot,
-                room,
-                free: self.free_room(m),
-            });
         }
         supply
     }
 
+    fn supply_of(&self, machine: &'a Machine) -> Option<Supply<'a>> {
+        let machine_types = self.cluster.machine_types();
+        let machine_type = machine_types.get(&machine.machine_type)?;
+        let mut for_batches = Resources::of_type(machine_type);
+        for (_, allocation) in machine.live_allocations() {
+            if allocation.profile.is_service() {
+                for_batches.take(&allocation.profile.request);
+            }
+        }
+        Some(Supply {
+            machine_type,
+            zone: &machine.zone,
+            spot: machine.spot,
+            for_batches,
+            free: self.cluster.free_resources(machine),
+        })
+    }
+
     /// Waiting jobs by the machines that they may use: types on which a task fits, zone, and whether
-    /// the cloud may take them back.
-    pub(crate) fn by_choice<'a>(
-        &'a self,
-        batches: &[&'a Job],
-    ) -> BTreeMap<Choice<'a>, Vec<&'a Job>> {
-        let mut groups: BTreeMap<Choice, Vec<&Job>> = BTreeMap::new();
-        for job in batches.iter().filter(|j| j.unplaced_count() > 0) {
+    /// the cloud may reclaim them.
+    pub(super) fn by_choice<'b>(
+        &'b self,
+        batches: &[&'b Job],
+    ) -> BTreeMap<MachineChoice<'b>, Vec<&'b Job>> {
+        let mut groups: BTreeMap<MachineChoice, Vec<&Job>> = BTreeMap::new();
+        for job in batches.iter().filter(|job| job.unplaced_count() > 0) {
             let spec = &job.spec;
-            let types = self.types.iter().filter(|t| may_use_type(spec, t));
-            let choice = Choice {
-                types: types.map(|t| t.name.as_str()).collect(),
+            let machine_types = self.cluster.machine_types().iter();
+            let machine_types = machine_types.filter(|t| may_use_type(spec, t));
+            let choice = MachineChoice {
+                machine_types: machine_types.map(|t| t.name.as_str()).collect(),
                 zone: spec.zone.as_deref(),
                 spot: spec.spot,
             };
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -1,258 +1,324 @@
-//! Which machines to give back: those that stand idle, and those whose replicas fit elsewhere.
+//! Which machines to return: those that stand idle, and those whose replicas fit elsewhere.
 
-use crate::coordination::autoscaling::scale_out::MIN_CHARGE_S;
+use super::MIN_CHARGE_S;
+use crate::coordination::cluster::service_arrivals::ExpectedReplicas;
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::scheduling::placement::may_use;
-use crate::coordination::state::{AllocationId, Job, Machine, MachinePhase, Name, Resources};
+use crate::coordination::state::{
+    may_use, AllocationId, Job, Machine, MachinePhase, Name, Resources,
+};
 use crate::coordination::Time;
 use std::collections::HashMap;
 use tracing::info;
 
 /// Free processors that are kept for each that waiting tasks take: they do not fit everywhere.
-const ROOM_FOR_WAITING: f64 = 1.25;
-/// Machines whose replicas may be moved in one tick, as a share of those that are up, and those
-/// that are looked at for it.
+const FREE_FOR_WAITING: f64 = 1.25;
+/// Machines whose replicas may be moved in one tick, as a share of those that are up.
 const MOVED_SHARE: f64 = 0.05;
+/// Machines that are examined for it.
 const MOVE_CANDIDATES: usize = 16;
 /// A start counts once the task has run for this long.
 const START_COUNTS_S: f64 = 30.0;
 
-/// Processors on all machines, and on those that the cloud does not take back.
+/// Processors on all machines, and on those that the cloud does not reclaim.
 #[derive(Clone, Copy, Default)]
-struct Surplus {
+struct FreeCpus {
     all: f64,
-    steady: f64,
+    on_demand: f64,
 }
 
-impl Surplus {
-    fn add(&mut self, m: &Machine, cpus: f64) {
+impl FreeCpus {
+    fn add(&mut self, machine: &Machine, cpus: f64) {
         self.all += cpus;
-        if !m.spot {
-            self.steady += cpus;
+        if !machine.spot {
+            self.on_demand += cpus;
         }
     }
 }
 
 /// A job that waits, and the processors that its tasks would take.
-struct Waiting<'a> {
+struct WaitingJob<'a> {
     job: &'a Job,
     cpus: f64,
 }
 
-impl Waiting<'_> {
+impl WaitingJob<'_> {
     /// Whether the job keeps the machine: one that may only use some keeps all of those.
-    fn keeps(&self, m: &Machine) -> bool {
+    fn keeps(&self, machine: &Machine) -> bool {
         let spec = &self.job.spec;
-        let any = spec.gpus <= 0.0 && spec.types.is_none() && spec.zone.is_none();
-        !any && may_use(self.job, m)
+        let may_use_any = spec.gpus <= 0.0 && spec.types.is_none() && spec.zone.is_none();
+        !may_use_any && may_use(self.job, machine)
     }
 }
 
-impl ClusterState {
-    /// Gives back machines that stand idle, if what is expected fits without them.
-    pub(crate) fn return_idle(&mut self, now: Time) {
-        let mut idle = self.idle_machines(now);
-        if idle.is_empty() {
-            return;
-        }
-        let free = self.free_beyond_expected(now);
-        let waiting = self.waiting_cpus();
-        let mut surplus_by_kind: HashMap<(&Name, &Name, bool), Surplus> = HashMap::new();
-        let mut returned = Surplus::default();
-        let mut returns = Vec::new();
-        // The dearest first.
-        idle.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, m) in idle {
-            let surplus = surplus_by_kind
-                .entry((&m.kind, &m.zone, m.spot))
-                .or_insert_with(|| self.surplus(free, &waiting, m));
-            let cpus = self.free_room(m).cpus;
-            let enough = surplus.all - returned.all >= cpus
-                && (m.spot || surplus.steady - returned.steady >= cpus);
-            if enough && !waiting.iter().any(|w| w.keeps(m)) {
-                returned.add(m, cpus);
-                returns.push(m.name.clone());
-            }
-        }
-        for name in returns {
-            info!("{name}: idle, is returned");
-            self.give_back(&name);
+/// An idle machine and its price.
+struct IdleMachine<'a> {
+    machine: &'a Machine,
+    price: f64,
+}
+
+/// Machines that are alike, as far as scaling in is concerned.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct MachineKind<'a> {
+    machine_type: &'a Name,
+    zone: &'a Name,
+    spot: bool,
+}
+
+/// Returns machines that stand idle, if what is expected fits without them.
+pub(super) fn return_idle(cluster: &mut ClusterState, now: Time) {
+    for name in idle_to_return(cluster, now) {
+        info!(machine = %name, "returning an idle machine");
+        cluster.begin_return(&name);
+    }
+}
+
+fn idle_to_return(cluster: &ClusterState, now: Time) -> Vec<Name> {
+    let mut idle = idle_machines(cluster, now);
+    if idle.is_empty() {
+        return Vec::new();
+    }
+    let free = free_beyond_expected(cluster, now);
+    let waiting = waiting_jobs(cluster);
+    let mut surplus_by_kind: HashMap<MachineKind, FreeCpus> = HashMap::new();
+    let mut returned = FreeCpus::default();
+    let mut returns = Vec::new();
+    // The dearest first.
+    idle.sort_by(|a, b| b.price.total_cmp(&a.price));
+    for IdleMachine { machine, .. } in idle {
+        let kind = MachineKind {
+            machine_type: &machine.machine_type,
+            zone: &machine.zone,
+            spot: machine.spot,
+        };
+        let surplus = surplus_by_kind
+            .entry(kind)
+            .or_insert_with(|| surplus(cluster, free, &waiting, machine));
+        let cpus = cluster.free_resources(machine).cpus;
+        let is_surplus = surplus.all - returned.all >= cpus
+            && (machine.spot || surplus.on_demand - returned.on_demand >= cpus);
+        if is_surplus && !waiting.iter().any(|job| job.keeps(machine)) {
+            returned.add(machine, cpus);
+            returns.push(machine.name.clone());
         }
     }
+    returns
+}
 
-    /// Machines that have stood idle for long enough, and their prices.
-    fn idle_machines(&self, now: Time) -> Vec<(f64, &Machine)> {
-        let idle_share = self.settings.policy.idle;
-        let empty = self.machines.values();
-        let empty = empty.filter(|m| self.takes_tasks(m, now) && m.is_empty());
-        let priced = empty.filter_map(|m| {
-            let t = self.type_of(&m.kind)?;
-            let price = if m.spot { t.spot_price } else { t.price };
-            let long = now - m.idle_since > idle_share * t.boot_s;
-            let paid = now - m.rented > MIN_CHARGE_S;
-            (long && paid).then_some((price, m))
-        });
-        priced.collect()
+/// Machines that have stood idle for long enough.
+fn idle_machines(cluster: &ClusterState, now: Time) -> Vec<IdleMachine<'_>> {
+    let idle_share = cluster.settings().policy.idle;
+    let machines = cluster.machines();
+    let empty =
+        machines.filter(|machine| cluster.accepts_tasks(machine, now) && machine.is_empty());
+    let idle = empty.filter_map(|machine| {
+        let machine_type = cluster.machine_types().get(&machine.machine_type)?;
+        let price = if machine.spot {
+            machine_type.spot_price
+        } else {
+            machine_type.price
+        };
+        let is_idle = now - machine.idle_since > idle_share * machine_type.boot_s;
+        let is_paid = now - machine.rented_at > MIN_CHARGE_S;
+        (is_idle && is_paid).then_some(IdleMachine { machine, price })
+    });
+    idle.collect()
+}
+
+/// Free processors on all machines, beyond what the services that are expected take.
+fn free_beyond_expected(cluster: &ClusterState, now: Time) -> FreeCpus {
+    let mut free = FreeCpus::default();
+    for machine in cluster.machines() {
+        if cluster.accepts_tasks(machine, now) {
+            free.add(machine, cluster.free_resources(machine).cpus);
+        }
+    }
+    for expected in cluster.expected_replicas(now) {
+        let cpus = expected.request.cpus * f64::from(expected.count);
+        free.all -= cpus;
+        free.on_demand -= cpus;
     }
+    free
+}
 
-    /// Free processors on all machines, beyond what the services that are expected take.
-    fn free_beyond_expected(&self, now: Time) -> Surplus {
-        let mut free = Surplus::default();
-        for m in self.machines.values() {
-            if self.takes_tasks(m, now) {
-                free.add(m, self.free_room(m).cpus);
-            }
+/// What waits, as far as quotas let it start.
+fn waiting_jobs(cluster: &ClusterState) -> Vec<WaitingJob<'_>> {
+    let jobs = cluster.jobs().filter(|job| job.is_eligible());
+    let waiting = jobs.filter_map(|job| {
+        // One that waits for its team's quota needs no machine.
+        let tasks = cluster.within_quota(job, job.unplaced_count());
+        let cpus = f64::from(tasks) * job.spec.cpus;
+        (tasks > 0).then_some(WaitingJob { job, cpus })
+    });
+    waiting.collect()
+}
+
+/// Free processors beyond what is expected and what waits for machines like this one. With many
+/// jobs there is always one that waits for a moment, so that alone keeps no machine; nor does
+/// what fits no machine like it.
+fn surplus(
+    cluster: &ClusterState,
+    free: FreeCpus,
+    waiting: &[WaitingJob],
+    machine: &Machine,
+) -> FreeCpus {
+    let mut surplus = free;
+    let Some(machine_type) = cluster.machine_types().get(&machine.machine_type) else {
+        return surplus;
+    };
+    let total = Resources::of_type(machine_type);
+    for WaitingJob { job, cpus } in waiting {
+        if !may_use(job, machine) || !total.fits(&job.request()) {
+            continue;
         }
-        for (need, count, _) in self.fleet.expected(self, now) {
-            let cpus = need.cpus * f64::from(count);
-            free.all -= cpus;
-            free.steady -= cpus;
+        surplus.all -= FREE_FOR_WAITING * cpus;
+        if !job.spec.spot {
+            surplus.on_demand -= FREE_FOR_WAITING * cpus;
         }
-        free
     }
+    surplus
+}
+
+/// A machine whose replicas move elsewhere.
+struct Move {
+    machine: Name,
+    allocations: Vec<AllocationId>,
+}
 
-    /// What waits, as far as limits let it start.
-    fn waiting_cpus(&self) -> Vec<Waiting<'_>> {
-        let jobs = self.jobs.values().filter(|j| j.may_begin());
-        let waiting = jobs.filter_map(|job| {
-            // One that waits for its team's limit needs no machine.
-            let tasks = self.wanted(job, job.unplaced_count());
-            let cpus = f64::from(tasks) * job.spec.cpus;
-            (tasks > 0).then_some(Waiting { job, cpus })
-        });
-        waiting.collect()
+/// Moves replicas off machines that hold nothing else, where others have room for them and their
+/// images, so that these can be returned.
+pub(super) fn consolidate(cluster: &mut ClusterState, now: Time) {
+    for Move {
+        machine,
+        allocations,
+    } in moves(cluster, now)
+    {
+        let replicas = allocations.len();
+        info!(machine = %machine, replicas, "moving replicas off a machine to return it");
+        cluster.drain_replicas(&machine, &allocations, now);
     }
+}
 
-    /// Free processors beyond what is expected and what waits for machines like this one. With many
-    /// jobs there is always one that waits for a moment, so that alone keeps no machine; nor does
-    /// what fits no machine like it.
-    fn surplus(&self, free: Surplus, waiting: &[Waiting], m: &Machine) -> Surplus {
-        let mut surplus = free;
-        let Some(kind) = self.type_of(&m.kind) else {
-            return surplus;
-        };
-        let room = Resources::of_type(kind);
-        let suited = waiting
-            .iter()
-            .filter(|w| may_use(w.job, m) && room.fits(&w.job.need()));
-        for w in suited {
-            surplus.all -= ROOM_FOR_WAITING * w.cpus;
-            if !w.job.spec.spot {
-                surplus.steady -= ROOM_FOR_WAITING * w.cpus;
-            }
+fn moves(cluster: &ClusterState, now: Time) -> Vec<Move> {
+    let max_moves = max_moves(cluster);
+    if max_moves == 0 {
+        return Vec::new();
+    }
+    let on_demand = |machine: &&Machine| !machine.spot && cluster.accepts_tasks(machine, now);
+    let mut targets: Vec<&Machine> = cluster.machines().filter(on_demand).collect();
+    let movable = targets.iter().copied();
+    let movable =
+        movable.filter(|machine| !machine.is_empty() && holds_settled_replicas(machine, now));
+    let mut candidates: Vec<&Machine> = movable.collect();
+    candidates.sort_by(|a, b| a.used().cpus.total_cmp(&b.used().cpus));
+    // The fullest others come first: what they take leaves the emptier ones to follow.
+    let free_cpus = |machine: &Machine| cluster.free_resources(machine).cpus;
+    targets.sort_by(|a, b| free_cpus(a).total_cmp(&free_cpus(b)));
+    let mut consolidation = Consolidation {
+        cluster,
+        targets,
+        expected: cluster.expected_replicas(now),
+        taken: HashMap::new(),
+        moves: Vec::new(),
+    };
+    for machine in candidates.into_iter().take(MOVE_CANDIDATES) {
+        if consolidation.moves.len() >= max_moves {
+            break;
         }
-        surplus
+        consolidation.try_move(machine);
     }
+    consolidation.moves
+}
 
-    /// Moves replicas off machines that hold nothing else, where others have room for them and
-    /// their images, so that these can be returned.
-    pub(crate) fn consolidate(&mut self, now: Time) {
-        let up = self
-            .machines
-            .values()
-            .filter(|m| m.phase == MachinePhase::Up);
-        let (mut count, mut moving) = (0, 0);
-        for m in up {
-            count += 1;
-            moving += usize::from(m.draining);
-        }
-        let most = ((MOVED_SHARE * count as f64) as usize).max(1);
-        let waiting = || {
-            self.jobs
-                .values()
-                .any(|j| j.may_begin() && j.unplaced_count() > 0)
-        };
-        if moving >= most || waiting() {
-            return;
+/// How many more machines may be emptied now: none while tasks wait.
+fn max_moves(cluster: &ClusterState) -> usize {
+    let (mut up, mut draining) = (0, 0);
+    for machine in cluster.machines() {
+        if machine.phase == MachinePhase::Up {
+            up += 1;
+            draining += usize::from(machine.draining);
         }
-        let mut steady: Vec<&Machine> = self
-            .machines
-            .values()
-            .filter(|m| !m.spot && self.takes_tasks(m, now))
-            .collect();
-        let mut candidates: Vec<&Machine> = steady
-            .iter()
-            .copied()
-            .filter(|m| !m.is_empty() && self.holds_settled_replicas(m, now))
-            .collect();
-        candidates.sort_by(|a, b| a.used().cpus.total_cmp(&b.used().cpus));
-        // The fullest others come first: what they take leaves the emptier ones to follow.
-        steady.sort_by(|a, b| self.free_room(a).cpus.total_cmp(&self.free_room(b).cpus));
-        let expected = self.fleet.expected(self, now);
-        let mut taken: HashMap<usize, Resources> = HashMap::new();
-        let mut leaving: Vec<(Name, Vec<AllocationId>)> = Vec::new();
-        for m in candidates.into_iter().take(MOVE_CANDIDATES) {
-            if moving + leaving.len() >= most {
-                break;
-            }
-            // None goes to a machine that is to empty itself.
-            let others = |i: usize| {
-                let name = &steady[i].name;
-                *name != m.name && leaving.iter().all(|(l, _)| l != name)
-            };
-            if let Some(more) = self.fits_elsewhere(m, &steady, &others, &taken, &expected) {
-                taken = more;
-                let keys = m.live().map(|(key, _)| key.clone()).collect();
-                leaving.push((m.name.clone(), keys));
-            }
+    }
+    let max_draining = ((MOVED_SHARE * f64::from(up)) as usize).max(1);
+    let mut jobs = cluster.jobs();
+    if draining >= max_draining || jobs.any(|job| job.is_eligible() && job.unplaced_count() > 0) {
+        return 0;
+    }
+    max_draining - draining
+}
+
+/// Whether all on a machine are replicas that have run for long enough to count as started.
+fn holds_settled_replicas(machine: &Machine, now: Time) -> bool {
+    machine.live_allocations().all(|(_, allocation)| {
+        let since = allocation.running_since;
+        let has_settled = since.is_some_and(|since| now - since > START_COUNTS_S);
+        allocation.profile.is_service() && has_settled && allocation.pending_stop.is_none()
+    })
+}
+
+/// The moves that are decided, and what they take of other machines.
+struct Consolidation<'a> {
+    cluster: &'a ClusterState,
+    /// Machines that may take replicas.
+    targets: Vec<&'a Machine>,
+    expected: Vec<ExpectedReplicas>,
+    /// What moves take of the targets, by their positions.
+    taken: HashMap<usize, Resources>,
+    moves: Vec<Move>,
+}
+
+impl Consolidation<'_> {
+    /// Moves a machine's replicas to others, if they and those that are expected fit there.
+    fn try_move(&mut self, machine: &Machine) {
+        if let Some(taken) = self.fits_elsewhere(machine) {
+            self.taken = taken;
+            let allocations = machine.live_allocations();
+            self.moves.push(Move {
+                machine: machine.name.clone(),
+                allocations: allocations.map(|(id, _)| id.clone()).collect(),
+            });
         }
-        for (name, keys) in leaving {
-            let count = keys.len();
-            info!("{name}: its {count} replicas move, so that it can be returned");
-            for key in keys {
-                self.stop(&name, &key, 0.0, now);
-            }
-            if let Some(m) = self.machines.get_mut(&name) {
-                m.draining = true;
-            }
+    }
+
+    /// What is taken of other machines if a machine's replicas move there; none if they and those that
+    /// are expected do not fit.
+    fn fits_elsewhere(&self, machine: &Machine) -> Option<HashMap<usize, Resources>> {
+        let mut taken = self.taken.clone();
+        for (id, allocation) in machine.live_allocations() {
+            let job = self.cluster.job(&id.job)?;
+            let request = &allocation.profile.request;
+            let target = (0..self.targets.len()).find(|target| {
+                self.takes_replica(*target, job, machine)
+                    && self.free(*target, &taken).fits(request)
+            })?;
+            taken.entry(target).or_default().add(request);
         }
+        let fits_expected = |expected: &ExpectedReplicas| {
+            let targets = (0..self.targets.len()).filter(|target| self.stays(*target, machine));
+            let slots = targets.map(|target| self.free(target, &taken).slots(&expected.request));
+            slots.sum::<u32>() >= expected.count
+        };
+        self.expected.iter().all(fits_expected).then_some(taken)
     }
 
-    /// Whether all on a machine are replicas that have run for long enough to count as started.
-    fn holds_settled_replicas(&self, m: &Machine, now: Time) -> bool {
-        m.live().all(|(_, place)| {
-            let settled = place
-                .running_since
-                .is_some_and(|t| now - t > START_COUNTS_S);
-            place.load.run_s.is_none() && settled && place.stop.is_none()
-        })
+    /// Whether a target may take a replica of a job that is on a machine.
+    fn takes_replica(&self, target: usize, job: &Job, machine: &Machine) -> bool {
+        let has_zone_rule = job.spec.one_zone || job.spec.spread;
+        let to = self.targets[target];
+        (!has_zone_rule || to.zone == machine.zone)
+            && may_use(job, to)
+            && to.images.contains(&job.spec.image)
+            && self.stays(target, machine)
     }
 
-    /// What others would hold beyond what they do now and what is `taken` already, if a machine's
-    /// replicas moved there: nothing, if they and those that are expected do not fit.
-    fn fits_elsewhere(
-        &self,
-        m: &Machine,
-        steady: &[&Machine],
-        others: &dyn Fn(usize) -> bool,
-        taken: &HashMap<usize, Resources>,
-        expected: &[(Resources, u32, String)],
-    ) -> Option<HashMap<usize, Resources>> {
-        let mut taken = taken.clone();
-        let room = |i: usize, taken: &HashMap<usize, Resources>| {
-            let mut room = self.free_room(steady[i]);
-            room.take(&taken.get(&i).copied().unwrap_or_default());
-            room
-        };
-        for (key, place) in m.live() {
-            let job = &self.jobs[&key.0];
-            let zoned = job.spec.one_zone || job.spec.spread;
-            let takes = |i: &usize| {
-                let r = steady[*i];
-                let allowed = (!zoned || r.zone == m.zone) && may_use(job, r);
-                allowed
-                    && r.images.contains(&job.spec.image)
-                    && others(*i)
-                    && room(*i, &taken).fits(&place.load.need)
-            };
-            let i = (0..steady.len()).find(takes)?;
-            taken.entry(i).or_default().add(&place.load.need);
-        }
-        let fit = expected.iter().all(|(need, count, _)| {
-            let free = (0..steady.len()).filter(|i| others(*i));
-            let slots: u32 = free.map(|i| room(i, &taken).slots(need)).sum();
-            slots >= *count
-        });
-        fit.then_some(taken)
+    /// Whether a target is another machine than this one, and is not to empty itself.
+    fn stays(&self, target: usize, machine: &Machine) -> bool {
+        let name = &self.targets[target].name;
+        *name != machine.name && self.moves.iter().all(|m| m.machine != *name)
+    }
+
+    fn free(&self, target: usize, taken: &HashMap<usize, Resources>) -> Resources {
+        let mut free = self.cluster.free_resources(self.targets[target]);
+        free.take(&taken.get(&target).copied().unwrap_or_default());
+        free
     }
 }
--- a/src/coordination/cluster/cancellation_evidence.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -16,7 +16,7 @@
 //!
 //! That the leadership lease was renewed proves nothing here: the news of changes may lag behind.
 
-use crate::coordination::cluster::DRIFT;
+use crate::coordination::cluster::CLOCK_DRIFT;
 use crate::coordination::Time;
 use crate::settings::Workers;
 use crate::storage::cancellation_log::{CancellationPage, Cursor};
@@ -114,6 +114,6 @@
 
 /// For how long after the moment up to which all cancellations are known a lease may be renewed.
 pub fn renewal_s(workers: &Workers) -> Time {
-    let left_s = workers.cancel_s / DRIFT - workers.lease_s * DRIFT;
+    let left_s = workers.cancel_s / CLOCK_DRIFT - workers.lease_s * CLOCK_DRIFT;
     (RENEWAL_SHARE * left_s).max(0.0)
 }
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -1,95 +1,143 @@
-//! Commands to workers, and the tokens that they carry.
+//! Commands to workers, and the fencing tokens that they carry.
 
-use crate::coordination::cluster::{ClusterState, CommandOutcome, Effect, MAX_COMMANDS};
-use crate::coordination::state::{Allocation, AllocationState, Job, MachinePhase, Name};
+use super::writes::completions::is_completion_unrecorded;
+use super::{ClusterState, CommandOutcome, Effect, MAX_COMMANDS};
+use crate::coordination::state::{Allocation, AllocationId, AllocationState, MachinePhase, Name};
 use crate::coordination::Time;
-use crate::protocol::worker::{Cause, Command, CommandBatch};
-use crate::storage::records::CompletionShards;
-use std::collections::BTreeMap;
+use crate::protocol::worker::{Cause, Command, CommandBatch, Heartbeat};
 use tracing::{debug, info};
 
 /// Exited tasks that may stay on a machine, on average, until a new token lets them be forgotten.
-const EXITED_A_MACHINE: usize = 4;
-
-/// Whether a task's completion is known here only: its worker must not forget it yet.
-pub(crate) fn unrecorded(
-    jobs: &BTreeMap<Name, Job>,
-    id: &Name,
-    task: u32,
-    cut: CompletionShards,
-) -> bool {
-    jobs.get(id).is_some_and(|j| {
-        let completion_record = j.completion_records.get(task as usize / cut.tasks);
-        !j.ended && completion_record.is_some_and(|c| c.dirty.is_some() || c.in_flight)
-    })
+const MAX_EXITED_PER_MACHINE: usize = 4;
+
+/// How commands reach a worker.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum CommandRoute {
+    /// In the response to the heartbeat of this sequence number.
+    Response(u64),
+    /// Directly. Only what was never sent goes this way, and `forget` never does: it must not overtake
+    /// a launch.
+    Direct,
 }
 
-impl ClusterState {
-    /// What a worker should be told now: in the answer to its report `reply`, or directly. Only
-    /// what was never sent goes directly, and `forget` never does: it must not overtake a launch.
-    pub(crate) fn commands(&mut self, name: &Name, reply: Option<u64>, now: Time) -> Vec<Command> {
-        let Some(m) = self.machines.get_mut(name) else {
-            return Vec::new();
-        };
-        let (token, acknowledged_token) = (self.token, m.token);
-        // A leader whose lease may be over keeps tasks alive, but starts nothing.
-        let starts = now < self.lease_valid_until;
-        let cut = self.cut;
-        let mut commands = Vec::new();
-        for (key, place) in m.places.iter_mut() {
-            if commands.len() >= MAX_COMMANDS {
-                break;
-            }
-            let (task, attempt) = (format!("{}/{}", key.0, key.1), key.2);
-            match place.stage {
-                AllocationState::Pending => {}
-                AllocationState::Launching | AllocationState::Observed(_) => {
-                    if let Some(stop) = &mut place.stop {
-                        if reply.is_some() || !stop.sent {
-                            stop.sent = true;
-                            let grace_s = stop.grace_s;
-                            commands.push(Command::Stop {
-                                task,
-                                attempt,
-                                grace_s,
-                            });
-                        }
-                    } else if place.stage == AllocationState::Launching
-                        && !place.recovered
-                        && starts
-                    {
-                        let sent = place.direct_launch_token.is_some()
-                            || place.launch_response_sequence.is_some();
-                        if let Some(sequence) = reply {
-                            place.launch_response_sequence = Some(sequence);
-                        } else if !sent {
-                            place.direct_launch_token = Some(token);
-                        } else {
-                            continue;
-                        }
-                        commands.push(Command::Start { task, attempt });
-                    }
-                }
-                AllocationState::Exited(cause) => {
-                    // A launch that went straight to the worker may come again, and after a
-                    // `forget` it would start the task anew.
-                    let safe = place
-                        .direct_launch_token
-                        .is_none_or(|t| acknowledged_token > t);
-                    let kept = cause == Cause::Done && unrecorded(&self.jobs, &key.0, key.1, cut);
-                    if reply.is_some() && safe && !kept {
-                        commands.push(Command::Forget { task, attempt });
-                    }
+/// What commands depend on besides the allocation.
+struct CommandContext {
+    route: CommandRoute,
+    token: u64,
+    acknowledged_token: u64,
+    /// A leader whose lease may be over keeps tasks alive, but starts none.
+    may_start: bool,
+}
+
+impl CommandContext {
+    /// The command that an allocation needs now, noted in it as sent. An exited task is forgotten
+    /// unless its completion `is_unrecorded`.
+    fn command_for(
+        &self,
+        id: &AllocationId,
+        allocation: &mut Allocation,
+        is_unrecorded: impl Fn(&AllocationId) -> bool,
+    ) -> Option<Command> {
+        match allocation.state {
+            AllocationState::Pending => None,
+            AllocationState::Launching | AllocationState::Observed(_) => {
+                if allocation.pending_stop.is_some() {
+                    self.stop(id, allocation)
+                } else {
+                    self.start(id, allocation)
                 }
             }
+            AllocationState::Exited(cause) => {
+                // A launch that was sent directly may arrive again, and after a `forget` it would
+                // start the task anew.
+                let token = allocation.direct_launch_token;
+                let is_safe = token.is_none_or(|token| self.acknowledged_token > token);
+                let is_kept = cause == Cause::Done && is_unrecorded(id);
+                let may_forget = self.route != CommandRoute::Direct && is_safe && !is_kept;
+                may_forget.then(|| Command::Forget {
+                    task: id.task_name(),
+                    attempt: id.attempt,
+                })
+            }
         }
-        if !self.launched && commands.iter().any(Command::is_start) {
-            self.launched = true;
-            let after_s = now - self.elected_at;
-            info!("the first launch, {after_s:.2} s after the records were read");
+    }
+
+    fn stop(&self, id: &AllocationId, allocation: &mut Allocation) -> Option<Command> {
+        let stop = allocation.pending_stop.as_mut()?;
+        if self.route == CommandRoute::Direct && stop.sent {
+            return None;
+        }
+        stop.sent = true;
+        Some(Command::Stop {
+            task: id.task_name(),
+            attempt: id.attempt,
+            grace_s: stop.grace_s,
+        })
+    }
+
+    fn start(&self, id: &AllocationId, allocation: &mut Allocation) -> Option<Command> {
+        let is_launching = allocation.state == AllocationState::Launching;
+        if !is_launching || allocation.is_recovered || !self.may_start {
+            return None;
+        }
+        match self.route {
+            CommandRoute::Response(sequence) => {
+                allocation.launch_response_sequence = Some(sequence);
+            }
+            CommandRoute::Direct if allocation.launch_was_sent() => return None,
+            CommandRoute::Direct => allocation.direct_launch_token = Some(self.token),
+        }
+        Some(Command::Start {
+            task: id.task_name(),
+            attempt: id.attempt,
+        })
+    }
+}
+
+/// Launches that may still arrive and hold something up.
+#[derive(Default)]
+struct HeldLaunches {
+    exited: usize,
+    /// The most exited tasks on one machine.
+    max_exited: usize,
+    /// Whether any of them is to be stopped, or its task is missing.
+    any_unwanted: bool,
+}
+
+impl ClusterState {
+    /// What a worker is to do now: in the response to its heartbeat of this sequence number, or
+    /// directly.
+    pub(super) fn commands(
+        &mut self,
+        name: &Name,
+        response_to: Option<u64>,
+        now: Time,
+    ) -> Vec<Command> {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return Vec::new();
+        };
+        let context = CommandContext {
+            route: response_to.map_or(CommandRoute::Direct, CommandRoute::Response),
+            token: self.leadership.token(),
+            acknowledged_token: machine.worker.acknowledged_token(),
+            may_start: self.leadership.holds_lease(now),
+        };
+        let (jobs, shards) = (&self.jobs, self.shards);
+        let is_unrecorded =
+            |id: &AllocationId| is_completion_unrecorded(jobs, shards, &id.job, id.task);
+        let allocations = machine.allocations_mut();
+        let commands = allocations
+            .filter_map(|(id, allocation)| context.command_for(id, allocation, is_unrecorded));
+        let mut commands: Vec<Command> = commands.take(MAX_COMMANDS).collect();
+        if commands.iter().any(Command::is_start) && self.leadership.note_launch() {
+            let after_s = now - self.leadership.elected_at();
+            info!(
+                after_s = format_args!("{after_s:.2}"),
+                "first launch since the records were read"
+            );
         }
         // Stops first: what they free, a launch behind them may take.
-        commands.sort_by_key(|c| match c {
+        commands.sort_by_key(|command| match command {
             Command::Stop { .. } => 0,
             Command::Forget { .. } => 1,
             Command::Start { .. } => 2,
@@ -97,121 +145,127 @@
         commands
     }
 
-    /// Sends straight to workers what should not wait for their next report. A leader whose lease
+    /// Sends directly to workers what should not wait for their next heartbeat. A leader whose lease
     /// may be over still stops tasks by this, but starts none.
-    pub(crate) fn send_orders(&mut self, now: Time) {
-        if self.deposed {
+    pub(crate) fn send_commands(&mut self, now: Time) {
+        if self.leadership.is_deposed() {
             return;
         }
-        let names = std::mem::take(&mut self.to_order);
-        for name in names {
-            let Some(m) = self.machines.get(&name) else {
+        for name in std::mem::take(&mut self.machines_to_notify) {
+            let Some(machine) = self.machines.get(&name) else {
                 continue;
             };
-            if m.order_in_flight {
-                // Its answer brings the machine back here.
-                continue;
-            }
-            let reachable =
-                m.phase == MachinePhase::Up && m.endpoint.is_some() && m.heard.is_some();
-            if !reachable || now < m.no_orders_until {
-                // The answer to its next report brings what there is.
+            let worker = &machine.worker;
+            let is_reachable = machine.phase == MachinePhase::Up
+                && machine.endpoint.is_some()
+                && worker.last_heartbeat_at().is_some();
+            // The answer to commands in flight brings the machine back here, and the response to its
+            // next heartbeat carries what there is.
+            if worker.commands_in_flight() || !is_reachable || !worker.takes_commands(now) {
                 continue;
             }
             let commands = self.commands(&name, None, now);
             if !commands.is_empty() {
-                self.order(&name, commands);
+                self.dispatch(&name, commands);
             }
         }
     }
 
-    /// Sends commands (perhaps none: then only the token and a report are exchanged).
-    pub(crate) fn order(&mut self, name: &Name, commands: Vec<Command>) {
-        let token = self.token;
-        let Some(m) = self.machines.get_mut(name) else {
+    /// Sends commands directly (perhaps none: then only the token and a heartbeat are exchanged).
+    pub(super) fn dispatch(&mut self, name: &Name, commands: Vec<Command>) {
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let Some(endpoint) = m.endpoint.clone() else {
+        let Some(endpoint) = machine.endpoint.clone() else {
             return;
         };
-        m.order_in_flight = true;
+        machine.worker.commands_sent();
         self.effects.push(Effect::SendCommands {
             machine: name.clone(),
             endpoint,
-            orders: CommandBatch {
-                token,
-                incarnation: m.incarnation,
+            commands: CommandBatch {
+                token: self.leadership.token(),
+                incarnation: machine.worker.incarnation(),
                 commands,
             },
         });
     }
 
-    pub fn commands_answered(&mut self, name: &Name, result: CommandOutcome, now: Time) {
-        let pause = self.settings.cluster.workers.report_s;
-        let Some(m) = self.machines.get_mut(name) else {
+    /// Takes in what became of commands that were sent directly.
+    pub fn commands_answered(&mut self, name: &Name, outcome: CommandOutcome, now: Time) {
+        let pause_s = self.settings.cluster.workers.report_s;
+        let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        m.order_in_flight = false;
-        self.to_order.insert(name.clone());
-        if let CommandOutcome::Executed(_) = result {
-            m.acknowledges(true, now);
-        }
-        match result {
-            CommandOutcome::Executed(r) | CommandOutcome::Rejected(Some(r)) => {
-                if r.token > self.token {
-                    self.deposed = true;
-                } else if r.machine == **name {
-                    self.apply_command_response(&r, now);
-                }
+        let worker = &mut machine.worker;
+        worker.commands_finished();
+        self.machines_to_notify.insert(name.clone());
+        match outcome {
+            CommandOutcome::Executed(heartbeat) => {
+                worker.acknowledge(true, now);
+                self.apply_answer(name, &heartbeat, now);
             }
-            // The rest goes with the answers to its reports; nothing is concluded.
+            CommandOutcome::Rejected(Some(heartbeat)) => self.apply_answer(name, &heartbeat, now),
+            // The rest goes with the responses to its heartbeats; nothing is concluded.
             CommandOutcome::Rejected(None) | CommandOutcome::NotSent | CommandOutcome::Unknown => {
-                m.no_orders_until = now + pause;
-                m.unanswered = Some(now);
+                worker.commands_unanswered(pause_s, now);
             }
         }
     }
 
-    /// Draws a new token when launches that may still arrive hold something up.
-    pub(crate) fn raise_token(&mut self, now: Time) {
-        let workers = &self.settings.cluster.workers;
-        if self.raising || now - self.raised_at < workers.lease_s / 2.0 {
+    fn apply_answer(&mut self, name: &Name, heartbeat: &Heartbeat, now: Time) {
+        if heartbeat.token > self.leadership.token() {
+            self.leadership.depose();
+        } else if heartbeat.machine == **name {
+            self.apply_command_response(heartbeat, now);
+        }
+    }
+
+    /// Draws a higher token when launches that may still arrive hold something up.
+    pub(super) fn raise_token_if_needed(&mut self, now: Time) {
+        let pause_s = self.settings.cluster.workers.lease_s / 2.0;
+        if !self.leadership.may_raise_token(pause_s, now) {
             return;
         }
-        let token = self.token;
-        let held = |p: &Allocation| p.direct_launch_token == Some(token);
-        let (mut exited, mut most, mut unwanted) = (0, 0, false);
-        for m in self.machines.values() {
-            let mut here = 0;
-            for (key, p) in m.places.iter().filter(|(_, p)| held(p)) {
-                match p.stage {
-                    AllocationState::Exited(_) => here += 1,
+        let held = self.held_launches();
+        // Every worker sends a heartbeat on a new token at once, so exited tasks must be worth it.
+        let many = MAX_COMMANDS / 4;
+        let max_exited = (MAX_EXITED_PER_MACHINE * self.machines.len()).max(many);
+        if held.any_unwanted || held.exited > max_exited || held.max_exited > many {
+            let effect = self.leadership.raise_token();
+            self.effects.push(effect);
+        }
+    }
+
+    fn held_launches(&self) -> HeldLaunches {
+        let token = self.leadership.token();
+        let mut held = HeldLaunches::default();
+        for machine in self.machines.values() {
+            let mut exited = 0;
+            let allocations = machine.allocations().iter();
+            for (id, a) in allocations.filter(|(_, a)| a.direct_launch_token == Some(token)) {
+                match a.state {
+                    AllocationState::Pending => {}
+                    AllocationState::Exited(_) => exited += 1,
                     AllocationState::Launching => {
-                        let cancelled = || self.jobs.get(&key.0).is_none_or(|j| j.cancelled);
-                        unwanted |= p.stop.is_some() || cancelled();
+                        let job = self.jobs.get(&id.job);
+                        let is_cancelled = job.is_none_or(|job| job.cancelled);
+                        held.any_unwanted |= a.pending_stop.is_some() || is_cancelled;
                     }
                     // Its process was back at once: only a new token proves the task gone.
-                    AllocationState::Observed(_) => unwanted |= p.missing,
-                    AllocationState::Pending => {}
+                    AllocationState::Observed(_) => held.any_unwanted |= a.is_missing,
                 }
             }
-            exited += here;
-            most = most.max(here);
-        }
-        // Every worker reports a new token at once, so exited tasks must be worth it.
-        let many = exited > (EXITED_A_MACHINE * self.machines.len()).max(MAX_COMMANDS / 4);
-        if unwanted || many || most > MAX_COMMANDS / 4 {
-            self.raising = true;
-            self.effects.push(Effect::RaiseToken);
+            held.exited += exited;
+            held.max_exited = held.max_exited.max(exited);
         }
+        held
     }
 
+    /// A higher token was drawn; `None` if that failed.
     pub fn token_raised(&mut self, token: Option<u64>, now: Time) {
-        self.raising = false;
-        self.raised_at = now;
-        if let Some(token) = token.filter(|t| *t > self.token) {
-            debug!("token {token}");
-            self.token = token;
+        if self.leadership.token_raised(token, now) {
+            debug!(token = self.leadership.token(), "token raised");
         }
     }
 }
--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -1,202 +1,256 @@
-//! Jobs that wait for others: when they may begin, what ends them with a job that they need, and
-//! whose deadline and priority they work towards.
+//! Dependencies between jobs: when a job may begin, what cancels it with a job that it depends on, and
+//! whose deadline and priority it works towards.
 //!
-//! A job that waits is part of the picture, and of nothing that decides: no pass looks at it. It
-//! may begin once the end of every job that it names is on record as `done`; whatever is not known
-//! means waiting. Ends are not listed anywhere, so a new leader, which knows those of open jobs
-//! only, has the others looked up, each once. Once a job is cancelled, all that need it are doomed,
-//! however far: each gets its end on record, and users are told of it then.
+//! A job that waits for others takes no part in scheduling. It may begin once the end of every job that
+//! it names is on record as `done`; whatever is not known means waiting. Ends are not listed anywhere,
+//! so a new leader, which knows those of open jobs only, has the others read, each once. Once a job is
+//! cancelled, so are all that depend on it, however far: each gets its end on record, and users are told
+//! of it then.
 
-use crate::coordination::cluster::{ClusterState, Effect};
+use super::{ClusterState, Effect};
 use crate::coordination::state::{Deadline, Job, Name};
 use crate::coordination::Time;
-use crate::protocol::job::JobState;
+use crate::protocol::job::{JobState, Priority};
 use crate::storage::records::EndRecord;
 use std::collections::{BTreeSet, HashMap};
 use tracing::{debug, info};
 
-/// Ends that are looked up in one go, and seconds before one that was not there is asked for again.
-const MAX_SOUGHT: usize = 32;
-const SEEK_AGAIN_S: f64 = 1.0;
+/// Ends that are read at once.
+const MAX_END_READS: usize = 32;
+/// Seconds before an end that was not on record is read again.
+const END_READ_RETRY_S: f64 = 1.0;
 
-/// What is known of jobs that others need.
+/// The graph of jobs that depend on others.
 #[derive(Default)]
 pub struct DependencyGraph {
-    /// For each job that is needed and not known to have ended: those that name it.
-    needed_by: HashMap<Name, BTreeSet<Name>>,
+    /// For each job that others depend on and that is not known to have ended: those that name it.
+    dependents: HashMap<Name, BTreeSet<Name>>,
     /// Jobs of which neither the description nor the end is known here.
     unknown: BTreeSet<Name>,
-    seeking: bool,
-    seek_at: Time,
+    /// Whether ends are being read.
+    is_reading_ends: bool,
+    next_end_read_at: Time,
 }
 
-impl ClusterState {
-    /// Whether jobs wait for this one.
-    pub(crate) fn is_needed(&self, id: &Name) -> bool {
-        self.pipelines.needed_by.contains_key(id)
+impl DependencyGraph {
+    /// Whether other jobs wait for this one.
+    pub(super) fn has_dependents(&self, job: &Name) -> bool {
+        self.dependents.contains_key(job)
+    }
+
+    /// Whether it is not known what has become of a job that this one depends on.
+    pub(super) fn has_unknown(&self, job: &Job) -> bool {
+        let mut dependencies = job.unmet_dependencies.iter();
+        dependencies.any(|id| self.unknown.contains(id))
+    }
+
+    fn add(&mut self, dependency: &Name, dependent: &Name) {
+        let dependents = self.dependents.entry(dependency.clone()).or_default();
+        dependents.insert(dependent.clone());
+    }
+
+    fn remove(&mut self, dependency: &Name, dependent: &Name) {
+        if let Some(dependents) = self.dependents.get_mut(dependency) {
+            dependents.remove(dependent);
+            if dependents.is_empty() {
+                self.dependents.remove(dependency);
+            }
+        }
     }
 
-    /// Whether it is not known what has become of a job that this one needs.
-    pub(crate) fn needs_unknown_job(&self, job: &Job) -> bool {
-        job.needs
-            .iter()
-            .any(|id| self.pipelines.unknown.contains(id))
+    /// Removes a job whose end is known, and returns those that wait for it.
+    fn take_dependents(&mut self, job: &Name) -> BTreeSet<Name> {
+        self.dependents.remove(job).unwrap_or_default()
+    }
+
+    fn dependents_of(&self, job: &Name) -> impl Iterator<Item = &Name> {
+        self.dependents.get(job).into_iter().flatten()
+    }
+
+    /// The jobs whose ends are to be read now.
+    fn ends_to_read(&mut self, now: Time) -> Vec<Name> {
+        if self.is_reading_ends || now < self.next_end_read_at {
+            return Vec::new();
+        }
+        let dependents = &self.dependents;
+        self.unknown.retain(|id| dependents.contains_key(id));
+        let ids: Vec<Name> = self.unknown.iter().take(MAX_END_READS).cloned().collect();
+        self.is_reading_ends = !ids.is_empty();
+        ids
+    }
+}
+
+/// What a job works towards: its own priority and deadline, or those of a job that depends on it.
+struct Urgency {
+    priority: Priority,
+    deadline: Option<Deadline>,
+}
+
+impl Urgency {
+    fn own(job: &Job) -> Urgency {
+        let deadline = job.spec.deadline_s.map(|due_s| Deadline {
+            arrived_at: job.arrived_at,
+            due_s,
+            class: job.spec.class.as_str().into(),
+            remaining_path_s: 0.0,
+        });
+        Urgency {
+            priority: job.spec.priority,
+            deadline,
+        }
     }
 
-    /// A new job: what it waits for, and who waits for it.
-    pub(crate) fn enlist(&mut self, id: &Name, now: Time) {
-        self.pipelines.unknown.remove(id);
+    /// Takes in a job that depends on this one and takes `duration_s` itself.
+    fn include(&mut self, dependent: &Job, duration_s: f64) {
+        self.priority = self.priority.max(dependent.priority);
+        let Some(theirs) = &dependent.deadline else {
+            return;
+        };
+        let earlier = Deadline {
+            remaining_path_s: theirs.remaining_path_s + duration_s,
+            ..theirs.clone()
+        };
+        let ours = self.deadline.as_ref();
+        if ours.is_none_or(|ours| earlier.latest() < ours.latest()) {
+            self.deadline = Some(earlier);
+        }
+    }
+}
+
+impl ClusterState {
+    /// Registers what a new job waits for, and who waits for it.
+    pub(super) fn register_dependencies(&mut self, id: &Name, now: Time) {
+        self.dependencies.unknown.remove(id);
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         if job.cancelled {
-            return self.resolve(id, JobState::Cancelled, now);
+            return self.dependency_ended(id, JobState::Cancelled, now);
         }
         let spec = job.spec.clone();
-        let mut doomed = false;
+        let mut is_cancelled = false;
         for name in &spec.waits_on {
-            let needed: Name = name.as_str().into();
-            match self.jobs.get(&needed) {
-                Some(j) if j.cancelled || j.doomed => doomed = true,
-                Some(j) if j.ended => continue,
+            let dependency: Name = name.as_str().into();
+            match self.jobs.get(&dependency) {
+                Some(job) if job.will_be_cancelled() => is_cancelled = true,
+                Some(job) if job.end_recorded => continue,
                 Some(_) => {}
                 None => {
-                    self.pipelines.unknown.insert(needed.clone());
+                    self.dependencies.unknown.insert(dependency.clone());
                 }
             }
-            let waiting = self.pipelines.needed_by.entry(needed.clone()).or_default();
-            waiting.insert(id.clone());
+            self.dependencies.add(&dependency, id);
             if let Some(job) = self.jobs.get_mut(id) {
-                job.needs.insert(needed);
+                job.unmet_dependencies.insert(dependency);
             }
         }
-        if doomed {
-            return self.doom(id, now);
+        if is_cancelled {
+            return self.cancel_dependents(id, now);
         }
-        self.pull(id);
+        self.propagate_urgency(id);
         for name in &spec.waits_on {
-            self.pull(&name.as_str().into());
+            self.propagate_urgency(&name.as_str().into());
         }
     }
 
-    /// Places and completed tasks on record prove that all that a job needs was done then.
-    pub(crate) fn waits_no_more(&mut self) {
-        let begun = self.jobs.values().filter(|j| j.live > 0 || j.done > 0);
-        let begun: Vec<Name> = begun.map(|j| j.id.clone()).collect();
+    /// Placements and completed tasks on record prove that all that a job depends on was done then.
+    pub(super) fn clear_met_dependencies(&mut self) {
+        let jobs = self.jobs.values();
+        let begun = jobs.filter(|job| job.allocated() > 0 || job.completed() > 0);
+        let begun: Vec<Name> = begun.map(|job| job.id.clone()).collect();
         for id in begun {
-            self.leave(&id);
+            self.clear_dependencies(&id);
         }
     }
 
-    /// The job waits for nothing any more, whatever it has waited for.
-    pub(crate) fn leave(&mut self, id: &Name) {
+    /// A job waits for nothing any more, whatever it has waited for.
+    pub(super) fn clear_dependencies(&mut self, id: &Name) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        for needed in std::mem::take(&mut job.needs) {
-            if let Some(waiting) = self.pipelines.needed_by.get_mut(&needed) {
-                waiting.remove(id);
-                if waiting.is_empty() {
-                    self.pipelines.needed_by.remove(&needed);
-                }
-            }
-            self.pull(&needed);
+        for dependency in std::mem::take(&mut job.unmet_dependencies) {
+            self.dependencies.remove(&dependency, id);
+            self.propagate_urgency(&dependency);
         }
     }
 
-    /// The end of a job is on record, since then at the latest: what waits for it goes on, or ends
+    /// A job's end is on record, since then at the latest: what waits for it goes on, or is cancelled
     /// with it.
-    pub(crate) fn resolve(&mut self, id: &Name, state: JobState, since: Time) {
-        self.pipelines.unknown.remove(id);
-        for waiting in self.pipelines.needed_by.remove(id).unwrap_or_default() {
+    pub(super) fn dependency_ended(&mut self, id: &Name, state: JobState, since: Time) {
+        self.dependencies.unknown.remove(id);
+        for dependent in self.dependencies.take_dependents(id) {
             if state == JobState::Cancelled {
-                self.doom(&waiting, since);
+                self.cancel_dependents(&dependent, since);
                 continue;
             }
-            let Some(job) = self.jobs.get_mut(&waiting) else {
+            let Some(job) = self.jobs.get_mut(&dependent) else {
                 continue;
             };
-            job.needs.remove(id);
-            job.ready = job.ready.max(since);
-            if job.may_begin() {
-                debug!("{waiting}: waits for no other job any more");
-                self.stirred = true;
+            job.unmet_dependencies.remove(id);
+            job.ready_at = job.ready_at.max(since);
+            if job.is_eligible() {
+                debug!(job = %dependent, "dependencies are met");
+                self.needs_scheduling = true;
             }
         }
     }
 
-    /// A job that this one needs is cancelled, so it never begins, nor does what needs it.
-    fn doom(&mut self, id: &Name, now: Time) {
-        let mut doomed = vec![id.clone()];
-        while let Some(id) = doomed.pop() {
+    /// A job that this one depends on is cancelled, so neither it nor what depends on it ever begins.
+    fn cancel_dependents(&mut self, id: &Name, now: Time) {
+        let mut cancelled = vec![id.clone()];
+        while let Some(id) = cancelled.pop() {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.cancelled || job.doomed || job.ended {
+            if job.will_be_cancelled() || job.end_recorded {
                 continue;
             }
-            job.doomed = true;
-            info!("{id}: a job that it needs is cancelled");
-            // It has no places, unless something went wrong before.
-            self.stop_all(&id, 0.0, now);
-            self.leave(&id);
-            self.mark_over(&id);
-            doomed.extend(self.pipelines.needed_by.remove(&id).unwrap_or_default());
-        }
-    }
-
-    /// What a job works towards: its own deadline and priority, or those of one that needs it. Those
-    /// that it needs itself work towards the same, by the time that it takes earlier.
-    fn pull(&mut self, id: &Name) {
-        let mut pulled = vec![id.clone()];
-        while let Some(id) = pulled.pop() {
-            if self.pull_one(&id) {
-                pulled.extend(self.jobs[&id].needs.iter().cloned());
+            job.dependency_cancelled = true;
+            info!(job = %id, "job cancelled with a dependency");
+            // It has no allocations, unless something went wrong before.
+            self.stop_job(&id, 0.0, now);
+            self.clear_dependencies(&id);
+            self.mark_finished(&id);
+            cancelled.extend(self.dependencies.take_dependents(&id));
+        }
+    }
+
+    /// Updates what a job works towards, and with it what those do on which it depends: the same,
+    /// earlier by the time that it takes.
+    fn propagate_urgency(&mut self, id: &Name) {
+        let mut changed = vec![id.clone()];
+        while let Some(id) = changed.pop() {
+            if self.update_urgency(&id) {
+                changed.extend(self.jobs[&id].unmet_dependencies.iter().cloned());
             }
         }
     }
 
     /// Returns whether anything has changed.
-    fn pull_one(&mut self, id: &Name) -> bool {
+    fn update_urgency(&mut self, id: &Name) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let mut priority = job.spec.priority;
-        let mut due = job.spec.deadline_s.map(|due_s| Deadline {
-            arrived: job.arrived,
-            due_s,
-            class: job.spec.class.as_str().into(),
-            after_s: 0.0,
-        });
-        let waiting = self.pipelines.needed_by.get(id);
-        for next in waiting.into_iter().flatten() {
-            let Some(next) = self.jobs.get(next) else {
-                continue;
-            };
-            priority = priority.max(next.priority);
-            if let Some(theirs) = &next.due {
-                let earlier = Deadline {
-                    after_s: theirs.after_s + self.takes_s(next),
-                    ..theirs.clone()
-                };
-                if due.as_ref().is_none_or(|d| earlier.latest() < d.latest()) {
-                    due = Some(earlier);
-                }
+        let mut urgency = Urgency::own(job);
+        for dependent in self.dependencies.dependents_of(id) {
+            if let Some(dependent) = self.jobs.get(dependent) {
+                urgency.include(dependent, self.duration_s(dependent));
             }
         }
-        let job = self.jobs.get_mut(id).expect("known job");
-        let changed = job.priority != priority || job.due != due;
-        job.priority = priority;
-        job.due = due;
-        self.stirred |= changed;
+        let Some(job) = self.jobs.get_mut(id) else {
+            return false;
+        };
+        let changed = job.priority != urgency.priority || job.deadline != urgency.deadline;
+        job.priority = urgency.priority;
+        job.deadline = urgency.deadline;
+        self.needs_scheduling |= changed;
         changed
     }
 
-    /// How long a job takes from when it may begin, with all the room that it wants: its image comes
-    /// first, and its end must be heard and recorded.
-    fn takes_s(&self, job: &Job) -> f64 {
-        let rates = self.types.iter().map(|t| t.fetch_gb_per_s);
-        let rate = rates.fold(f64::INFINITY, f64::min);
+    /// How long a job takes from when it may begin, in seconds, with all the resources that it wants:
+    /// its image comes first.
+    fn duration_s(&self, job: &Job) -> f64 {
+        let rate = self.machine_types.slowest_fetch_gb_per_s();
         let fetch_s = if rate.is_finite() && rate > 0.0 {
             job.spec.image_gb / rate
         } else {
@@ -205,47 +259,36 @@
         job.predicted_s + fetch_s
     }
 
-    /// Asks for the ends of jobs that are needed and not known.
-    pub(crate) fn seek_ends(&mut self, now: Time) {
-        if self.pipelines.seeking || now < self.pipelines.seek_at || !self.is_leader(now) {
+    /// Has the ends of jobs read that others depend on and that are not known.
+    pub(crate) fn request_unknown_ends(&mut self, now: Time) {
+        if !self.leadership.is_leader(now) {
             return;
         }
-        let needed_by = &self.pipelines.needed_by;
-        self.pipelines
-            .unknown
-            .retain(|id| needed_by.contains_key(id));
-        let ids: Vec<Name> = self
-            .pipelines
-            .unknown
-            .iter()
-            .take(MAX_SOUGHT)
-            .cloned()
-            .collect();
+        let ids = self.dependencies.ends_to_read(now);
         if !ids.is_empty() {
-            self.pipelines.seeking = true;
             self.effects.push(Effect::ReadEnds(ids));
         }
     }
 
-    /// The ends that were asked for; none for a job whose end is not on record, or not to be had.
+    /// The ends that were read; none for a job whose end is not on record, or could not be read.
     pub fn ends_found(&mut self, ends: Vec<(Name, Option<EndRecord>)>, now: Time) {
-        self.pipelines.seeking = false;
+        self.dependencies.is_reading_ends = false;
         for (id, end) in ends {
             match end {
                 Some(end) => {
-                    let since = end.at_ms.map_or(now, |ms| self.time_of(ms).min(now));
-                    self.resolve(&id, end.state, since);
+                    let since = end.at_ms.map_or(now, |ms| self.clock.time_of(ms).min(now));
+                    self.dependency_ended(&id, end.state, since);
                 }
-                None => self.pipelines.seek_at = now + SEEK_AGAIN_S,
+                None => self.dependencies.next_end_read_at = now + END_READ_RETRY_S,
             }
         }
     }
 
-    /// The end of a job is on record, as some node has read.
+    /// A job's end is on record, as some node has read.
     pub fn job_end_recorded(&mut self, id: &str, state: JobState, now: Time) {
         match state {
             JobState::Cancelled if self.jobs.contains_key(id) => self.cancel(id, now),
-            _ => self.resolve(&id.into(), state, now),
+            _ => self.dependency_ended(&id.into(), state, now),
         }
     }
 }
--- /dev/null
+++ b/src/coordination/cluster/finished_jobs.rs
@@ -0,0 +1,65 @@
+//! Jobs of which nothing is left but to record their end.
+
+use crate::coordination::state::Name;
+use std::collections::BTreeSet;
+
+/// A finished job, and whether its end is to be recorded before others.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct FinishedJob {
+    /// The job.
+    pub(super) job: Name,
+    /// Whether other jobs wait for its end, or it ends with a job that it depends on.
+    pub(super) is_urgent: bool,
+}
+
+/// The queue of finished jobs.
+#[derive(Default)]
+pub(super) struct FinishedJobs {
+    urgent: BTreeSet<Name>,
+    others: BTreeSet<Name>,
+}
+
+impl FinishedJobs {
+    /// Adds a job.
+    pub(super) fn insert(&mut self, finished: FinishedJob) {
+        self.queue_of(finished.is_urgent).insert(finished.job);
+    }
+
+    /// Removes one entry.
+    pub(super) fn remove(&mut self, finished: &FinishedJob) {
+        self.queue_of(finished.is_urgent).remove(&finished.job);
+    }
+
+    /// Removes all entries of a job.
+    pub(super) fn forget(&mut self, job: &Name) {
+        self.urgent.remove(job);
+        self.others.remove(job);
+    }
+
+    /// The first job for which `accepts` says so, urgent ones first.
+    pub(super) fn first_that(&self, accepts: impl Fn(&Name) -> bool) -> Option<FinishedJob> {
+        let first = |queue: &BTreeSet<Name>, is_urgent| {
+            let job = queue.iter().find(|job| accepts(job)).cloned();
+            job.map(|job| FinishedJob { job, is_urgent })
+        };
+        first(&self.urgent, true).or_else(|| first(&self.others, false))
+    }
+
+    /// How many entries there are.
+    pub(super) fn len(&self) -> usize {
+        self.urgent.len() + self.others.len()
+    }
+
+    /// Whether there are none.
+    pub(super) fn is_empty(&self) -> bool {
+        self.urgent.is_empty() && self.others.is_empty()
+    }
+
+    fn queue_of(&mut self, is_urgent: bool) -> &mut BTreeSet<Name> {
+        if is_urgent {
+            &mut self.urgent
+        } else {
+            &mut self.others
+        }
+    }
+}
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -1,170 +1,139 @@
-//! Jobs: their descriptions, their state as users are told it, and their completed tasks.
+//! Jobs: their acceptance, their state as users are told it, their cancellation and completion.
 
-use crate::coordination::cluster::{ClusterState, Effect};
-use crate::coordination::state::{AllocationId, AllocationRef, Job, Name};
+use super::finished_jobs::FinishedJob;
+use super::{ClusterState, Effect};
+use crate::coordination::state::{AllocationId, Job, Name};
 use crate::coordination::Time;
-use crate::protocol::job::{JobKind, JobState, JobStatus};
+use crate::protocol::job::{JobSpec, JobState, JobStatus};
 use crate::storage::records::OpenRecord;
 use std::sync::Arc;
 use tracing::{debug, info};
 
-impl ClusterState {
-    pub(crate) fn owner(job: &Job) -> String {
-        format!("{}/{}", job.spec.team, job.spec.class)
-    }
+/// Whose run times are learned together: a team's jobs of one class.
+pub(super) fn owner(spec: &JobSpec) -> String {
+    format!("{}/{}", spec.team, spec.class)
+}
 
-    /// A job's description, as recorded; `cancelled` when its user has taken it back.
-    pub fn job_open(&mut self, record: OpenRecord, arrival_order: u64, now: Time, arrived: Time) {
+impl ClusterState {
+    /// A job was accepted at some time of day, or its user has cancelled it, as its record of this
+    /// version tells.
+    pub fn job_accepted(&mut self, record: OpenRecord, version: u64, wall_ms: u64, now: Time) {
+        let age_s = wall_ms.saturating_sub(record.at_ms) as f64 / 1000.0;
         let id: Name = record.spec.id.as_str().into();
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.arrival_order = job.arrival_order.min(arrival_order);
+            job.arrival_order = job.arrival_order.min(version);
             if record.cancelled && !job.cancelled {
                 self.cancel(&id, now);
             }
             return;
         }
-        let tasks = record.spec.tasks as usize;
-        let completion_records = tasks.div_ceil(self.cut.tasks);
+        self.add_job(record, version, now - age_s, now);
+    }
+
+    fn add_job(&mut self, record: OpenRecord, version: u64, arrived_at: Time, now: Time) {
+        let cancelled = record.cancelled;
         let spec = Arc::new(record.spec);
-        if !record.cancelled {
-            self.fleet.arrived(&spec, arrived);
+        let shards = (spec.tasks as usize).div_ceil(self.shards.tasks);
+        if !cancelled {
+            self.service_arrivals.arrived(&spec, arrived_at);
         }
-        let mut job = Job::new(
-            spec,
-            arrival_order,
-            arrived,
-            completion_records,
-            f64::INFINITY,
-        );
-        job.cancelled = record.cancelled;
+        let mut job = Job::new(spec.clone(), version, arrived_at, shards, f64::INFINITY);
+        job.cancelled = cancelled;
         if !job.is_service() {
-            let spec = &job.spec;
-            job.predicted_s =
-                self.predictor
-                    .predict(&Self::owner(&job), spec.estimate_s, spec.cpus);
+            let owner = owner(&spec);
+            job.predicted_s = self.predictor.predict(&owner, spec.estimate_s, spec.cpus);
         }
-        debug!("{id}: known, class {}, {tasks} tasks", job.spec.class);
-        let cancelled = job.cancelled;
+        let id = job.id.clone();
+        debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job added");
         self.jobs.insert(id.clone(), job);
         if cancelled {
-            self.mark_over(&id);
+            self.mark_finished(&id);
         }
-        self.enlist(&id, now);
-        self.stirred = true;
+        self.register_dependencies(&id, now);
+        self.needs_scheduling = true;
     }
 
-    /// Nothing is left of the job but the record of its end.
-    pub(crate) fn mark_over(&mut self, id: &Name) {
-        let first = self.is_needed(id) || self.jobs.get(id).is_some_and(|j| j.doomed);
-        self.over.insert((!first, id.clone()));
+    /// Nothing is left of a job but to record its end.
+    pub(super) fn mark_finished(&mut self, id: &Name) {
+        let job = self.jobs.get(id);
+        let ends_with_other = job.is_some_and(|job| job.dependency_cancelled);
+        self.finished_jobs.insert(FinishedJob {
+            job: id.clone(),
+            is_urgent: self.dependencies.has_dependents(id) || ends_with_other,
+        });
     }
 
+    /// A job's user has cancelled it.
     pub fn cancel(&mut self, id: &str, now: Time) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.cancelled) else {
             return;
         };
-        if job.cancelled {
-            return;
-        }
         job.cancelled = true;
         let (id, spec) = (job.id.clone(), job.spec.clone());
-        info!("{id}: cancelled, {} places to clear", job.live);
-        self.stop_all(&id, 0.0, now);
-        self.leave(&id);
-        self.resolve(&id, JobState::Cancelled, now);
-        self.mark_over(&id);
-        self.fleet.left(&spec, now);
+        info!(job = %id, allocations = job.allocated(), "job cancelled");
+        self.stop_job(&id, 0.0, now);
+        self.clear_dependencies(&id);
+        self.dependency_ended(&id, JobState::Cancelled, now);
+        self.mark_finished(&id);
+        self.service_arrivals.departed(&spec, now);
         self.effects.push(Effect::JobEnded {
             id,
             state: JobState::Cancelled,
         });
     }
 
-    /// Stops whatever is or may be of a job on any machine.
-    pub(crate) fn stop_all(&mut self, id: &Name, grace_s: f64, now: Time) {
-        let Some(job) = self.jobs.get(id) else {
-            return;
-        };
-        let places = job.tasks.iter().enumerate().flat_map(|(i, task)| {
-            let at = task.at.iter();
-            at.map(move |a| (a.machine.clone(), (id.clone(), i as u32, a.attempt)))
-        });
-        let places: Vec<(Name, AllocationId)> = places.collect();
-        for (machine, key) in places {
-            self.stop(&machine, &key, grace_s, now);
-        }
-    }
-
     /// What a user is told; `None` for a job that is not open here, or that may have to end with one
-    /// that it needs: nobody may call it pending for long after that one was cancelled.
+    /// on which it depends: nobody may call it pending for long after that one was cancelled.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
         let job = self.jobs.get(id)?;
-        if !job.cancelled && (job.doomed || self.needs_unknown_job(job)) {
+        let may_be_cancelled = job.dependency_cancelled || self.dependencies.has_unknown(job);
+        if !job.cancelled && may_be_cancelled {
             return None;
         }
-        let running = job.running;
-        let state = match (job.cancelled, running + job.done) {
-            (true, _) => JobState::Cancelled,
-            (false, 0) => JobState::Pending,
-            (false, _) => JobState::Running,
+        let state = if job.cancelled {
+            JobState::Cancelled
+        } else if job.running() + job.completed() == 0 {
+            JobState::Pending
+        } else {
+            JobState::Running
         };
         Some(JobStatus {
             id: id.to_string(),
             state,
-            done: job.done,
-            running,
+            done: job.completed(),
+            running: job.running(),
         })
     }
 
-    pub(crate) fn task_done(&mut self, id: &Name, task: u32, now: Time) {
+    /// A task has completed. The tasks of a gang complete together.
+    pub(super) fn complete_task(&mut self, id: &Name, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let is_gang = job.spec.kind == JobKind::Gang;
-        // The tasks of a gang complete together.
-        let tasks = match is_gang {
-            true => 0..job.tasks.len() as u32,
-            false => task..task + 1,
-        };
-        let mut touched = Vec::new();
-        for t in tasks {
-            let Some(slot) = job.tasks.get_mut(t as usize) else {
-                continue;
-            };
-            if !slot.done {
-                slot.done = true;
-                job.done += 1;
-                touched.push(t);
-            }
-        }
-        job.setbacks = 0;
-        // Another place of a task that is done is of no use.
-        let rest: Vec<AllocationRef> = if is_gang {
-            Vec::new()
+        let is_gang = job.is_gang();
+        let tasks = if is_gang {
+            0..job.tasks().len() as u32
         } else {
-            job.tasks
-                .get(task as usize)
-                .map_or(Vec::new(), |t| t.at.clone())
+            task..task + 1
         };
-        let over = job.is_over();
-        self.proves_faults(id);
-        if over {
-            self.mark_over(id);
-        }
-        for t in touched {
-            self.touch(id, t, now);
+        let completed: Vec<u32> = tasks.filter(|task| job.complete_task(*task)).collect();
+        job.consecutive_failures = 0;
+        // Another allocation of a task that has completed is of no use.
+        let others = match job.task(task) {
+            Some(task) if !is_gang => task.allocations.clone(),
+            _ => Vec::new(),
+        };
+        let is_finished = job.is_finished();
+        self.attribute_failures(id);
+        if is_finished {
+            self.mark_finished(id);
         }
-        for at in rest {
-            self.stop(&at.machine, &(id.clone(), task, at.attempt), 0.0, now);
+        for task in completed {
+            self.mark_completion_outdated(id, task, now);
         }
-    }
-
-    pub(crate) fn recover_done(&mut self, id: &Name, task: u32) {
-        if let Some(job) = self.jobs.get_mut(id) {
-            if let Some(slot) = job.tasks.get_mut(task as usize).filter(|t| !t.done) {
-                slot.done = true;
-                job.done += 1;
-            }
+        for other in others {
+            let allocation = AllocationId::new(id.clone(), task, other.attempt);
+            self.stop(&other.machine, &allocation, 0.0, now);
         }
     }
 }
--- /dev/null
+++ b/src/coordination/cluster/leases.rs
@@ -0,0 +1,46 @@
+//! Workers' leases: when one is over by the leader's clock, its worker has killed every task.
+
+use super::{ClusterState, CLOCK_DRIFT, WORKER_RETRY_S};
+use crate::coordination::state::{AllocationState, Machine, MachinePhase, Name};
+use crate::coordination::Time;
+use tracing::warn;
+
+impl ClusterState {
+    /// When a worker's lease was last renewed at the latest; `None` where an earlier leader may still
+    /// renew it. A worker that has seen a token of this leadership is renewed by it alone, and so is
+    /// every worker once the other controllers have promised as much. An incarnation of which a
+    /// heartbeat told may have begun just then, and what is sent to it runs in no later one.
+    fn lease_renewed_at(&self, machine: &Machine) -> Option<Time> {
+        let worker = &machine.worker;
+        let last_response_at = worker.last_response_at();
+        let last_heartbeat_at = worker.last_heartbeat_at();
+        let known_at = last_response_at.max(last_heartbeat_at.unwrap_or(last_response_at));
+        if worker.acknowledged_token() >= self.leadership.first_token() {
+            return Some(known_at.max(self.leadership.elected_at()));
+        }
+        let promised_at = self.leadership.peers_promised_at();
+        promised_at.map(|at| at.max(known_at))
+    }
+
+    /// Releases what was on machines whose workers' leases are over: they have killed and forgotten
+    /// every task.
+    pub(super) fn expire_leases(&mut self, now: Time) {
+        let timeout_s = self.settings.cluster.workers.lease_s * CLOCK_DRIFT + WORKER_RETRY_S;
+        let is_expired = |machine: &&Machine| {
+            let renewed_at = self.lease_renewed_at(machine);
+            let mut allocations = machine.allocations().values();
+            machine.phase != MachinePhase::Booting
+                && renewed_at.is_some_and(|at| now - at > timeout_s)
+                && allocations.any(|a| a.state != AllocationState::Pending)
+        };
+        let expired = self.machines.values().filter(is_expired);
+        let expired: Vec<Name> = expired.map(|machine| machine.name.clone()).collect();
+        for name in expired {
+            warn!(machine = %name, "lease expired without a heartbeat");
+            self.end_incarnation(&name, now);
+            if let Some(machine) = self.machines.get_mut(&name) {
+                machine.worker.expire();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/cluster/reconciliation.rs
@@ -0,0 +1,305 @@
+//! Reconciling the leader's allocations with the tasks that a heartbeat shows.
+
+use super::ClusterState;
+use crate::coordination::state::{
+    Allocation, AllocationId, AllocationState, Job, Name, PendingStop,
+};
+use crate::coordination::Time;
+use crate::protocol::job::{parse_task, JobSpec};
+use crate::protocol::worker::{Cause, Heartbeat, TaskState, TaskStatus};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use tracing::{debug, warn};
+
+/// An allocation whose task is gone.
+struct LostAllocation {
+    id: AllocationId,
+    has_run: bool,
+}
+
+/// A task that has exited, as its allocation was before.
+struct ExitedTask<'a> {
+    id: &'a AllocationId,
+    machine: &'a Name,
+    spec: Arc<JobSpec>,
+    cause: Cause,
+    planned_at: Time,
+    /// For how long it ran, if it did.
+    ran_s: Option<f64>,
+    /// Whether it was to be stopped.
+    was_stopped: bool,
+}
+
+impl ClusterState {
+    /// Reconciles the allocations of a machine with the newest heartbeat of its worker.
+    pub(super) fn reconcile(&mut self, name: &Name, heartbeat: &Heartbeat, now: Time) {
+        let mut shown = BTreeSet::new();
+        for status in &heartbeat.tasks {
+            let Some((job, task)) = parse_task(&status.task) else {
+                continue;
+            };
+            let id = AllocationId::new(job.into(), task, status.attempt);
+            // Most tasks are as they were: a large fleet shows tens of thousands a second.
+            let machine = self.machines.get(name);
+            if !machine.is_some_and(|machine| machine.is_unchanged(&id, status.state)) {
+                self.reconcile_task(name, &id, status, now);
+            }
+            shown.insert(id);
+        }
+        self.reconcile_missing_tasks(name, &shown, heartbeat.token, now);
+    }
+
+    /// Takes in a task that a heartbeat shows otherwise than it was known.
+    fn reconcile_task(&mut self, name: &Name, id: &AllocationId, status: &TaskStatus, now: Time) {
+        let Some(job) = self.jobs.get(&id.job) else {
+            return;
+        };
+        if job.task(id.task).is_none() {
+            return;
+        }
+        let spec = job.spec.clone();
+        let machine = self.machines.get(name);
+        if !machine.is_some_and(|machine| machine.allocations().contains_key(id)) {
+            if status.state == TaskState::Exited {
+                // Nothing is known of it and it is over: it is forgotten once that is recorded.
+                if status.cause == Some(Cause::Done) {
+                    self.complete_task(&id.job, id.task, now);
+                }
+                return;
+            }
+            self.adopt_task(name, id, status.state, now);
+        }
+        let machine = self.machines.get(name);
+        let allocation = machine.and_then(|machine| machine.allocations().get(id));
+        if !allocation.is_some_and(Allocation::is_live) {
+            return;
+        }
+        if status.state == TaskState::Exited {
+            let cause = status.cause.unwrap_or(Cause::Error);
+            self.task_exited(name, id, spec, cause, now);
+        } else {
+            self.task_observed(name, id, &spec, status.state, now);
+        }
+    }
+
+    /// Adds an allocation for a task that was not expected on a machine; it is stopped where the job
+    /// has no use for it.
+    fn adopt_task(&mut self, name: &Name, id: &AllocationId, state: TaskState, now: Time) {
+        let job = self.jobs.get(&id.job);
+        let is_unwanted = job.is_some_and(|job| {
+            let is_taken = job.task(id.task).is_some_and(|task| !task.is_unplaced());
+            is_taken || job.cancelled
+        });
+        warn!(machine = %name, task = %id, "adopting an unexpected task");
+        self.add_allocation(id.clone(), name, AllocationState::Launching, now);
+        if is_unwanted {
+            let machine = self.machines.get_mut(name);
+            if let Some(allocation) = machine.and_then(|machine| machine.allocation_mut(id)) {
+                allocation.state = AllocationState::Observed(state);
+            }
+            self.stop(name, id, 0.0, now);
+        }
+    }
+
+    /// A heartbeat shows that a task is on its machine.
+    fn task_observed(
+        &mut self,
+        name: &Name,
+        id: &AllocationId,
+        spec: &JobSpec,
+        state: TaskState,
+        now: Time,
+    ) {
+        let cancelled = self.jobs.get(&id.job).is_some_and(|job| job.cancelled);
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        if state != TaskState::Fetching {
+            machine.images.insert(spec.image.clone());
+        }
+        let Some(allocation) = machine.allocation_mut(id) else {
+            return;
+        };
+        let was_launching = allocation.state == AllocationState::Launching;
+        let launched_by_response = was_launching && allocation.launch_response_sequence.is_some();
+        allocation.state = AllocationState::Observed(state);
+        allocation.is_recovered = false;
+        allocation.is_missing = false;
+        let has_started = state == TaskState::Running && !allocation.has_run();
+        if has_started {
+            allocation.running_since = Some(now);
+        }
+        if was_launching && cancelled && allocation.pending_stop.is_none() {
+            allocation.pending_stop = Some(PendingStop {
+                grace_s: 0.0,
+                sent: false,
+            });
+            self.machines_to_notify.insert(name.clone());
+        }
+        if launched_by_response {
+            machine.worker.acknowledge(true, now);
+        }
+        if has_started {
+            debug!(task = %id, machine = %name, "task runs");
+            if let Some(job) = self.jobs.get_mut(&id.job) {
+                job.task_started(now);
+            }
+        }
+    }
+
+    /// A heartbeat shows that a task has exited.
+    fn task_exited(
+        &mut self,
+        name: &Name,
+        id: &AllocationId,
+        spec: Arc<JobSpec>,
+        cause: Cause,
+        now: Time,
+    ) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        machine.idle_since = now;
+        let Some(allocation) = machine.allocation_mut(id) else {
+            return;
+        };
+        allocation.state = AllocationState::Exited(cause);
+        let exited = ExitedTask {
+            id,
+            machine: name,
+            spec,
+            cause,
+            planned_at: allocation.planned_at,
+            ran_s: allocation.running_since.map(|since| now - since),
+            was_stopped: allocation.pending_stop.is_some(),
+        };
+        debug!(task = %id, machine = %name, ?cause, "task exited");
+        self.release_allocation(id, name, exited.ran_s.is_some(), now);
+        self.handle_exit(&exited, now);
+    }
+
+    fn handle_exit(&mut self, exited: &ExitedTask, now: Time) {
+        let (job, machine) = (&exited.id.job, exited.machine);
+        match exited.cause {
+            Cause::Done => {
+                self.complete_task(job, exited.id.task, now);
+                self.task_succeeded_on(machine, &exited.spec.image);
+                self.learn_run_time(exited);
+            }
+            Cause::Error => self.task_failed_on(job, machine, exited.planned_at, now),
+            Cause::NoRoom | Cause::Busy | Cause::Unknown => {
+                warn!(machine = %machine, task = %exited.id, cause = ?exited.cause, "launch refused");
+                self.launch_refused(job, now);
+            }
+            Cause::Stopped | Cause::Peers | Cause::Alone => self.task_lost(job, now),
+        }
+    }
+
+    /// Learns from a task that ended by itself.
+    fn learn_run_time(&mut self, exited: &ExitedTask) {
+        let spec = &exited.spec;
+        let is_service = spec.kind == crate::protocol::job::JobKind::Service;
+        let Some(ran_s) = exited.ran_s.filter(|_| !exited.was_stopped && !is_service) else {
+            return;
+        };
+        let owner = super::jobs::owner(spec);
+        self.predictor
+            .learn(&owner, spec.estimate_s, spec.cpus, ran_s);
+    }
+
+    /// Releases the allocations that a heartbeat, sent under an acknowledged token, no longer shows,
+    /// where no launch of them may still arrive.
+    fn reconcile_missing_tasks(
+        &mut self,
+        name: &Name,
+        shown: &BTreeSet<AllocationId>,
+        token: u64,
+        now: Time,
+    ) {
+        let first_token = self.leadership.first_token();
+        let jobs = &self.jobs;
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        let reported_sequence = machine.worker.reported_sequence();
+        // A response carried a launch, and a heartbeat after it shows nothing of that.
+        let is_unacknowledged = machine.allocations().iter().any(|(id, a)| {
+            let sequence = a.launch_response_sequence;
+            let is_answered = sequence.is_some_and(|s| s < reported_sequence);
+            let is_launching = a.state == AllocationState::Launching && a.pending_stop.is_none();
+            is_launching && is_answered && !shown.contains(id)
+        });
+        if is_unacknowledged {
+            machine.worker.acknowledge(false, now);
+        }
+        let mut lost = Vec::new();
+        machine.retain_allocations(|id, allocation| {
+            if shown.contains(id) {
+                return true;
+            }
+            let launches_are_over = allocation.launches_are_over(token, reported_sequence);
+            if matches!(allocation.state, AllocationState::Exited(_)) {
+                // The worker forgot it as it was told.
+                return !launches_are_over;
+            }
+            let is_fenced = token >= first_token;
+            let is_gone = match allocation.state {
+                AllocationState::Pending | AllocationState::Exited(_) => false,
+                // Launched by an earlier leader: nothing of it arrives once the worker has seen a
+                // token of this leadership.
+                AllocationState::Launching if allocation.is_recovered => is_fenced,
+                AllocationState::Launching => {
+                    launches_are_over && is_unwanted(jobs, id, allocation)
+                }
+                AllocationState::Observed(_) => launches_are_over && is_fenced,
+            };
+            let was_observed = matches!(allocation.state, AllocationState::Observed(_));
+            allocation.is_missing = !is_gone && was_observed;
+            if is_gone {
+                lost.push(LostAllocation {
+                    id: id.clone(),
+                    has_run: allocation.has_run(),
+                });
+            }
+            !is_gone
+        });
+        for LostAllocation { id, has_run } in lost {
+            debug!(task = %id, machine = %name, "task is not on the machine");
+            self.release_allocation(&id, name, has_run, now);
+            self.task_lost(&id.job, now);
+        }
+    }
+
+    /// Releases what was on a machine whose worker's incarnation is over.
+    pub(super) fn end_incarnation(&mut self, name: &Name, now: Time) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        let mut lost = Vec::new();
+        machine.retain_allocations(|id, allocation| {
+            // What was not sent can still be sent to the next incarnation.
+            if allocation.state == AllocationState::Pending {
+                return true;
+            }
+            if allocation.is_live() {
+                lost.push(LostAllocation {
+                    id: id.clone(),
+                    has_run: allocation.has_run(),
+                });
+            }
+            false
+        });
+        if !lost.is_empty() {
+            warn!(machine = %name, tasks = lost.len(), "incarnation ended, tasks lost");
+        }
+        for LostAllocation { id, has_run } in lost {
+            self.release_allocation(&id, name, has_run, now);
+            self.task_lost(&id.job, now);
+        }
+    }
+}
+
+/// Whether a task that may still be launched is to be stopped.
+fn is_unwanted(jobs: &BTreeMap<Name, Job>, id: &AllocationId, allocation: &Allocation) -> bool {
+    allocation.pending_stop.is_some() || jobs.get(&id.job).is_none_or(|job| job.cancelled)
+}
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -1,132 +1,125 @@
-//! How a new leader rebuilds its picture: from the records, then from the workers themselves.
+//! How a new leader rebuilds its state: from the records, then from heartbeats of the workers.
 
-use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::{Name, PlacementRecord};
+use super::wall_clock::WallClock;
+use super::ClusterState;
+use crate::coordination::state::{AllocationId, Name, Placement};
 use crate::coordination::Time;
 use crate::protocol::store::VersionedValue;
 use crate::storage::records::{
     parse_completion_key, parse_placement_key, OpenRecord, StoredCompletions, StoredPlacements,
 };
+use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
-use tracing::info;
+use tracing::{info, warn};
 
 /// The records that a new leader reads.
 #[derive(Debug, Default)]
 pub struct Records {
+    /// Open jobs.
     pub open: Vec<VersionedValue>,
+    /// Records of completed tasks.
     pub run: Vec<VersionedValue>,
+    /// Placement records.
     pub places: Vec<VersionedValue>,
 }
 
+/// The value of a record, if it can be read.
+fn decode<T: DeserializeOwned>(item: VersionedValue) -> Option<T> {
+    serde_json::from_value(item.value)
+        .map_err(|error| warn!(key = %item.key, %error, "the record cannot be read"))
+        .ok()
+}
+
 impl ClusterState {
-    /// Loads what earlier leaders recorded. Once a worker has seen our token, no older command
-    /// reaches it, and its report is the truth.
+    /// Loads what earlier leaders recorded. Once a worker has seen this leader's token, no older
+    /// command reaches it, and its heartbeat is the truth.
     pub fn recover(&mut self, records: Records, wall_ms: u64, now: Time) {
-        self.day_ms = wall_ms as f64 - 1000.0 * now;
+        self.clock = WallClock::new(wall_ms, now);
         let mut open: BTreeMap<u64, OpenRecord> = BTreeMap::new();
         for item in records.open {
-            if let Some(record) = Self::decode::<OpenRecord>(&item.key, item.value) {
-                open.insert(item.version, record);
+            let version = item.version;
+            if let Some(record) = decode::<OpenRecord>(item) {
+                open.insert(version, record);
             }
         }
         for (version, record) in open {
             self.job_accepted(record, version, wall_ms, now);
         }
         for item in records.run {
-            let Some((id, number)) = parse_completion_key(&item.key) else {
-                continue;
-            };
-            let id: Name = id.into();
-            if !self.jobs.contains_key(&id) {
-                // Left over by the end of a job with more records than one transaction removes.
-                self.stale_keys.insert(item.key);
-                continue;
-            }
-            let Some(record) = Self::decode::<StoredCompletions>(&item.key, item.value) else {
-                continue;
-            };
-            self.recover_completion_record(&id, number, record, item.version);
+            self.recover_completions(item);
         }
         for item in records.places {
-            let Some(placement_record) = parse_placement_key(&item.key) else {
-                continue;
-            };
-            if self.placement_records.len() <= placement_record {
-                self.placement_records
-                    .resize_with(placement_record + 1, PlacementRecord::default);
-            }
-            self.placement_records[placement_record].version = item.version;
-            if let Some(record) = Self::decode::<StoredPlacements>(&item.key, item.value) {
-                self.recover_placement_record(placement_record, record, now);
-            }
+            self.recover_placements(item, now);
         }
-        self.waits_no_more();
-        for placement_record in 0..self.placement_records.len() {
-            self.split_placement_record(placement_record, now);
+        self.clear_met_dependencies();
+        for record in 0..self.placement_records.len() {
+            self.split_placement_record(record, now);
         }
         info!(
-            "leads with token {}: {} open jobs, places on {} machines",
-            self.token,
-            self.jobs.len(),
-            self.machines.len()
+            token = self.leadership.token(),
+            open_jobs = self.jobs.len(),
+            machines = self.machines.len(),
+            "leadership begins, records are read"
         );
     }
 
-    /// A job that was accepted at some time of day.
-    pub fn job_accepted(&mut self, record: OpenRecord, version: u64, wall_ms: u64, now: Time) {
-        let age_s = wall_ms.saturating_sub(record.at_ms) as f64 / 1000.0;
-        self.job_open(record, version, now, now - age_s);
-    }
-
-    fn recover_completion_record(
-        &mut self,
-        id: &Name,
-        number: usize,
-        record: StoredCompletions,
-        version: u64,
-    ) {
-        for (first, last) in &record.done {
+    fn recover_completions(&mut self, item: VersionedValue) {
+        let Some((id, number)) = parse_completion_key(&item.key) else {
+            return;
+        };
+        let id: Name = id.into();
+        let Some(job) = self.jobs.get_mut(&id) else {
+            // Left over by the end of a job with more records than one transaction removes.
+            self.writes.add_stale_keys([item.key]);
+            return;
+        };
+        let version = item.version;
+        let Some(stored) = decode::<StoredCompletions>(item) else {
+            return;
+        };
+        for (first, last) in &stored.done {
             for task in *first..=*last {
-                self.recover_done(id, task);
+                job.complete_task(task);
             }
         }
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        match self.cut.position(number) {
-            Some(i) => {
-                if let Some(completion_record) = job.completion_records.get_mut(i) {
-                    completion_record.version = version;
+        match self.shards.position(number) {
+            Some(shard) => {
+                if let Some(record) = job.completion_records.get_mut(shard) {
+                    record.version = version;
                 }
             }
-            // Never written here, as it may tell of tasks that our records of such a number do not.
-            None => job.other_cuts.push(number),
+            // Never written here, as it may tell of tasks that this leader's record of such a number
+            // does not.
+            None => job.foreign_shards.push(number),
         }
     }
 
-    fn recover_placement_record(
-        &mut self,
-        placement_record: usize,
-        record: StoredPlacements,
-        now: Time,
-    ) {
-        let mut told = 0;
-        for (id, machines) in record.places {
-            let id: Name = id.as_str().into();
-            told += machines.values().map(Vec::len).sum::<usize>();
-            if !self.jobs.contains_key(&id) {
+    fn recover_placements(&mut self, item: VersionedValue, now: Time) {
+        let Some(record) = parse_placement_key(&item.key) else {
+            return;
+        };
+        self.placement_records.restore(record, item.version);
+        let Some(stored) = decode::<StoredPlacements>(item) else {
+            return;
+        };
+        let mut count = 0;
+        for (job, machines) in stored.places {
+            let job: Name = job.as_str().into();
+            count += machines.values().map(Vec::len).sum::<usize>();
+            if !self.jobs.contains_key(&job) {
                 continue;
             }
-            for (machine, places) in machines {
+            for (machine, tasks) in machines {
                 let machine: Name = machine.as_str().into();
-                for (task, attempt) in places {
-                    let key = (id.clone(), task, attempt);
-                    self.recover_place(placement_record, key, &machine, now);
+                for (task, attempt) in tasks {
+                    let placement = Placement {
+                        allocation: AllocationId::new(job.clone(), task, attempt),
+                        machine: machine.clone(),
+                    };
+                    self.restore_allocation(record, placement, now);
                 }
             }
         }
-        // What it holds of jobs that are over, or what another holds too, goes with its next writing.
-        let placement_record = &mut self.placement_records[placement_record];
-        placement_record.dirty = (placement_record.entries().len() < told).then_some(now);
+        self.placement_records.restored(record, count, now);
     }
 }
--- /dev/null
+++ b/src/coordination/cluster/writes/completions.rs
@@ -0,0 +1,167 @@
+//! Recording which tasks have completed.
+
+use super::ClusterState;
+use crate::coordination::cluster::write_queue::{
+    CompletionRecordId, OutdatedCompletions, WriteInFlight,
+};
+use crate::coordination::state::{Job, Name};
+use crate::coordination::Time;
+use crate::protocol::store::Transaction;
+use crate::storage::records::{completion_key, CompletionShards, StoredCompletions};
+use std::collections::BTreeMap;
+
+/// How many times longer a record may be out of date while the rate limit is scarce.
+const SCARCE_AGE_FACTOR: f64 = 2.0;
+/// Bytes of a transaction that may be filled, of the 64 KiB allowed.
+const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
+
+/// A transaction that is being filled with records of completed tasks.
+struct CompletionBatch {
+    transaction: Transaction,
+    records: Vec<CompletionRecordId>,
+    bytes: usize,
+    max_records: usize,
+}
+
+impl CompletionBatch {
+    fn is_full(&self) -> bool {
+        self.records.len() >= self.max_records || self.bytes >= MAX_TRANSACTION_BYTES
+    }
+}
+
+impl ClusterState {
+    /// Records which tasks have completed, once that has been out of date for long enough.
+    pub(super) fn write_completions(&mut self, now: Time) -> bool {
+        let batch = self.fill_completion_batch(now);
+        if batch.records.is_empty() {
+            return false;
+        }
+        self.writes.spend(batch.records.len(), now);
+        self.writes.stats_mut().completions += batch.records.len();
+        for id in &batch.records {
+            let job = self.jobs.get_mut(&id.job);
+            let record = job.and_then(|job| job.completion_records.get_mut(id.shard));
+            if let Some(record) = record {
+                record.in_flight = true;
+                record.dirty_since = None;
+            }
+        }
+        let write = WriteInFlight {
+            completions: batch.records,
+            ..WriteInFlight::default()
+        };
+        self.submit_write(batch.transaction, write);
+        true
+    }
+
+    fn fill_completion_batch(&mut self, now: Time) -> CompletionBatch {
+        let mut max_age_s = self.max_record_age_s();
+        if self.writes.is_scarce(now) {
+            max_age_s *= SCARCE_AGE_FACTOR;
+        }
+        let available = self.writes.available(now) as usize;
+        let mut batch = CompletionBatch {
+            transaction: self.begin_transaction(),
+            records: Vec::new(),
+            bytes: 0,
+            max_records: self.writes.max_operations().min(available),
+        };
+        let mut in_flight = Vec::new();
+        while !batch.is_full() {
+            let Some(outdated) = self.writes.pop_outdated(max_age_s, now) else {
+                break;
+            };
+            let id = &outdated.record;
+            let Some(job) = self.jobs.get(&id.job).filter(|j| is_due(j, &outdated)) else {
+                continue;
+            };
+            let record = &job.completion_records[id.shard];
+            if record.in_flight {
+                in_flight.push(outdated);
+                continue;
+            }
+            let stored = self.stored_completions(job, id.shard);
+            let value = serde_json::to_value(stored).expect("serializing plain data cannot fail");
+            batch.bytes += value.to_string().len();
+            let key = completion_key(&id.job, self.shards.number(id.shard));
+            let version = record.version;
+            batch.transaction = batch.transaction.version(&*key, version).put(key, value);
+            batch.records.push(outdated.record);
+        }
+        self.writes.put_back_outdated(in_flight);
+        batch
+    }
+
+    fn stored_completions(&self, job: &Job, shard: usize) -> StoredCompletions {
+        let mut stored = StoredCompletions::default();
+        let first = shard * self.shards.tasks;
+        let last = (first + self.shards.tasks).min(job.tasks().len());
+        for task in (first..last).filter(|task| job.tasks()[*task].done) {
+            stored.push_done(task as u32);
+            // What it does not tell is done again, at worst: a worker keeps the result.
+            if stored.bytes() > self.placement_records.max_bytes() {
+                stored.done.pop();
+                break;
+            }
+        }
+        stored
+    }
+
+    /// The record of which tasks have completed is out of date.
+    pub(crate) fn mark_completion_outdated(&mut self, id: &Name, task: u32, now: Time) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let shard = task as usize / self.shards.tasks;
+        let record = &mut job.completion_records[shard];
+        if record.dirty_since.is_none() {
+            record.dirty_since = Some(now);
+            let record = CompletionRecordId {
+                job: id.clone(),
+                shard,
+            };
+            self.writes
+                .push_outdated(OutdatedCompletions { since: now, record });
+        }
+    }
+
+    /// Takes in what became of the write of a record of completed tasks.
+    pub(super) fn completions_written(
+        &mut self,
+        id: &CompletionRecordId,
+        applied: Option<u64>,
+        now: Time,
+    ) {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        let record = &mut job.completion_records[id.shard];
+        record.in_flight = false;
+        match applied {
+            Some(revision) => record.version = revision,
+            None => {
+                let first_task = (id.shard * self.shards.tasks) as u32;
+                self.mark_completion_outdated(&id.job, first_task, now);
+            }
+        }
+    }
+}
+
+/// Whether a record is to be written at all; a job that is finished is closed instead.
+fn is_due(job: &Job, outdated: &OutdatedCompletions) -> bool {
+    let is_open = !job.cancelled && !job.end_in_flight && !job.end_recorded && !job.is_finished();
+    is_open && job.completion_records[outdated.record.shard].dirty_since == Some(outdated.since)
+}
+
+/// Whether a task's completion is known here only: its worker must not forget it yet.
+pub(in crate::coordination::cluster) fn is_completion_unrecorded(
+    jobs: &BTreeMap<Name, Job>,
+    shards: CompletionShards,
+    job: &Name,
+    task: u32,
+) -> bool {
+    jobs.get(job).is_some_and(|job| {
+        let record = job.completion_records.get(task as usize / shards.tasks);
+        !job.end_recorded && record.is_some_and(|r| r.dirty_since.is_some() || r.in_flight)
+    })
+}
--- /dev/null
+++ b/src/coordination/cluster/writes/mod.rs
@@ -0,0 +1,133 @@
+//! What the leader writes to the store, within its rate limit, and what became of it.
+//!
+//! Ends of jobs come first, then placements that launches wait for, then completed tasks, then removals
+//! of stale records. Every write depends on the version of the leader's own record.
+
+pub(super) mod completions;
+mod ends;
+mod placements;
+mod reread;
+
+use super::write_queue::WriteInFlight;
+use super::{ClusterState, Effect, WriteOutcome};
+use crate::coordination::Time;
+use crate::protocol::store::Transaction;
+use crate::storage::records::LEADER_KEY;
+use tracing::warn;
+
+/// How long a record that no launch waits for may be out of date, in leases. What a worker has not been
+/// told to forget is not lost.
+const MAX_RECORD_AGE: f64 = 0.5;
+
+impl ClusterState {
+    /// Writes what is out of date, as far as the rate limit allows.
+    pub(crate) fn flush_writes(&mut self, now: Time) {
+        if self.writes.is_paused(now) || !self.leadership.is_leader(now) {
+            return;
+        }
+        while self.writes.has_capacity() {
+            // Ends come first, and are waited for: users are told of them, and they cost little.
+            let is_ending = !self.finished_jobs.is_empty();
+            if self.write_end(now) {
+                continue;
+            }
+            if is_ending && self.writes.available(now) < ends::MAX_END_OPERATIONS as f64 {
+                break;
+            }
+            let wrote = self.write_placements(now)
+                || self.write_completions(now)
+                || self.write_removals(now);
+            if !wrote {
+                break;
+            }
+        }
+    }
+
+    fn submit_write(&mut self, transaction: Transaction, write: WriteInFlight) {
+        let id = self.leadership.next_id();
+        self.writes.sent(id, write);
+        self.effects.push(Effect::Write { id, transaction });
+    }
+
+    /// A transaction that holds only while this leader's token is the latest, at the cluster version
+    /// that it knows.
+    fn begin_transaction(&self) -> Transaction {
+        let fenced = Transaction::at_version(self.leadership.write_fence());
+        fenced.version(LEADER_KEY, self.leadership.token())
+    }
+
+    /// For how long a record that no launch waits for may be out of date, in seconds.
+    fn max_record_age_s(&self) -> f64 {
+        self.settings.cluster.workers.lease_s * MAX_RECORD_AGE
+    }
+
+    fn write_removals(&mut self, now: Time) -> bool {
+        let keys = self.writes.take_stale_keys(now);
+        if keys.is_empty() {
+            return false;
+        }
+        let transaction = keys
+            .iter()
+            .fold(self.begin_transaction(), |txn, key| txn.delete(key));
+        let write = WriteInFlight {
+            removals: keys,
+            ..WriteInFlight::default()
+        };
+        self.submit_write(transaction, write);
+        true
+    }
+
+    /// Takes in what became of a write.
+    pub fn write_finished(&mut self, id: u64, outcome: WriteOutcome, now: Time) {
+        let Some(write) = self.writes.finished(id) else {
+            return;
+        };
+        if matches!(outcome, WriteOutcome::TooLarge) {
+            self.write_smaller(&write, now);
+        }
+        let applied = match &outcome {
+            WriteOutcome::Applied(revision) => Some(*revision),
+            _ => None,
+        };
+        if let Some(sent) = write.placements {
+            self.placements_written(sent, applied, now);
+        }
+        for record in write.completions {
+            self.completions_written(&record, applied, now);
+        }
+        if applied.is_none() {
+            self.writes.add_stale_keys(write.removals);
+        }
+        if let Some(job) = write.end {
+            self.end_written(&job, applied, now);
+        }
+        match outcome {
+            WriteOutcome::Applied(_) => {}
+            WriteOutcome::Rejected | WriteOutcome::TooLarge => self.writes.pause(now),
+            WriteOutcome::Indeterminate(items) => self.apply_reread(items, now),
+        }
+    }
+
+    /// The store accepts less than its limits, as they are known here, allow. What was too large is cut
+    /// smaller, since it would be refused for ever; so is what comes after it.
+    fn write_smaller(&mut self, write: &WriteInFlight, now: Time) {
+        self.writes.halve_operations();
+        let max_bytes = self.placement_records.max_bytes();
+        let sent = write.placements.as_ref();
+        let largest = sent
+            .map(|sent| self.placement_records.bytes(sent.record))
+            .filter(|bytes| *bytes <= max_bytes);
+        let single_completion = (write.completions.len() == 1).then_some(max_bytes);
+        if let Some(bytes) = largest.or(single_completion) {
+            self.placement_records.set_max_bytes(bytes / 2);
+        }
+        warn!(
+            max_operations = self.writes.max_operations(),
+            max_record_bytes = self.placement_records.max_bytes(),
+            "a write is too large for the store, writing less at once"
+        );
+        if let Some(sent) = sent {
+            self.split_placement_record(sent.record, now);
+        }
+    }
+}
--- a/src/coordination/scheduling/backfill.rs
+++ b/src/coordination/scheduling/backfill.rs
@@ -4,12 +4,32 @@
 use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Resources that come free at a predicted end.
+#[derive(Clone, Copy, Debug)]
+pub struct FutureRelease {
+    /// The predicted end.
+    pub at: Time,
+    /// What comes free then.
+    pub freed: Resources,
+}
+
 /// A machine as the reservation sees it: what is free now and what comes free when.
-pub struct Frees {
+pub struct FutureResources {
+    /// The machine's position in the cycle.
     pub machine: usize,
-    pub room: Resources,
-    /// Predicted ends of its tasks with the room that each frees.
-    pub ends: Vec<(Time, Resources)>,
+    /// What is free now.
+    pub free: Resources,
+    /// What its tasks free at their predicted ends.
+    pub releases: Vec<FutureRelease>,
+}
+
+/// A machine that is held for a task of the head.
+#[derive(Clone, Debug, PartialEq)]
+struct HeldMachine {
+    /// When the task starts.
+    at: Time,
+    /// What is left over by then.
+    spare: Resources,
 }
 
 /// Where and when the queue's head starts, by the predictions at hand.
@@ -17,50 +37,55 @@
 pub struct Reservation {
     /// When its next task starts.
     pub at: Time,
-    /// The machines that are held for its tasks: until when, and what is left over by then.
-    held: BTreeMap<usize, (Time, Resources)>,
+    /// The machines that are held for its tasks.
+    held: BTreeMap<usize, HeldMachine>,
     /// For a gang: it needs room on many machines at once, so all that it may use are held for it.
-    whole: BTreeSet<usize>,
+    held_for_gang: BTreeSet<usize>,
+}
+
+/// When and how a machine can take a task that may not fit now; `None` if it never can.
+fn earliest_start(
+    now: Time,
+    request: &Resources,
+    machine: &mut FutureResources,
+) -> Option<HeldMachine> {
+    machine.releases.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let mut free = machine.free;
+    let mut at = now;
+    let mut releases = machine.releases.iter();
+    while !free.fits(request) {
+        let release = releases.next()?;
+        at = at.max(release.at);
+        free.add(&release.freed);
+    }
+    // What ends by then as well is spare too.
+    for release in releases.filter(|release| release.at <= at) {
+        free.add(&release.freed);
+    }
+    free.take(request);
+    Some(HeldMachine { at, spare: free })
 }
 
 /// The earliest starts of so many tasks, one a machine, that fit nowhere now.
 pub fn reserve(
     now: Time,
-    need: &Resources,
+    request: &Resources,
     tasks: usize,
-    machines: Vec<Frees>,
+    machines: Vec<FutureResources>,
 ) -> Option<Reservation> {
-    let mut starts: Vec<(Time, usize, Resources)> = Vec::new();
-    for mut m in machines {
-        m.ends.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut room = m.room;
-        let mut at = now;
-        let mut ends = m.ends.iter().peekable();
-        while !room.fits(need) {
-            let Some((end, freed)) = ends.next() else {
-                break;
-            };
-            at = at.max(*end);
-            room.add(freed);
-        }
-        if !room.fits(need) {
-            continue;
-        }
-        // What ends by then as well is spare too.
-        for (end, freed) in ends {
-            if *end <= at {
-                room.add(freed);
-            }
+    let mut starts: Vec<(usize, HeldMachine)> = Vec::new();
+    for mut machine in machines {
+        if let Some(start) = earliest_start(now, request, &mut machine) {
+            starts.push((machine.machine, start));
         }
-        room.take(need);
-        starts.push((at, m.machine, room));
     }
-    starts.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    let held = starts.iter().take(tasks);
+    starts.sort_by(|(a_machine, a), (b_machine, b)| {
+        a.at.total_cmp(&b.at).then(a_machine.cmp(b_machine))
+    });
     Some(Reservation {
-        at: starts.first()?.0,
-        held: held.map(|(at, i, spare)| (*i, (*at, *spare))).collect(),
-        whole: BTreeSet::new(),
+        at: starts.first()?.1.at,
+        held: starts.into_iter().take(tasks).collect(),
+        held_for_gang: BTreeSet::new(),
     })
 }
 
@@ -68,55 +93,57 @@
 /// predicted ends of what runs on the machines of these zones.
 pub fn reserve_gang(
     now: Time,
-    need: &Resources,
+    request: &Resources,
     tasks: u32,
-    most_in_zone: u32,
-    zones: &[Vec<Frees>],
+    max_per_zone: u32,
+    zones: &[Vec<FutureResources>],
 ) -> Option<Reservation> {
     let mut slots: Vec<u32> = Vec::new();
+    // Of each machine: its zone and what is free.
     let mut machines: Vec<(usize, Resources)> = Vec::new();
-    let mut ends: Vec<(Time, usize, Resources)> = Vec::new();
+    // With the position of the machine in `machines`.
+    let mut releases: Vec<(usize, FutureRelease)> = Vec::new();
     for (zone, of_zone) in zones.iter().enumerate() {
-        slots.push(of_zone.iter().map(|m| m.room.slots(need)).sum());
-        for m in of_zone {
-            let ends_here = m.ends.iter();
-            ends.extend(ends_here.map(|(end, room)| (*end, machines.len(), *room)));
-            machines.push((zone, m.room));
+        slots.push(of_zone.iter().map(|m| m.free.slots(request)).sum());
+        for machine in of_zone {
+            let position = machines.len();
+            releases.extend(machine.releases.iter().map(|release| (position, *release)));
+            machines.push((zone, machine.free));
         }
     }
-    ends.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let usable = |slots: &[u32]| -> u32 { slots.iter().map(|n| n.min(&most_in_zone)).sum() };
+    releases.sort_by(|(_, a), (_, b)| a.at.total_cmp(&b.at));
+    let usable = |slots: &[u32]| -> u32 { slots.iter().map(|n| n.min(&max_per_zone)).sum() };
     let mut at = now;
-    let mut ends = ends.into_iter();
+    let mut releases = releases.into_iter();
     while usable(&slots) < tasks {
-        let (end, i, freed) = ends.next()?;
-        let (zone, room) = &mut machines[i];
-        let before = room.slots(need);
-        room.add(&freed);
-        slots[*zone] += room.slots(need) - before;
-        at = at.max(end);
+        let (position, release) = releases.next()?;
+        let (zone, free) = &mut machines[position];
+        let before = free.slots(request);
+        free.add(&release.freed);
+        slots[*zone] += free.slots(request) - before;
+        at = at.max(release.at);
     }
     Some(Reservation {
         at,
         held: BTreeMap::new(),
-        whole: zones.iter().flatten().map(|m| m.machine).collect(),
+        held_for_gang: zones.iter().flatten().map(|m| m.machine).collect(),
     })
 }
 
 impl Reservation {
     /// Whether a task that is started now on `machine`, and ends at `end`, leaves it undelayed.
-    pub fn allows(&self, machine: usize, need: &Resources, end: Time) -> bool {
+    pub fn allows(&self, machine: usize, request: &Resources, end: Time) -> bool {
         match self.held.get(&machine) {
-            Some((at, spare)) => end <= *at || spare.fits(need),
-            None => !self.whole.contains(&machine) || end <= self.at,
+            Some(held) => end <= held.at || held.spare.fits(request),
+            None => !self.held_for_gang.contains(&machine) || end <= self.at,
         }
     }
 
     /// Accounts for a task that was let pass.
-    pub fn admit(&mut self, machine: usize, need: &Resources, end: Time) {
-        if let Some((at, spare)) = self.held.get_mut(&machine) {
-            if end > *at {
-                spare.take(need);
+    pub fn admit(&mut self, machine: usize, request: &Resources, end: Time) {
+        if let Some(held) = self.held.get_mut(&machine) {
+            if end > held.at {
+                held.spare.take(request);
             }
         }
     }
--- a/src/coordination/scheduling/placement/gangs.rs
+++ b/src/coordination/scheduling/placement/gangs.rs
@@ -1,39 +1,39 @@
 //! Where the tasks of gangs go: all at once, or none.
 
-use super::{failure_penalty_s, SchedulingCycle};
 use crate::coordination::scheduling::backfill::Reservation;
-use crate::coordination::scheduling::queue::Blocked;
+use crate::coordination::scheduling::cycle::{failure_penalty_s, SchedulingCycle};
+use crate::coordination::scheduling::plan::Blocked;
 use crate::coordination::state::{Job, Name};
 use std::collections::{BTreeSet, HashMap};
 
 impl SchedulingCycle<'_> {
-    /// All tasks of a gang, or none.
-    pub(crate) fn place_gang(
+    /// Places all tasks of a gang, or none.
+    pub(in crate::coordination::scheduling) fn place_gang(
         &mut self,
         job: &Job,
         mut head: Option<&mut Reservation>,
-        guaranteed: bool,
+        is_guaranteed: bool,
     ) -> Result<(), Blocked> {
-        if self.placed.contains_key(&job.id) {
+        if self.planned.contains_key(&job.id) {
             return Ok(());
         }
         let tasks: Vec<u32> = job.unplaced().collect();
-        if !self.within_limit(job, tasks.len() as u32) {
-            return Err(Blocked::Rule);
+        if !self.within_quota(job, tasks.len() as u32) {
+            return Err(Blocked::Policy);
         }
-        let reserved = head.as_deref().filter(|_| !guaranteed);
+        let reserved = head.as_deref().filter(|_| !is_guaranteed);
         let Some(chosen) = self.fit_gang(job, tasks.len(), reserved) else {
             if reserved.is_some() && self.fit_gang(job, tasks.len(), None).is_some() {
-                self.withhold(job);
+                self.mark_starved(job);
             }
-            return Err(Blocked::Resources);
+            return Err(Blocked::Capacity);
         };
-        let (need, end) = (job.need(), self.now + job.predicted_s);
+        let (request, end) = (job.request(), self.now + job.predicted_s);
         for (task, i) in tasks.iter().zip(chosen) {
             if let Some(head) = head.as_mut() {
-                head.admit(i, &need, end);
+                head.admit(i, &request, end);
             }
-            self.plan(job, *task, i, true);
+            self.allocate(job, *task, i);
         }
         Ok(())
     }
@@ -41,38 +41,41 @@
     /// A machine for each of so many tasks of a gang, in zones that allow it and without delaying the
     /// reservation.
     fn fit_gang(&self, job: &Job, tasks: usize, head: Option<&Reservation>) -> Option<Vec<usize>> {
-        let (need, end) = (job.need(), self.now + job.predicted_s);
+        let (request, end) = (job.request(), self.now + job.predicted_s);
         let mut machines: Vec<usize> = self
             .allowed(job)
-            .filter(|i| head.is_none_or(|h| h.allows(*i, &need, end)))
+            .filter(|i| head.is_none_or(|head| head.allows(*i, &request, end)))
             .collect();
         // Where it has failed comes last.
         machines.sort_by(|a, b| {
-            let failures = |i: usize| failure_penalty_s(job, self.machines[i]);
-            let slots = |i: usize| self.room(i).slots(&need);
+            let failures = |i: usize| failure_penalty_s(job, self.machines[i].machine);
+            let slots = |i: usize| self.machines[i].free_for_batches().slots(&request);
             let by_failures = failures(*a).total_cmp(&failures(*b));
             by_failures.then(slots(*b).cmp(&slots(*a)))
         });
         if !job.spec.one_zone {
             return self.fill(job, tasks, &machines);
         }
-        let zones: BTreeSet<&Name> = machines.iter().map(|i| &self.machines[*i].zone).collect();
+        let zone_of = |i: usize| &self.machines[i].machine.zone;
+        let zones: BTreeSet<&Name> = machines.iter().map(|i| zone_of(*i)).collect();
         zones.into_iter().find_map(|zone| {
-            let here = machines.iter().copied();
-            let here: Vec<usize> = here.filter(|i| self.machines[*i].zone == *zone).collect();
+            let here = machines.iter().copied().filter(|i| zone_of(*i) == zone);
+            let here: Vec<usize> = here.collect();
             self.fill(job, tasks, &here)
         })
     }
 
     /// Takes machines in this order until so many tasks have one each.
     fn fill(&self, job: &Job, tasks: usize, machines: &[usize]) -> Option<Vec<usize>> {
-        let need = job.need();
+        let request = job.request();
         let mut chosen = Vec::new();
         let mut in_zone: HashMap<&Name, u32> = HashMap::new();
         for i in machines {
-            let here = in_zone.entry(&self.machines[*i].zone).or_default();
-            let free = self.room(*i).slots(&need).min(job.most_in_zone() - *here);
-            let count = (free as usize).min(tasks - chosen.len());
+            let machine = &self.machines[*i];
+            let here = in_zone.entry(&machine.machine.zone).or_default();
+            let slots = machine.free_for_batches().slots(&request);
+            let slots = slots.min(job.max_per_zone() - *here);
+            let count = (slots as usize).min(tasks - chosen.len());
             *here += count as u32;
             chosen.extend(std::iter::repeat_n(*i, count));
         }
--- a/src/coordination/scheduling/placement/services.rs
+++ b/src/coordination/scheduling/placement/services.rs
@@ -1,137 +1,204 @@
-//! Where replicas of services go, and the room that is kept for those to come.
+//! Where replicas of services go, and what is reserved for those to come.
 
-use super::SchedulingCycle;
-use crate::coordination::scheduling::queue::{outranks, Blocked};
+use crate::coordination::scheduling::cycle::SchedulingCycle;
+use crate::coordination::scheduling::plan::{Blocked, Preemption};
 use crate::coordination::state::{Allocation, AllocationId, AllocationState, Job, Resources};
+use crate::protocol::job::Priority;
 
-/// Seconds of waiting that a free start is worth against stopping other work.
+/// Seconds of waiting that a free start is worth against preempting other work.
 const PREEMPTION_PENALTY_S: f64 = 1.0;
 /// Seconds of waiting that are accepted to keep services together, so that few machines are left
 /// with a replica each when the batches end.
-const APART_S: f64 = 1.0;
+const APART_PENALTY_S: f64 = 1.0;
+/// Seconds of waiting that a machine with nothing on it counts for: among equals the fullest comes
+/// first, so that others can empty and be returned.
+const FREE_SHARE_PENALTY_S: f64 = 0.1;
+/// Seconds of waiting that a second of preempted work counts for.
+const LOST_WORK_PENALTY: f64 = 0.01;
+
+/// A machine for a replica, and what it costs to place it there, in seconds.
+struct ServiceCandidate {
+    cost_s: f64,
+    machine: usize,
+    /// What must be preempted for it.
+    victims: Vec<AllocationId>,
+}
+
+/// Keeps the cheaper of two candidates, the first among equals.
+fn keep_cheaper(best: &mut Option<ServiceCandidate>, candidate: ServiceCandidate) {
+    if best.as_ref().is_none_or(|b| candidate.cost_s < b.cost_s) {
+        *best = Some(candidate);
+    }
+}
+
+/// Whether work may be preempted for other work of a higher priority.
+fn preempts(priority: Priority, other: Priority) -> bool {
+    priority > other
+}
 
 impl SchedulingCycle<'_> {
-    /// A replica goes where it starts soonest; lesser work makes room where that is sooner.
-    pub(crate) fn place_service(&mut self, job: &Job, task: u32) -> Result<(), Blocked> {
-        if !self.within_limit(job, 1) {
-            return Err(Blocked::Rule);
+    /// Places a replica where it starts soonest; lesser work is preempted where that is sooner.
+    pub(in crate::coordination::scheduling) fn place_service(
+        &mut self,
+        job: &Job,
+        task: u32,
+    ) -> Result<(), Blocked> {
+        if !self.within_quota(job, 1) {
+            return Err(Blocked::Policy);
         }
-        let need = job.need();
-        let mut best: Option<(f64, usize, Vec<AllocationId>)> = None;
         let candidates: Vec<usize> = self.allowed(job).collect();
-        self.core.look(candidates.len());
+        self.count_examined(candidates.len());
+        let mut best = None;
         for i in &candidates {
-            if !self.rooms[*i].fits(&need) || !self.zone_allowed(job, &self.machines[*i].zone) {
-                continue;
-            }
-            // Among equals the fullest: others can then empty and be returned.
-            let packing = 0.1 * self.free_share(*i) + self.apart_s(*i);
-            let delay_s = self.delay_s(job, *i) + self.unheard_penalty_s(self.machines[*i]);
-            let cost = delay_s + packing;
-            if best.as_ref().is_none_or(|b| cost < b.0) {
-                best = Some((cost, *i, Vec::new()));
+            if let Some(candidate) = self.candidate_with_room(job, *i) {
+                keep_cheaper(&mut best, candidate);
             }
         }
         for i in candidates {
-            // Stopping work costs at least this much: most machines need not be looked into.
-            let m = self.machines[i];
-            let delay_s = self.delay_s(job, i) + self.unheard_penalty_s(m) + self.apart_s(i);
-            let least = delay_s + PREEMPTION_PENALTY_S;
-            if best.as_ref().is_some_and(|b| b.0 <= least) || self.rooms[i].fits(&need) {
-                continue;
-            }
-            if !self.zone_allowed(job, &self.machines[i].zone) {
-                continue;
-            }
-            self.core.look(self.machines[i].places.len());
-            let Some(victims) = self.make_room(job, i, &need) else {
-                continue;
-            };
-            let packing = 0.1 * self.free_share(i);
-            let cost = least + 0.01 * self.lost_s(i, &victims) + packing;
-            if best.as_ref().is_none_or(|b| cost < b.0) {
-                best = Some((cost, i, victims));
+            if let Some(candidate) = self.candidate_with_preemption(job, i, best.as_ref()) {
+                keep_cheaper(&mut best, candidate);
             }
         }
-        let Some((_, i, victims)) = best else {
-            return Err(Blocked::Resources);
+        let Some(best) = best else {
+            return Err(Blocked::Capacity);
         };
-        for key in victims {
-            let name = self.machines[i].name.clone();
-            self.rooms[i].add(&self.machines[i].places[&key].load.need);
-            self.victims.insert(key.clone());
-            self.plans.stops.push((name, key));
+        for victim in best.victims {
+            self.preempt(best.machine, victim);
         }
-        self.plan(job, task, i, false);
+        self.allocate(job, task, best.machine);
         Ok(())
     }
 
-    fn apart_s(&self, i: usize) -> f64 {
-        if self.machines[i].holds_services() {
-            0.0
-        } else {
-            APART_S
+    fn candidate_with_room(&mut self, job: &Job, i: usize) -> Option<ServiceCandidate> {
+        let machine = self.machines[i].machine;
+        let fits = self.machines[i].free.fits(&job.request());
+        if !fits || !self.zone_allowed(job, &machine.zone) {
+            return None;
         }
+        let packing_s =
+            FREE_SHARE_PENALTY_S * self.machines[i].free_share() + self.apart_penalty_s(i);
+        let delay_s = self.delay_s(job, i) + self.unheard_penalty_s(i);
+        Some(ServiceCandidate {
+            cost_s: delay_s + packing_s,
+            machine: i,
+            victims: Vec::new(),
+        })
     }
 
-    fn free_share(&self, i: usize) -> f64 {
-        let total = self.kinds[i].map_or(1.0, |t| t.cpus);
-        (self.rooms[i].cpus / total.max(1e-3)).clamp(0.0, 1.0)
+    fn candidate_with_preemption(
+        &mut self,
+        job: &Job,
+        i: usize,
+        best: Option<&ServiceCandidate>,
+    ) -> Option<ServiceCandidate> {
+        // Preempting work costs at least this much: most machines need not be looked into.
+        let delay_s = self.delay_s(job, i) + self.unheard_penalty_s(i) + self.apart_penalty_s(i);
+        let min_cost_s = delay_s + PREEMPTION_PENALTY_S;
+        let request = job.request();
+        let is_dearer = best.is_some_and(|best| best.cost_s <= min_cost_s);
+        if is_dearer || self.machines[i].free.fits(&request) {
+            return None;
+        }
+        let machine = self.machines[i].machine;
+        if !self.zone_allowed(job, &machine.zone) {
+            return None;
+        }
+        self.count_examined(machine.allocations().len());
+        let victims = self.choose_victims(job, i, &request)?;
+        let packing_s = FREE_SHARE_PENALTY_S * self.machines[i].free_share();
+        let lost_s = LOST_WORK_PENALTY * self.lost_work_s(i, &victims);
+        Some(ServiceCandidate {
+            cost_s: min_cost_s + lost_s + packing_s,
+            machine: i,
+            victims,
+        })
     }
 
-    fn lost_s(&self, i: usize, victims: &[AllocationId]) -> f64 {
-        let places = &self.machines[i].places;
-        let age = |k: &AllocationId| self.now - places[k].running_since.unwrap_or(self.now);
-        victims.iter().map(age).sum()
+    fn preempt(&mut self, i: usize, victim: AllocationId) {
+        let machine = self.machines[i].machine;
+        let request = machine.allocations()[&victim].profile.request;
+        self.machines[i].free.add(&request);
+        self.preempted.insert(victim.clone());
+        self.plan.preemptions.push(Preemption {
+            machine: machine.name.clone(),
+            allocation: victim,
+        });
     }
 
-    /// Which lesser work to stop so that the room suffices: none, if it does already.
-    fn make_room(&self, job: &Job, i: usize, need: &Resources) -> Option<Vec<AllocationId>> {
-        let mut room = self.rooms[i];
+    fn apart_penalty_s(&self, i: usize) -> f64 {
+        if self.machines[i].machine.holds_services() {
+            0.0
+        } else {
+            APART_PENALTY_S
+        }
+    }
+
+    /// For how long the victims have run, all together, in seconds.
+    fn lost_work_s(&self, i: usize, victims: &[AllocationId]) -> f64 {
+        let allocations = self.machines[i].machine.allocations();
+        let ran_s = |id: &AllocationId| {
+            let since = allocations[id].running_since.unwrap_or(self.now);
+            self.now - since
+        };
+        victims.iter().map(ran_s).sum()
+    }
+
+    /// Which lesser work to preempt so that the request fits: none, if it does already.
+    fn choose_victims(
+        &self,
+        job: &Job,
+        i: usize,
+        request: &Resources,
+    ) -> Option<Vec<AllocationId>> {
+        let mut free = self.machines[i].free;
         let mut victims = Vec::new();
-        if room.fits(need) {
+        if free.fits(request) {
             return Some(victims);
         }
-        let mut lesser: Vec<(&AllocationId, &Allocation)> = self.machines[i]
-            .live()
-            .filter(|(key, p)| {
-                // What saves before it stops, or is not surely there, does not free its room now.
-                let quick = matches!(p.stage, AllocationState::Observed(_)) && p.stop.is_none();
-                quick
-                    && p.load.yields
-                    && outranks(job.priority, p.load.priority)
-                    && !self.victims.contains(*key)
-            })
-            .collect();
+        let allocations = self.machines[i].machine.live_allocations();
+        let may_preempt = |(id, allocation): &(&AllocationId, &Allocation)| {
+            // What writes a checkpoint before it stops, or is not certainly there, does not free its
+            // resources now.
+            let frees_now = matches!(allocation.state, AllocationState::Observed(_))
+                && allocation.pending_stop.is_none();
+            frees_now
+                && allocation.profile.is_preemptible
+                && preempts(job.priority, allocation.profile.priority)
+                && !self.preempted.contains(*id)
+        };
+        let mut lesser: Vec<(&AllocationId, &Allocation)> =
+            allocations.filter(may_preempt).collect();
         // The youngest first: they lose the least.
-        lesser.sort_by(|a, b| b.1.since.total_cmp(&a.1.since));
-        for (key, place) in lesser {
-            room.add(&place.load.need);
-            victims.push(key.clone());
-            if room.fits(need) {
+        lesser.sort_by(|a, b| b.1.planned_at.total_cmp(&a.1.planned_at));
+        for (id, allocation) in lesser {
+            free.add(&allocation.profile.request);
+            victims.push(id.clone());
+            if free.fits(request) {
                 return Some(victims);
             }
         }
         None
     }
 
-    /// Sets room aside for the replicas that are expected before a machine could be rented: where
+    /// Reserves resources for the replicas that are expected before a machine could be rented: where
     /// their image is, and on the fullest machines.
-    pub(crate) fn keep_warm(&mut self) {
-        for (need, count, image) in self.core.fleet.expected(self.core, self.now) {
-            let mut free: Vec<(bool, f64, usize)> = (0..self.machines.len())
-                .filter(|i| self.open[*i] && !self.machines[*i].spot)
-                .filter(|i| self.room(*i).fits(&need))
-                .map(|i| {
-                    let cold = !self.machines[i].images.contains(&image);
-                    (cold, self.free_share(i), i)
-                })
-                .collect();
-            free.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-            let mut left = count;
-            for (_, _, i) in free {
-                while left > 0 && self.room(i).fits(&need) {
-                    self.warm[i].add(&need);
+    pub(in crate::coordination::scheduling) fn reserve_for_expected_replicas(&mut self) {
+        for expected in self.cluster.expected_replicas(self.now) {
+            let request = expected.request;
+            let machines = self.machines.iter().enumerate();
+            let with_room = machines.filter(|(_, m)| {
+                m.accepts_tasks && !m.machine.spot && m.free_for_batches().fits(&request)
+            });
+            let ranked = with_room.map(|(i, m)| {
+                let is_cold = !m.machine.images.contains(&expected.image);
+                (is_cold, m.free_share(), i)
+            });
+            let mut ranked: Vec<(bool, f64, usize)> = ranked.collect();
+            ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+            let mut left = expected.count;
+            for (_, _, i) in ranked {
+                while left > 0 && self.machines[i].free_for_batches().fits(&request) {
+                    self.machines[i].reserved.add(&request);
                     left -= 1;
                 }
             }
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,5 +1,6 @@
-//! Machines and their workers.
+//! Machines with their workers and allocations.
 
+use super::worker_session::WorkerSession;
 use super::{Allocation, AllocationId, AllocationState, Name, Resources};
 use crate::coordination::Time;
 use crate::protocol::worker::TaskState;
@@ -9,121 +10,140 @@
 /// What is known of a machine's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachinePhase {
+    /// Rented, and no heartbeat has arrived yet.
     Booting,
+    /// Its worker has sent heartbeats.
     Up,
-    /// Its return has been decided; gone with the cloud's 200.
+    /// Its return is decided; it is gone once the cloud has confirmed that with a 200.
     Returning,
 }
 
-/// Answers in a row without effect after which a worker counts as out of reach.
-pub const MAX_UNACKNOWLEDGED: u32 = 2;
+/// Which jobs have failed on a machine.
+#[derive(Clone, Debug, Default)]
+pub struct FailureHistory {
+    /// Jobs of which tasks failed here since one last completed here.
+    pub jobs_failed_here: BTreeSet<Name>,
+    /// Those of these jobs that have completed tasks elsewhere since.
+    pub jobs_completed_elsewhere: BTreeSet<Name>,
+    /// Whether the machine is held to be faulty and gets no more tasks.
+    pub quarantined: bool,
+}
 
-/// A machine, its worker, and the places on it.
+/// A machine, its worker, and the allocations on it.
 pub struct Machine {
+    /// Its name, which is never used again.
     pub name: Name,
+    /// Where its worker takes direct commands.
     pub endpoint: Option<String>,
-    pub kind: Name,
+    /// The name of its type; empty while a record has told no more than its name.
+    pub machine_type: Name,
+    /// Its zone; empty likewise.
     pub zone: Name,
+    /// Whether the cloud may reclaim it.
     pub spot: bool,
+    /// What is known of its life.
     pub phase: MachinePhase,
-    pub rented: Time,
-    /// Rented by this leader: no earlier one can have spoken to its worker.
-    pub ours: bool,
-    pub incarnation: u64,
-    pub sequence: u64,
-    /// The number of its newest own report in this incarnation; answers to direct commands have later
-    /// numbers too.
-    pub reported: u64,
-    pub token: u64,
-    /// When it was last heard of, and when a report of it was last answered.
-    pub heard: Option<Time>,
-    pub answered: Time,
-    /// When the cloud takes it away.
-    pub taken_at: Option<Time>,
-    pub places: BTreeMap<AllocationId, Allocation>,
-    /// What its places take, until one changes.
-    used: Cell<Option<Resources>>,
-    services: Cell<usize>,
+    /// When it was rented.
+    pub rented_at: Time,
+    /// Whether this leader rented it, so that no earlier one can have sent anything to its worker.
+    pub rented_by_this_leader: bool,
+    /// When the cloud reclaims it.
+    pub reclaim_at: Option<Time>,
+    /// The exchange with its worker.
+    pub worker: WorkerSession,
     /// Images that it has, as far as its tasks show.
     pub images: BTreeSet<String>,
-    /// The highest token that was sent to it in this incarnation.
-    pub told: u64,
-    /// Answers in a row that later reports show to have changed nothing, and since when it counts
-    /// as out of reach by that.
-    pub unacknowledged: u32,
-    pub unresponsive_since: Option<Time>,
-    pub order_in_flight: bool,
-    /// When it last gave no answer to a command, since it was last heard.
-    pub unanswered: Option<Time>,
-    pub no_orders_until: Time,
+    /// Since when no task has been on it.
     pub idle_since: Time,
-    /// Tasks of these jobs failed on it since one last completed there; and those of these jobs did
-    /// that have completed tasks elsewhere since.
-    pub failures: BTreeSet<Name>,
-    pub faults: BTreeSet<Name>,
-    pub quarantined: bool,
-    /// Its replicas are being moved elsewhere, so that it can be returned.
+    /// Which jobs have failed on it.
+    pub failures: FailureHistory,
+    /// Whether its replicas are being moved elsewhere, so that it can be returned.
     pub draining: bool,
+    /// Whether a request to return it is in flight.
     pub return_in_flight: bool,
+    /// Whether the cloud lists it as failed.
     pub listed_failed: bool,
+    allocations: BTreeMap<AllocationId, Allocation>,
+    /// What its allocations take, until one changes.
+    used: Cell<Option<Resources>>,
+    services: Cell<usize>,
 }
 
 impl Machine {
-    pub fn new(name: Name, kind: Name, zone: Name, spot: bool, now: Time) -> Machine {
+    /// A machine that boots.
+    pub fn new(name: Name, machine_type: Name, zone: Name, spot: bool, now: Time) -> Machine {
         Machine {
             name,
             endpoint: None,
-            kind,
+            machine_type,
             zone,
             spot,
             phase: MachinePhase::Booting,
-            rented: now,
-            ours: false,
-            incarnation: 0,
-            sequence: 0,
-            reported: 0,
-            token: 0,
-            heard: None,
-            answered: now,
-            taken_at: None,
-            places: BTreeMap::new(),
-            used: Cell::new(None),
-            services: Cell::new(0),
+            rented_at: now,
+            rented_by_this_leader: false,
+            reclaim_at: None,
+            worker: WorkerSession::new(now),
             images: BTreeSet::new(),
-            told: 0,
-            unacknowledged: 0,
-            unresponsive_since: None,
-            order_in_flight: false,
-            unanswered: None,
-            no_orders_until: 0.0,
             idle_since: now,
-            failures: BTreeSet::new(),
-            faults: BTreeSet::new(),
-            quarantined: false,
+            failures: FailureHistory::default(),
             draining: false,
             return_in_flight: false,
             listed_failed: false,
+            allocations: BTreeMap::new(),
+            used: Cell::new(None),
+            services: Cell::new(0),
         }
     }
 
-    /// Takes in what it is, where a record has told no more than its name.
-    pub fn describe(&mut self, kind: &str, zone: &str, spot: bool) {
-        if self.kind.is_empty() {
-            (self.kind, self.zone, self.spot) = (kind.into(), zone.into(), spot);
+    /// Sets its type and zone where a record has told no more than its name.
+    pub fn describe(&mut self, machine_type: &str, zone: &str, spot: bool) {
+        if self.machine_type.is_empty() {
+            self.machine_type = machine_type.into();
+            self.zone = zone.into();
+            self.spot = spot;
         }
     }
 
-    /// Takes in whether the worker has done what it was told last.
-    pub fn acknowledges(&mut self, acknowledged: bool, now: Time) {
-        if acknowledged {
-            self.unacknowledged = 0;
-            self.unresponsive_since = None;
-            return;
-        }
-        self.unacknowledged += 1;
-        if self.unacknowledged >= MAX_UNACKNOWLEDGED {
-            self.unresponsive_since.get_or_insert(now);
-        }
+    /// Its allocations, those included whose task has exited.
+    pub fn allocations(&self) -> &BTreeMap<AllocationId, Allocation> {
+        &self.allocations
+    }
+
+    /// Its allocations whose tasks may be on it.
+    pub fn live_allocations(&self) -> impl Iterator<Item = (&AllocationId, &Allocation)> {
+        self.allocations.iter().filter(|(_, a)| a.is_live())
+    }
+
+    /// An allocation, to be changed.
+    pub fn allocation_mut(&mut self, id: &AllocationId) -> Option<&mut Allocation> {
+        self.used.set(None);
+        self.allocations.get_mut(id)
+    }
+
+    /// All allocations, to be changed.
+    pub fn allocations_mut(
+        &mut self,
+    ) -> impl Iterator<Item = (&AllocationId, &mut Allocation)> + '_ {
+        self.used.set(None);
+        self.allocations.iter_mut()
+    }
+
+    /// Adds an allocation.
+    pub fn insert_allocation(&mut self, id: AllocationId, allocation: Allocation) {
+        self.used.set(None);
+        self.allocations.insert(id, allocation);
+    }
+
+    /// Removes an allocation.
+    pub fn remove_allocation(&mut self, id: &AllocationId) -> Option<Allocation> {
+        self.used.set(None);
+        self.allocations.remove(id)
+    }
+
+    /// Keeps those allocations for which `keep` says so.
+    pub fn retain_allocations(&mut self, keep: impl FnMut(&AllocationId, &mut Allocation) -> bool) {
+        self.used.set(None);
+        self.allocations.retain(keep);
     }
 
     /// What is or may be on it takes, but for what a stop in the same message ends at once.
@@ -131,58 +151,58 @@
         if let Some(used) = self.used.get() {
             return used;
         }
-        let services = self.live().filter(|(_, p)| p.load.run_s.is_none());
+        let services = self
+            .live_allocations()
+            .filter(|(_, a)| a.profile.is_service());
         self.services.set(services.count());
         let mut used = Resources::default();
-        for (_, place) in self.live().filter(|(_, p)| !p.leaves_at_once()) {
-            used.add(&place.load.need);
+        for (_, allocation) in self.live_allocations() {
+            if !allocation.frees_at_once() {
+                used.add(&allocation.profile.request);
+            }
         }
         self.used.set(Some(used));
         used
     }
 
+    /// Whether a replica of a service is or may be on it.
     pub fn holds_services(&self) -> bool {
         self.used();
         self.services.get() > 0
     }
 
-    /// To be called whenever a place has changed.
-    pub fn places_changed(&self) {
-        self.used.set(None);
-    }
-
-    pub fn live(&self) -> impl Iterator<Item = (&AllocationId, &Allocation)> {
-        self.places.iter().filter(|(_, p)| p.is_live())
-    }
-
-    /// Whether a report that shows a task so tells nothing new of its place.
-    pub fn is_known_so(&self, key: &AllocationId, state: TaskState) -> bool {
-        self.places.get(key).is_some_and(|place| {
-            let runs = state != TaskState::Running || place.running_since.is_some();
-            let seen =
-                place.stage == AllocationState::Observed(state) && state != TaskState::Exited;
-            seen && runs && !place.missing && !place.recovered
+    /// Whether a heartbeat that shows a task in this state tells nothing new of its allocation.
+    pub fn is_unchanged(&self, id: &AllocationId, state: TaskState) -> bool {
+        self.allocations.get(id).is_some_and(|allocation| {
+            let runs = state != TaskState::Running || allocation.has_run();
+            let observed = allocation.state == AllocationState::Observed(state);
+            let live = state != TaskState::Exited;
+            observed && live && runs && !allocation.is_missing && !allocation.is_recovered
         })
     }
 
+    /// Whether no task is or may be on it.
     pub fn is_empty(&self) -> bool {
-        self.live().next().is_none()
+        self.live_allocations().next().is_none()
     }
 
-    /// Whether new tasks may be placed on it. A report alone is no sign that the worker hears us:
-    /// it may be a late copy, or the way to the worker may be cut. So it must have shown a token
-    /// of this leadership, unless nobody else can have spoken to it. Answers to direct commands do
-    /// not renew its lease, so it must have sent reports of its own of late.
-    pub fn takes_tasks(&self, now: Time, silence_s: f64, first_token: u64) -> bool {
+    /// Whether new tasks may be placed on it. A heartbeat alone is no sign that responses reach the
+    /// worker: it may be a late copy, or the way to the worker may be cut. So the worker must have
+    /// shown a token of this leadership, unless nobody else can have sent anything to it. Responses to
+    /// direct commands do not renew its lease, so it must have sent heartbeats by itself of late.
+    pub fn accepts_tasks(&self, now: Time, heartbeat_timeout_s: f64, first_token: u64) -> bool {
+        let worker = &self.worker;
+        let is_fenced = worker.acknowledged_token() >= first_token
+            || self.rented_by_this_leader && worker.incarnation() == 1;
+        let last_heartbeat_at = worker.last_heartbeat_at();
         self.phase == MachinePhase::Up
-            && !self.quarantined
+            && !self.failures.quarantined
             && !self.draining
-            && self.unacknowledged < MAX_UNACKNOWLEDGED
-            && self.unanswered.is_none()
-            && (self.token >= first_token || self.ours && self.incarnation == 1)
-            && self.taken_at.is_none()
+            && worker.is_responsive()
+            && is_fenced
+            && self.reclaim_at.is_none()
             && self.endpoint.is_some()
-            && self.heard.is_some_and(|t| now - t < silence_s)
-            && now - self.answered < silence_s
+            && last_heartbeat_at.is_some_and(|at| now - at < heartbeat_timeout_s)
+            && now - worker.last_response_at() < heartbeat_timeout_s
     }
 }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -2,21 +2,31 @@
 
 mod allocation;
 mod deadline;
+mod eligibility;
 mod job;
 mod machine;
+mod machine_types;
 mod placement_record;
+mod quota;
 mod resources;
 mod task;
+mod worker_session;
 
-pub use allocation::{Allocation, AllocationId, AllocationState, Stop, TaskProfile};
+pub use allocation::{
+    Allocation, AllocationId, AllocationState, PendingStop, RunTime, TaskProfile,
+};
 pub use deadline::Deadline;
+pub(crate) use eligibility::{may_use, may_use_type};
 pub use job::Job;
-pub(crate) use job::WAITS_WITH_ROOM_S;
-pub use machine::{Machine, MachinePhase, MAX_UNACKNOWLEDGED};
-pub use placement_record::PlacementRecord;
+pub(crate) use job::MAX_WAIT_WITH_ROOM_S;
+pub use machine::{FailureHistory, Machine, MachinePhase};
+pub use machine_types::MachineTypes;
+pub use placement_record::{Placement, PlacementRecord, WriteUrgency};
+pub use quota::{QuotaUsage, QuotaUsageByTeam};
 pub use resources::Resources;
 use std::sync::Arc;
 pub use task::{AllocationRef, CompletionRecord, Task};
+pub use worker_session::{WorkerSession, MAX_UNACKNOWLEDGED};
 
 /// The name of a job, a machine, a zone or a type of machine.
 pub type Name = Arc<str>;
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -1,4 +1,4 @@
-//! Records of places at the state service.
+//! Placement records: which tasks are on which machines, as the store tells it.
 
 use super::{AllocationId, Name};
 use crate::coordination::Time;
@@ -6,88 +6,119 @@
 use crate::storage::records::{job_bytes, place_bytes, EMPTY_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A record of places. Those of many jobs share one, as a launch costs a change of its record.
+/// An allocation with its machine, as a placement record holds it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Placement {
+    /// The allocation.
+    pub allocation: AllocationId,
+    /// The machine that it is on.
+    pub machine: Name,
+}
+
+/// What waits for a placement record to be written: the higher is written first.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub struct WriteUrgency {
+    /// The highest priority of the launches that wait for it.
+    pub priority: Option<Priority>,
+    /// For how long all of them have waited together, in seconds.
+    pub waited_s: f64,
+}
+
+/// A placement record. Placements of many jobs share one, as each launch costs a change of its record.
 #[derive(Debug, Default)]
 pub struct PlacementRecord {
+    /// The version that the store last told; 0 where nothing is stored.
     pub version: u64,
-    entries: BTreeSet<(AllocationId, Name)>,
-    /// What its record takes, beyond that of an empty one.
-    bytes: usize,
-    /// Those that no record tells of yet, whose launches wait for it, and since when there are any.
-    planned: BTreeMap<(AllocationId, Name), Priority>,
-    planned_since: Time,
-    /// Since when it holds what is gone, or lacks what no launch waits for.
-    pub dirty: Option<Time>,
+    /// Since when the stored record holds what is gone, or lacks what no launch waits for.
+    pub dirty_since: Option<Time>,
+    /// Whether a write of it is in flight.
     pub in_flight: bool,
-    /// Other records that take over some of what this one told of. Until they are written, its old
-    /// record must stay as it is.
+    /// Other records that take over placements of this one. Until those are written, the stored record
+    /// must stay as it is.
     pub shrinks_after: BTreeSet<usize>,
+    placements: BTreeSet<Placement>,
+    /// The size of the stored record, beyond that of an empty one.
+    bytes: usize,
+    /// Placements that are not stored yet, whose launches wait for that.
+    pending: BTreeMap<Placement, Priority>,
+    /// Since when there are any.
+    pending_since: Time,
 }
 
 impl PlacementRecord {
-    pub fn entries(&self) -> &BTreeSet<(AllocationId, Name)> {
-        &self.entries
+    /// What it holds, in order.
+    pub fn placements(&self) -> &BTreeSet<Placement> {
+        &self.placements
     }
 
-    fn holds_job(&self, id: &Name) -> bool {
-        let first: (AllocationId, Name) = ((id.clone(), 0, 0), "".into());
-        let next = self.entries.range(first..).next();
-        next.is_some_and(|((other, ..), _)| other == id)
+    fn holds_job(&self, job: &Name) -> bool {
+        let first = Placement {
+            allocation: AllocationId::new(job.clone(), 0, 0),
+            machine: "".into(),
+        };
+        let next = self.placements.range(first..).next();
+        next.is_some_and(|placement| placement.allocation.job == *job)
     }
 
-    pub fn insert(&mut self, key: AllocationId, machine: Name) {
-        self.bytes += self.bytes_for(&key, &machine);
-        self.entries.insert((key, machine));
+    /// Adds a placement.
+    pub fn insert(&mut self, placement: Placement) {
+        self.bytes += self.bytes_for(&placement);
+        self.placements.insert(placement);
     }
 
-    pub fn remove(&mut self, entry: &(AllocationId, Name)) -> bool {
-        let held = self.entries.remove(entry);
-        self.planned.remove(entry);
+    /// Removes a placement; returns whether it was held.
+    pub fn remove(&mut self, placement: &Placement) -> bool {
+        let held = self.placements.remove(placement);
+        self.pending.remove(placement);
         if held {
-            self.bytes -= self.bytes_for(&entry.0, &entry.1);
+            self.bytes -= self.bytes_for(placement);
         }
         held
     }
 
-    /// A place that is in it waits for its record.
-    pub fn plan(&mut self, entry: (AllocationId, Name), priority: Priority, now: Time) {
-        if self.planned.is_empty() {
-            self.planned_since = now;
+    /// Notes that the launch of a placement waits for this record.
+    pub fn add_pending(&mut self, placement: Placement, priority: Priority, now: Time) {
+        if self.pending.is_empty() {
+            self.pending_since = now;
         }
-        self.planned.insert(entry, priority);
+        self.pending.insert(placement, priority);
     }
 
-    /// The record tells of a place now.
-    pub fn recorded(&mut self, entry: &(AllocationId, Name)) {
-        self.planned.remove(entry);
+    /// Notes that a placement is stored now.
+    pub fn mark_stored(&mut self, placement: &Placement) {
+        self.pending.remove(placement);
     }
 
-    pub fn is_planned(&self, entry: &(AllocationId, Name)) -> bool {
-        self.planned.contains_key(entry)
+    /// Whether the launch of a placement waits for this record.
+    pub fn is_pending(&self, placement: &Placement) -> bool {
+        self.pending.contains_key(placement)
     }
 
-    pub fn has_planned(&self) -> bool {
-        !self.planned.is_empty()
+    /// Whether any launch waits for this record.
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    /// How much its writing is worth: the highest priority that waits for it, then how long all that
-    /// does so has waited.
-    pub fn urgency(&self, now: Time) -> (Option<Priority>, f64) {
-        let waits = self.planned.len() as f64 * (now - self.planned_since);
-        (self.planned.values().max().copied(), waits)
+    /// How urgent its write is.
+    pub fn urgency(&self, now: Time) -> WriteUrgency {
+        WriteUrgency {
+            priority: self.pending.values().max().copied(),
+            waited_s: self.pending.len() as f64 * (now - self.pending_since),
+        }
     }
 
-    /// What a new place adds to the record.
-    pub fn bytes_for(&self, key: &AllocationId, machine: &Name) -> usize {
-        let job = if self.holds_job(&key.0) {
+    /// How much a new placement adds to the stored record, in bytes.
+    pub fn bytes_for(&self, placement: &Placement) -> usize {
+        let allocation = &placement.allocation;
+        let job = if self.holds_job(&allocation.job) {
             0
         } else {
-            job_bytes(&key.0)
+            job_bytes(&allocation.job)
         };
-        job + place_bytes(machine, key.1, key.2)
+        job + place_bytes(&placement.machine, allocation.task, allocation.attempt)
     }
 
-    /// The size of its record at the most.
+    /// The size of the stored record at the most, in bytes.
     pub fn bytes(&self) -> usize {
         EMPTY_BYTES + self.bytes
     }
--- a/src/coordination/state/resources.rs
+++ b/src/coordination/state/resources.rs
@@ -1,20 +1,24 @@
-//! Resources: processors, accelerators and memory.
+//! Resource vectors: processors, accelerators and memory.
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
 
-/// What a task takes of a machine, or a machine has.
+/// What a task requests of a machine, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
+    /// Processors.
     pub cpus: f64,
+    /// Accelerators.
     pub gpus: f64,
+    /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
-/// Amounts are decimal fractions: sums may miss by a little.
-const SLACK: f64 = 1e-6;
+/// Amounts are decimal fractions: sums may be off by a little.
+pub(crate) const ROUNDING_SLACK: f64 = 1e-6;
 
 impl Resources {
+    /// What one task of a job requests.
     pub fn of(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -23,43 +27,47 @@
         }
     }
 
-    pub fn of_type(kind: &MachineType) -> Resources {
+    /// What a machine of a type has.
+    pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
-            cpus: kind.cpus,
-            gpus: kind.gpus,
-            memory_gb: kind.memory_gb,
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
         }
     }
 
-    pub fn fits(&self, need: &Resources) -> bool {
-        self.cpus + SLACK >= need.cpus
-            && self.gpus + SLACK >= need.gpus
-            && self.memory_gb + SLACK >= need.memory_gb
+    /// Whether a request fits into these resources.
+    pub fn fits(&self, request: &Resources) -> bool {
+        self.cpus + ROUNDING_SLACK >= request.cpus
+            && self.gpus + ROUNDING_SLACK >= request.gpus
+            && self.memory_gb + ROUNDING_SLACK >= request.memory_gb
     }
 
+    /// Adds resources to these.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
+    /// Takes resources from these.
     pub fn take(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// How many tasks of a shape fit.
-    pub fn slots(&self, need: &Resources) -> u32 {
+    /// How many tasks with a request fit.
+    pub fn slots(&self, request: &Resources) -> u32 {
         let ratio = |have: f64, want: f64| {
             if want > 0.0 {
-                ((have + SLACK) / want).floor().max(0.0)
+                ((have + ROUNDING_SLACK) / want).floor().max(0.0)
             } else {
                 f64::from(u16::MAX)
             }
         };
-        ratio(self.cpus, need.cpus)
-            .min(ratio(self.gpus, need.gpus))
-            .min(ratio(self.memory_gb, need.memory_gb)) as u32
+        ratio(self.cpus, request.cpus)
+            .min(ratio(self.gpus, request.gpus))
+            .min(ratio(self.memory_gb, request.memory_gb)) as u32
     }
 }
--- a/src/coordination/state/task.rs
+++ b/src/coordination/state/task.rs
@@ -1,29 +1,42 @@
-//! Tasks, the machines that they may be on, and the records of which have completed.
+//! Tasks, their allocations, and the records of which have completed.
 
 use super::Name;
 use crate::coordination::Time;
 
-/// A task, and the machines that it is or may be on. It may only be placed while there are none.
+/// A task with its allocations. It may be placed only while it has none.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
+    /// Whether it has completed.
     pub done: bool,
-    pub at: Vec<AllocationRef>,
+    /// Where it is or may be.
+    pub allocations: Vec<AllocationRef>,
 }
 
-/// A machine that a task is or may be on.
+impl Task {
+    /// Whether it may be placed: it has neither completed nor any allocation.
+    pub fn is_unplaced(&self) -> bool {
+        !self.done && self.allocations.is_empty()
+    }
+}
+
+/// A reference from a task to its allocation.
 #[derive(Clone, Debug)]
 pub struct AllocationRef {
+    /// The machine.
     pub machine: Name,
+    /// The attempt.
     pub attempt: u64,
-    /// The record that tells of it.
+    /// The number of the placement record that holds it.
     pub placement_record: usize,
 }
 
-/// The record of which of a range of tasks have completed.
+/// The record of which tasks of one shard have completed.
 #[derive(Clone, Debug, Default)]
 pub struct CompletionRecord {
+    /// The version that the store last told; 0 where nothing is stored.
     pub version: u64,
-    /// Since when the record is out of date.
-    pub dirty: Option<Time>,
+    /// Since when the stored record is out of date.
+    pub dirty_since: Option<Time>,
+    /// Whether a write of it is in flight.
     pub in_flight: bool,
 }
--- a/src/service/controller/leadership.rs
+++ b/src/service/controller/leadership.rs
@@ -50,7 +50,7 @@
             }
             ElectionEvent::Lease { valid_until: until } => match &mut self.role {
                 Role::Recovering { valid_until, .. } => *valid_until = until,
-                Role::Leading(manager) => manager.lease_valid_until = until,
+                Role::Leading(manager) => manager.set_lease_valid_until(until),
                 Role::Follower => {}
             },
             ElectionEvent::TokenRaised(token) => {
@@ -91,8 +91,8 @@
                 valid_until,
             } if t == token => {
                 let mut manager = ClusterManager::new(self.settings.clone(), token, now);
-                manager.lease_valid_until = valid_until;
-                manager.write_fence = self.links.clearance.get();
+                manager.set_lease_valid_until(valid_until);
+                manager.set_write_fence(self.links.clearance.get());
                 manager.set_machine_types(self.types.clone());
                 manager.recover(records, wall_ms(), now);
                 self.role = Role::Leading(Box::new(manager));
@@ -108,7 +108,7 @@
     /// The active version was read anew.
     pub(super) fn cleared(&mut self, clearance: WriteFence) {
         if let Some(manager) = self.manager() {
-            manager.write_fence = clearance;
+            manager.set_write_fence(clearance);
         }
         if clearance.must_withdraw() && !matches!(self.role, Role::Follower) {
             self.resign();
@@ -138,7 +138,7 @@
         let ours = match &self.role {
             Role::Follower => 0,
             Role::Recovering { token, .. } => *token,
-            Role::Leading(manager) => manager.token,
+            Role::Leading(manager) => manager.token(),
         };
         let promised = token >= ours;
         self.promised = self.promised.max(token);
@@ -183,7 +183,7 @@
             return;
         };
         let silent_s = SILENT_REPORTS * self.settings.cluster.workers.report_s;
-        let silent = now - self.heard.max(manager.elected_at) > silent_s;
+        let silent = now - self.heard.max(manager.elected_at()) > silent_s;
         let hands_over = match reachability {
             // Reports may have come since the peers were asked.
             PeerReachability::ReachableWithWorkers => manager.receives_no_heartbeats(now),
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -206,7 +206,7 @@
             );
         }
         let effects = manager.take_effects();
-        let deposed = manager.deposed;
+        let deposed = manager.is_deposed();
         if tick && !self.probing && manager.receives_no_heartbeats(now) {
             self.probing = true;
             self.probe_peers();
@@ -232,8 +232,8 @@
             Effect::SendCommands {
                 machine,
                 endpoint,
-                orders,
-            } => self.links.pool.order(machine, &endpoint, &orders),
+                commands,
+            } => self.links.pool.order(machine, &endpoint, &commands),
             Effect::RentMachines(rent) => self.links.pool.cloud(CloudCall::Rent(rent)),
             Effect::ReturnMachines(names) => self.links.pool.cloud(CloudCall::Return(names)),
             Effect::RaiseToken => {
--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -70,7 +70,9 @@
                 }
             }
             Effect::SendCommands {
-                machine, orders, ..
+                machine,
+                commands: orders,
+                ..
             } => {
                 let started = starts(&orders.commands);
                 tasks[machine_number(machine)].extend(shown(&started, TaskState::Running, None));
@@ -101,7 +103,9 @@
 pub(crate) fn effect_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Write { transaction, .. } => serde_json::to_vec(transaction).unwrap().len(),
-        Effect::SendCommands { orders, .. } => serde_json::to_vec(orders).unwrap().len(),
+        Effect::SendCommands {
+            commands: orders, ..
+        } => serde_json::to_vec(orders).unwrap().len(),
         _ => 0,
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -85,7 +85,7 @@
 pub(crate) fn core_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
     let mut manager = ClusterManager::new(settings, token, 0.0);
-    manager.lease_valid_until = f64::INFINITY;
+    manager.set_lease_valid_until(f64::INFINITY);
     manager.set_machine_types(vec![machine_type()]);
     manager
 }
@@ -193,7 +193,10 @@
 pub(crate) fn launched(manager: &mut ClusterManager, now: f64) -> Vec<(String, u64)> {
     let mut launched = Vec::new();
     carry_out(manager, now, |_, effect| {
-        if let Effect::SendCommands { orders, .. } = effect {
+        if let Effect::SendCommands {
+            commands: orders, ..
+        } = effect
+        {
             launched.extend(starts(&orders.commands));
         }
     });
@@ -403,7 +406,9 @@
     manager.tick(now);
     carry_out(manager, now, |manager, effect| match effect {
         Effect::SendCommands {
-            machine, orders, ..
+            machine,
+            commands: orders,
+            ..
         } => {
             launches.extend(starts(&orders.commands).into_iter().map(|s| s.0));
             manager.commands_answered(&machine, CommandOutcome::Unknown, now);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stairstage::coordination::prediction::{corrected, Predictor};
-use stairstage::coordination::scheduling::backfill::{reserve, Frees};
+use stairstage::coordination::scheduling::backfill::{reserve, FutureRelease, FutureResources};
 use stairstage::coordination::state::Resources;
 
 fn cpus(n: u32) -> Resources {
@@ -24,11 +24,15 @@
 
 type Machine = (u32, Vec<(u32, u32)>);
 
-fn frees(machines: &[Machine]) -> Vec<Frees> {
-    let machine = |(i, m): (usize, &Machine)| Frees {
+fn future_resources(machines: &[Machine]) -> Vec<FutureResources> {
+    let release = |e: &(u32, u32)| FutureRelease {
+        at: f64::from(e.0),
+        freed: cpus(e.1),
+    };
+    let machine = |(i, m): (usize, &Machine)| FutureResources {
         machine: i,
-        room: cpus(m.0),
-        ends: m.1.iter().map(|e| (f64::from(e.0), cpus(e.1))).collect(),
+        free: cpus(m.0),
+        releases: m.1.iter().map(release).collect(),
     };
     machines.iter().enumerate().map(machine).collect()
 }
@@ -46,7 +50,7 @@
     #[test]
     fn the_head_reserves_at_the_earliest_time(fleet in machines(), need in 1u32..10) {
         let best = fleet.iter().filter_map(|m| earliest(m.0, &m.1, need)).min();
-        let found = reserve(0.0, &cpus(need), 1, frees(&fleet));
+        let found = reserve(0.0, &cpus(need), 1, future_resources(&fleet));
         prop_assert_eq!(found.map(|r| r.at), best.map(f64::from));
     }
 
@@ -56,7 +60,7 @@
         need in 1u32..10,
         others in proptest::collection::vec((0usize..5, 1u32..4, 1u32..60), 0..8),
     ) {
-        let Some(mut held) = reserve(0.0, &cpus(need), 1, frees(&fleet)) else { return Ok(()); };
+        let Some(mut held) = reserve(0.0, &cpus(need), 1, future_resources(&fleet)) else { return Ok(()); };
         let promised = held.at;
         let mut fleet = fleet;
         for (machine, size, run) in others {
@@ -69,7 +73,7 @@
             fleet[machine].0 -= size;
             fleet[machine].1.push((run, size));
         }
-        let now = reserve(0.0, &cpus(need), 1, frees(&fleet)).map(|r| r.at);
+        let now = reserve(0.0, &cpus(need), 1, future_resources(&fleet)).map(|r| r.at);
         prop_assert!(now.is_some_and(|at| at <= promised), "{now:?} after {promised}");
     }
 
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -47,7 +47,7 @@
 /// A leader with a job that waits to be launched, and the first write for it.
 fn leader_with_a_write() -> (ClusterManager, u64, Transaction) {
     let mut manager = manager();
-    manager.write_fence = clearance(1);
+    manager.set_write_fence(clearance(1));
     report(&mut manager, 1, Vec::new(), 1.0);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     let (id, transaction) = next_write(&mut manager, 1.0).expect("places are recorded");
@@ -83,7 +83,7 @@
     let (mut manager, id, _) = leader_with_a_write();
     let reread = vec![(VERSION.to_string(), Some(item(2)))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
-    assert!(!manager.deposed);
+    assert!(!manager.is_deposed());
     let (_, again) = next_write(&mut manager, 3.0).expect("it is written again");
     assert_eq!(stamp_in(&again), Some(LATER_STAMP));
 }
@@ -93,7 +93,7 @@
     let (mut manager, id, _) = leader_with_a_write();
     let reread = vec![(VERSION.to_string(), Some(item(3)))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
-    assert!(manager.deposed);
+    assert!(manager.is_deposed());
 }
 
 #[test]
@@ -103,7 +103,7 @@
     unreadable.value = json!({"active": {"of": "another kind"}});
     let reread = vec![(VERSION.to_string(), Some(unreadable))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
-    assert!(manager.deposed);
+    assert!(manager.is_deposed());
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let settings = Settings::parse("test", SETTINGS).unwrap();
     let most = CONDITIONS_A_CHANGE * settings.cluster.state.changes();
     let mut manager = manager();
-    manager.write_fence = clearance(1);
+    manager.set_write_fence(clearance(1));
     for machine in 0..most {
         let name = format!("m-{machine}");
         report_of(&mut manager, &name, 1, None, Vec::new(), 1.0);
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -59,7 +59,9 @@
         match effect {
             Effect::Write { id, transaction } => self.write(from, id, transaction),
             Effect::SendCommands {
-                machine, orders, ..
+                machine,
+                commands: orders,
+                ..
             } => match self.network {
                 Some(_) => self.send_orders(from, &machine, orders),
                 None => self.order_at_once(from, &machine, &orders),
@@ -105,7 +107,7 @@
     fn raise_token(&mut self, from: u64) -> Option<u64> {
         let leader = self.controller(from).filter(|l| l.reaches_store)?;
         let txn = Transaction::default()
-            .version(LEADER_KEY, leader.manager.token)
+            .version(LEADER_KEY, leader.manager.token())
             .put(LEADER_KEY, json!({"node": "a"}));
         self.store.commit(&txn).ok()
     }
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -223,7 +223,9 @@
                     assert!(late.is_err(), "a former leader's write is applied");
                 }
                 Effect::SendCommands {
-                    machine, orders, ..
+                    machine,
+                    commands: orders,
+                    ..
                 } => {
                     let worker = self.worker_named(&machine).expect("a machine");
                     let w = &self.workers[worker];
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -183,7 +183,7 @@
             leader.records_read(known_until);
         }
         leader.manager.step(now);
-        let deposed = leader.manager.deposed;
+        let deposed = leader.manager.is_deposed();
         self.let_formers_decide();
         let workers = &self.settings.cluster.workers;
         self.formers.retain(|l| l.may_renew(now, workers));
@@ -204,7 +204,9 @@
             for effect in former.manager.take_effects() {
                 match &effect {
                     Effect::Write { .. } => panic!("a former leader writes: {effect:?}"),
-                    Effect::SendCommands { orders, .. } => {
+                    Effect::SendCommands {
+                        commands: orders, ..
+                    } => {
                         let stops = |c: &Command| matches!(c, Command::Stop { .. });
                         let only_stops = orders.commands.iter().all(stops);
                         assert!(only_stops, "a former leader acts: {orders:?}");
@@ -272,7 +274,7 @@
             return;
         }
         let leader = self.controller(hears).expect("it hears");
-        let in_doubt = now >= leader.manager.lease_valid_until;
+        let in_doubt = now >= leader.manager.lease_valid_until();
         let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&report, now) else {
             self.workers[i].next_report = now + RETRY_S;
             return;
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -97,11 +97,13 @@
         let token = self.store.commit(&txn).unwrap();
         let mut manager = ClusterManager::new(self.settings.clone(), token, self.now);
         manager.set_machine_types(self.types.clone());
-        manager.lease_valid_until = f64::INFINITY;
+        manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), 0, self.now);
         let leader = Leader::new(manager, &self.peers, self.now);
         if let Some(mut former) = self.leader.replace(leader) {
-            former.manager.lease_valid_until = former.manager.lease_valid_until.min(self.now);
+            former
+                .manager
+                .set_lease_valid_until(former.manager.lease_valid_until().min(self.now));
             former.cut_off(self.known_until());
             self.formers.push(former);
         }
@@ -113,7 +115,7 @@
     /// When the lease of a leader is over that has lost the state service.
     fn isolated_until(&self) -> Option<f64> {
         let isolated = self.leader.as_ref().filter(|l| !l.reaches_store);
-        isolated.map(|l| l.manager.lease_valid_until)
+        isolated.map(|l| l.manager.lease_valid_until())
     }
 
     /// The leader loses the state service and the other controllers; its lease goes on for a while.
@@ -129,7 +131,7 @@
         let (known_until, now) = (self.known_until(), self.now);
         if let Some(leader) = self.leader.as_mut().filter(|l| l.reaches_store) {
             leader.lose_store(known_until);
-            leader.manager.lease_valid_until = now + lease_s;
+            leader.manager.set_lease_valid_until(now + lease_s);
         }
     }
 
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -210,7 +210,9 @@
         if i % 500 == 0 {
             carry_out(&mut next, now, |manager, effect| {
                 if let Effect::SendCommands {
-                    machine, orders, ..
+                    machine,
+                    commands: orders,
+                    ..
                 } = effect
                 {
                     launched += starts(&orders.commands).len();
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -84,7 +84,9 @@
                     manager.write_finished(id, WriteOutcome::Applied(100 + id), at);
                 }
                 Effect::SendCommands {
-                    machine, orders, ..
+                    machine,
+                    commands: orders,
+                    ..
                 } => {
                     let started = starts(&orders.commands);
                     *launches += started.len();
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -98,7 +98,9 @@
                 let ends = if *reads { store.ends(&ids) } else { unread() };
                 manager.ends_found(ends, now);
             }
-            Effect::SendCommands { orders, .. } => launched.extend(starts(&orders.commands)),
+            Effect::SendCommands {
+                commands: orders, ..
+            } => launched.extend(starts(&orders.commands)),
             Effect::JobEnded { id, state } => {
                 ended.insert(id.to_string(), state);
             }
@@ -118,7 +120,7 @@
             shown(&[(task.clone(), *attempt)], state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(show).collect();
-        let report = worker_report("m-1", sequence, self.manager.token, tasks);
+        let report = worker_report("m-1", sequence, self.manager.token(), tasks);
         let mut answer = self.manager.heartbeat(&report, now);
         if let stairstage::coordination::cluster::HeartbeatOutcome::Answer(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
@@ -293,7 +295,7 @@
     let settings = stairstage::settings::Settings::parse("test", &text).unwrap();
     let mut leader = Leader::new();
     leader.manager = ClusterManager::new(settings.into(), 1, 0.0);
-    leader.manager.lease_valid_until = f64::INFINITY;
+    leader.manager.set_lease_valid_until(f64::INFINITY);
     leader.manager.set_machine_types(vec![machine_type()]);
     leader.report(1, &[], 0.0);
     // The first waits for ever; the last fits the guarantee and the limit by itself, and so goes
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -70,8 +70,9 @@
         body["passage_s"] = json!(load.run_s * load.estimate);
         body["due_s"] = json!(load.due_s);
         let record = OpenRecord::accepted(parsed(&body), 0);
+        let accepted_ms = record.at_ms;
         self.manager
-            .job_open(record, number as u64 + 1, self.now, self.now);
+            .job_accepted(record, number as u64 + 1, accepted_ms, self.now);
         self.run_s.insert(id.clone(), load.run_s);
         let arrived = self.now;
         self.fates.insert(
@@ -132,7 +133,7 @@
             spot: false,
             incarnation: 1,
             sequence: self.seqs[machine],
-            token: self.manager.token,
+            token: self.manager.token(),
             notice_s: None,
             tasks,
         }
@@ -168,7 +169,9 @@
                     .write_finished(id, WriteOutcome::Applied(self.written), self.now);
             }
             Effect::SendCommands {
-                machine, orders, ..
+                machine,
+                commands: orders,
+                ..
             } => {
                 let i: usize = machine[2..].parse().unwrap();
                 self.run(i, &orders.commands);
@@ -189,7 +192,7 @@
                     .machines_rented(&rent.request, Some(Vec::new()), self.now)
             }
             Effect::RaiseToken => {
-                let token = self.manager.token + 1;
+                let token = self.manager.token() + 1;
                 self.manager.token_raised(Some(token), self.now);
             }
             Effect::JobEnded { id, .. } => {
