--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -32,7 +32,7 @@
         let token = self.store.commit(&txn).unwrap();
         let mut manager = ClusterManager::new(self.settings.clone(), token, self.now);
         manager.set_machine_types(self.types.clone());
-        manager.lease_valid_until = f64::INFINITY;
+        manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), self.wall_ms(), self.now);
         if self.peers_promise {
             manager.peers_promised(self.now);
@@ -103,7 +103,9 @@
         match effect {
             Effect::Write { id, transaction } => self.write(id, transaction),
             Effect::SendCommands {
-                machine, orders, ..
+                machine,
+                commands: orders,
+                ..
             } => {
                 let result = self.deliver(&machine, &orders);
                 self.manager().commands_answered(&machine, result, now);
@@ -202,7 +204,7 @@
             return None;
         }
         let txn = Transaction::default()
-            .version(LEADER_KEY, self.manager().token)
+            .version(LEADER_KEY, self.manager().token())
             .put(LEADER_KEY, json!({"node": "a"}));
         self.store.commit(&txn).ok()
     }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -59,7 +59,7 @@
         let transaction = Transaction::default().put(LEADER_KEY, record);
         let token = self.store.commit(&transaction).unwrap();
         let mut manager = ClusterManager::new(self.settings.clone(), token, 0.0);
-        manager.lease_valid_until = f64::INFINITY;
+        manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), 0, 0.0);
         self.leader = Some(Leader {
             node,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -30,7 +30,10 @@
         let at = now + f64::from(tenth) / 10.0;
         carry_out_all(&mut manager, at, |effect| {
             most = most.max(effect_bytes(effect));
-            if let Effect::SendCommands { orders, .. } = effect {
+            if let Effect::SendCommands {
+                commands: orders, ..
+            } = effect
+            {
                 launched += starts(&orders.commands).len();
             }
         });
@@ -109,7 +112,7 @@
     let text = text.replace("value_kb = 16.0", "value_kb = 1.0");
     let settings = Arc::new(Settings::parse("test", &text).unwrap());
     let mut manager = ClusterManager::new(settings, 1, 0.0);
-    manager.lease_valid_until = f64::INFINITY;
+    manager.set_lease_valid_until(f64::INFINITY);
     manager.set_machine_types(vec![machine_type()]);
     // Large enough that their ends cost next to nothing.
     for n in 1..=4 {
@@ -145,7 +148,9 @@
         }
         carry_out_all(&mut manager, now, |effect| {
             if let Effect::SendCommands {
-                machine, orders, ..
+                machine,
+                commands: orders,
+                ..
             } = effect
             {
                 let i: usize = machine[2..].parse().unwrap();
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -84,7 +84,9 @@
                 Effect::Write { id, .. } => {
                     manager.write_finished(id, WriteOutcome::Applied(200 + id), 1.0)
                 }
-                Effect::SendCommands { orders, .. } => commands.extend(orders.commands),
+                Effect::SendCommands {
+                    commands: orders, ..
+                } => commands.extend(orders.commands),
                 _ => {}
             }
         }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -28,7 +28,9 @@
     }
     carry_out(&mut manager, 0.0, |manager, effect| {
         if let Effect::SendCommands {
-            machine, orders, ..
+            machine,
+            commands: orders,
+            ..
         } = effect
         {
             let here = tasks.entry(machine.to_string()).or_default();
@@ -109,7 +111,9 @@
     let mut commanded = Vec::new();
     carry_out(manager, now, |manager, effect| {
         if let Effect::SendCommands {
-            machine, orders, ..
+            machine,
+            commands: orders,
+            ..
         } = effect
         {
             if !orders.commands.is_empty() {
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -120,10 +120,10 @@
     answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
     // The launches are recorded, but no direct command got through.
     assert_eq!(out_of_reach(&mut manager, 0.0).0.len(), 4);
-    manager.lease_valid_until = 1.0;
+    manager.set_lease_valid_until(1.0);
     let starts = answered(&mut manager, &worker_report("m-1", 2, 1, vec![]), 2.0);
     assert!(starts.is_empty(), "{starts:?}");
-    manager.lease_valid_until = 10.0;
+    manager.set_lease_valid_until(10.0);
     let starts = answered(&mut manager, &worker_report("m-1", 3, 1, vec![]), 3.0);
     assert_eq!(starts.len(), 4, "the lease held after all");
 }
@@ -132,12 +132,15 @@
 fn a_leader_in_doubt_stops_what_was_cancelled_without_waiting_for_a_report() {
     let (mut manager, attempts) = running_on_one();
     manager.commands_answered(&"m-1".into(), CommandOutcome::Unknown, 1.0);
-    manager.lease_valid_until = 1.0;
+    manager.set_lease_valid_until(1.0);
     manager.job_end_recorded("req-1", JobState::Cancelled, 8.0);
     manager.step(8.0);
     let mut stopped = Vec::new();
     for effect in manager.take_effects() {
-        if let Effect::SendCommands { orders, .. } = effect {
+        if let Effect::SendCommands {
+            commands: orders, ..
+        } = effect
+        {
             stopped.extend(orders.commands);
         }
     }
@@ -283,7 +286,9 @@
             }));
             manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
         }
-        Effect::SendCommands { orders, .. } => launches.extend(starts(&orders.commands)),
+        Effect::SendCommands {
+            commands: orders, ..
+        } => launches.extend(starts(&orders.commands)),
         _ => {}
     });
     (deleted, launches)
@@ -334,7 +339,9 @@
         manager.tick(now);
         carry_out(&mut manager, now, |manager, effect| match effect {
             Effect::SendCommands {
-                machine, orders, ..
+                machine,
+                commands: orders,
+                ..
             } => {
                 match machine.as_ref() {
                     "m-2" => on_second.extend(starts(&orders.commands)),
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -9,6 +9,7 @@
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
+use stairstage::coordination::state::{AllocationId, Placement, PlacementRecord};
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::*;
@@ -36,7 +37,7 @@
     let token = store.commit(&txn).unwrap();
     let mut manager = ClusterManager::new(settings, token, now);
     manager.set_machine_types(vec![machine_type()]);
-    manager.lease_valid_until = f64::INFINITY;
+    manager.set_lease_valid_until(f64::INFINITY);
     manager.recover(store.records(), 0, now);
     store.value_bytes = (value_kb * 1024.0) as usize;
     manager
@@ -65,7 +66,7 @@
 /// So many machines report for the first time, with nothing on them.
 fn hear(manager: &mut ClusterManager, machines: usize, now: f64) {
     for i in 0..machines {
-        let report = worker_report(&format!("m-{i}"), 1, manager.token, vec![]);
+        let report = worker_report(&format!("m-{i}"), 1, manager.token(), vec![]);
         manager.heartbeat(&report, now);
     }
 }
@@ -218,7 +219,9 @@
                 manager.write_finished(id, written, now);
             }
             Effect::SendCommands {
-                machine, orders, ..
+                machine,
+                commands: orders,
+                ..
             } => {
                 launched.extend(starts(&orders.commands).into_iter().map(|s| s.0));
                 let known = worker_report(&machine, 0, 1, vec![]);
@@ -326,18 +329,19 @@
         entries in prop::collection::vec(("[a-z\"\\\\\u{1}-]{1,30}", 0u32..100_000, any::<u64>(), "[a-z0-9\"-]{1,30}"), 1..40),
         done in prop::collection::btree_set(0u32..100_000, 0..200),
     ) {
-        let mut placement_record = stairstage::coordination::state::PlacementRecord::default();
+        let mut placement_record = PlacementRecord::default();
         let mut record = StoredPlacements::default();
         for (id, task, attempt, machine) in &entries {
-            placement_record.insert(((&**id).into(), *task, *attempt), (&**machine).into());
+            let allocation = AllocationId::new((&**id).into(), *task, *attempt);
+            placement_record.insert(Placement { allocation, machine: (&**machine).into() });
         }
-        for ((id, task, attempt), machine) in placement_record.entries() {
+        for Placement { allocation: AllocationId { job: id, task, attempt }, machine } in placement_record.placements() {
             let machines = record.places.entry(id.to_string()).or_default();
             machines.entry(machine.to_string()).or_default().push((*task, *attempt));
         }
         let bytes = serde_json::to_string(&record).unwrap().len();
         prop_assert!(bytes <= placement_record.bytes(), "{} of {}", bytes, placement_record.bytes());
-        let all: Vec<_> = placement_record.entries().iter().cloned().collect();
+        let all: Vec<_> = placement_record.placements().iter().cloned().collect();
         for entry in &all {
             prop_assert!(placement_record.remove(entry));
         }
