--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -6,7 +6,7 @@
 
 pub mod cloud_calls;
 pub mod controller;
-pub mod election;
+pub mod election_driver;
 pub mod end_notifier;
 pub mod end_watch;
 pub mod gateway;
@@ -30,7 +30,7 @@
 use anyhow::Context;
 use controller::{Controller, ControllerHandles};
 use crossbeam::channel::bounded;
-use election::ElectionDriver;
+use election_driver::ElectionDriver;
 use end_notifier::EndNotifier;
 use gateway::{Gateway, SharedTypes, Task};
 use messages::Message;
@@ -89,7 +89,7 @@
     let store = KeyValueStore::new(settings.endpoints.state, GATEWAYS);
     let clearance = SharedWriteFence::new(settings.upgrade.is_some());
     upgrade::start(&settings, &store, &clearance, &inbox)?;
-    let (election_requests, requests) = election::requests();
+    let (election_requests, requests) = election_driver::requests();
     let report_s = settings.cluster.workers.report_s;
     let lease_s = (settings.policy.leader_lease * report_s)
         .min(settings.cluster.workers.lease_s / 4.0)
