--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -176,7 +176,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let i = task as usize / self.cut.tasks;
+        let i = task as usize / self.cut.tasks_per_shard;
         let completion_record = &mut job.completion_records[i];
         if completion_record.dirty.is_none() {
             completion_record.dirty = Some(now);
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -19,7 +19,9 @@
     cut: CompletionShards,
 ) -> bool {
     jobs.get(id).is_some_and(|j| {
-        let completion_record = j.completion_records.get(task as usize / cut.tasks);
+        let completion_record = j
+            .completion_records
+            .get(task as usize / cut.tasks_per_shard);
         !j.ended && completion_record.is_some_and(|c| c.dirty.is_some() || c.in_flight)
     })
 }
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -24,7 +24,7 @@
             return;
         }
         let tasks = record.spec.tasks as usize;
-        let completion_records = tasks.div_ceil(self.cut.tasks);
+        let completion_records = tasks.div_ceil(self.cut.tasks_per_shard);
         let spec = Arc::new(record.spec);
         if !record.cancelled {
             self.fleet.arrived(&spec, arrived);
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -93,7 +93,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        match self.cut.position(number) {
+        match self.cut.shard_index(number) {
             Some(i) => {
                 if let Some(completion_record) = job.completion_records.get_mut(i) {
                     completion_record.version = version;
--- a/src/coordination/cluster/writes.rs
+++ b/src/coordination/cluster/writes.rs
@@ -199,8 +199,8 @@
 
     fn completion_value(&self, job: &Job, completion_record: usize) -> StoredCompletions {
         let mut record = StoredCompletions::default();
-        let first = completion_record * self.cut.tasks;
-        let last = (first + self.cut.tasks).min(job.tasks.len());
+        let first = completion_record * self.cut.tasks_per_shard;
+        let last = (first + self.cut.tasks_per_shard).min(job.tasks.len());
         for t in (first..last).filter(|t| job.tasks[*t].done) {
             record.push_done(t as u32);
             // What it does not tell is done again, at worst: a worker keeps the result.
@@ -248,7 +248,7 @@
             }
             let value = serde_json::to_value(self.completion_value(job, i)).expect("plain data");
             bytes += value.to_string().len();
-            let key = completion_key(&id, self.cut.number(i));
+            let key = completion_key(&id, self.cut.record_number(i));
             txn = txn
                 .version(&*key, job.completion_records[i].version)
                 .put(key, value);
@@ -327,7 +327,7 @@
             completion_record.in_flight = false;
             match applied {
                 Some(revision) => completion_record.version = revision,
-                None => self.touch(&id, (i * self.cut.tasks) as u32, now),
+                None => self.touch(&id, (i * self.cut.tasks_per_shard) as u32, now),
             }
         }
         if applied.is_none() {
@@ -449,7 +449,7 @@
             .filter(|(_, c)| c.version > 0);
         for (i, _) in stored {
             self.stale_keys
-                .insert(completion_key(id, self.cut.number(i)));
+                .insert(completion_key(id, self.cut.record_number(i)));
         }
         for number in &job.other_cuts {
             self.stale_keys.insert(completion_key(id, *number));
@@ -506,7 +506,7 @@
             {
                 placement_record.version = version;
             } else if let Some((id, number)) = parse_completion_key(&key) {
-                let position = self.cut.position(number);
+                let position = self.cut.shard_index(number);
                 let completion_record =
                     position.and_then(|i| self.jobs.get_mut(id)?.completion_records.get_mut(i));
                 if let Some(completion_record) = completion_record {
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -80,7 +80,7 @@
     }
 
     fn commit(&mut self, record: OpenRecord, version: u64) -> StoreCall {
-        let record = record.taken_back(self.record_bytes);
+        let record = record.into_cancelled(self.record_bytes);
         let (open, end) = (open_key(&self.job), end_key(&self.job));
         let value = serde_json::to_value(&record).expect("plain data");
         let transaction = Transaction::at_version(&self.clearance)
--- a/src/service/workers.rs
+++ b/src/service/workers.rs
@@ -6,7 +6,7 @@
 use super::spawn;
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::state::Name;
-use crate::protocol::store::{Change, Transaction, VersionedValue};
+use crate::protocol::store::{Transaction, VersionedValue, WriteOperation};
 use crate::protocol::worker::{CommandBatch, Heartbeat};
 use crate::settings::Settings;
 use crate::storage::key_value_store::{CommitOutcome, KeyValueStore};
@@ -149,11 +149,11 @@
 /// leader's record, on which it depends.
 fn written_keys(txn: &Transaction) -> Vec<String> {
     let changed = |key: &String| {
-        txn.changes.iter().any(|change| match change {
-            Change::Put { key: k, .. } | Change::Delete { key: k } => k == key,
+        txn.operations.iter().any(|change| match change {
+            WriteOperation::Put { key: k, .. } | WriteOperation::Delete { key: k } => k == key,
         })
     };
-    let keys = txn.conditions.iter().map(|c| &c.key);
+    let keys = txn.compares.iter().map(|c| &c.key);
     keys.filter(|k| *k == LEADER_KEY || changed(k))
         .cloned()
         .collect()
--- a/src/storage/cancellation_log.rs
+++ b/src/storage/cancellation_log.rs
@@ -1,10 +1,10 @@
-//! The cancellations that this process has confirmed to users.
+//! The log of the cancellations that this process has confirmed to users.
 //!
-//! A controller that cannot read the state service may still learn of every cancellation if all
-//! other controllers tell which ones they have confirmed. Each of them therefore enters a
-//! cancellation here before any answer with it leaves the process, and others read the log from a
-//! cursor on. The log lives as long as the process: a cursor of an earlier process is recognised by
-//! its incarnation and cannot be continued.
+//! A controller that cannot read the state service may still learn of every cancellation if all other
+//! controllers report which ones they have confirmed. Each of them therefore records a cancellation
+//! here before any response that confirms it leaves the process, and the others read the log page by
+//! page from a [`Cursor`] on. The log is not persistent: a cursor into the log of an earlier process is
+//! recognised by its incarnation and cannot be continued.
 
 use std::collections::hash_map::RandomState;
 use std::collections::{HashSet, VecDeque};
@@ -12,25 +12,26 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Entries in one page, so that a page stays far below the largest message between controllers.
-const PAGE: usize = 1000;
+/// The maximum number of entries in one page. It keeps a page far below the largest message between
+/// controllers.
+const PAGE_SIZE: usize = 1000;
 
-/// A position in the log of one process. The default stands for no position at all.
+/// A position in the log of one process. The default is no position in any log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor {
-    /// Which process wrote the log; 0 is none.
+    /// The incarnation of the process that keeps the log; 0 is none.
     pub incarnation: u64,
-    /// The number of the next entry to read.
+    /// The number of the next entry to read. Entries are numbered from 1.
     pub next: u64,
 }
 
-/// A part of the log.
+/// A page of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CancellationPage {
     /// Where the next page begins.
     pub cursor: Cursor,
-    /// Whether the page follows the given cursor without a gap. If it does not, it is empty and only
-    /// says where the log ends.
+    /// Whether the page continues from the requested cursor without a gap. If not, the page is empty
+    /// and its cursor is the end of the log.
     pub continues: bool,
     /// Whether the page reaches the end of the log.
     pub complete: bool,
@@ -38,20 +39,24 @@
     pub jobs: Vec<Arc<str>>,
 }
 
+/// The entries that are retained.
 struct Entries {
-    /// The number of the oldest entry that is kept.
+    /// The number of the oldest retained entry.
     first: u64,
+    /// The jobs, in the order of their confirmation.
     jobs: VecDeque<Arc<str>>,
-    kept: HashSet<Arc<str>>,
+    /// The same jobs, for a lookup by id.
+    retained: HashSet<Arc<str>>,
 }
 
 impl Entries {
+    /// The number that the next entry gets.
     fn end(&self) -> u64 {
         self.first + self.jobs.len() as u64
     }
 }
 
-/// The log, shared by all threads of a process.
+/// The log, shared by all threads of a process. It retains the most recent entries up to a capacity.
 #[derive(Clone)]
 pub struct CancellationLog {
     incarnation: u64,
@@ -60,17 +65,18 @@
 }
 
 impl CancellationLog {
-    /// An empty log that keeps the most recent `capacity` entries.
+    /// An empty log that retains the most recent `capacity` entries, under a new incarnation.
     pub fn new(capacity: usize) -> CancellationLog {
         CancellationLog::with_incarnation(new_incarnation(), capacity)
     }
 
-    /// The same with a given incarnation, which must differ from that of every earlier process.
+    /// The same as [`new`](Self::new) with a given incarnation, which must differ from that of every
+    /// earlier process.
     pub fn with_incarnation(incarnation: u64, capacity: usize) -> CancellationLog {
         let entries = Entries {
             first: 1,
             jobs: VecDeque::new(),
-            kept: HashSet::new(),
+            retained: HashSet::new(),
         };
         CancellationLog {
             incarnation,
@@ -83,39 +89,40 @@
         self.entries.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Enters a cancellation. Must happen before an answer that confirms it leaves the process.
+    /// Records a cancellation, unless it is retained already. This must happen before a response that
+    /// confirms the cancellation leaves the process.
     pub fn record(&self, job: &str) {
         let mut entries = self.entries();
-        if entries.kept.contains(job) {
+        if entries.retained.contains(job) {
             return;
         }
         let job: Arc<str> = job.into();
         entries.jobs.push_back(job.clone());
-        entries.kept.insert(job);
+        entries.retained.insert(job);
         if entries.jobs.len() > self.capacity {
             if let Some(oldest) = entries.jobs.pop_front() {
-                entries.kept.remove(&oldest);
+                entries.retained.remove(&oldest);
             }
             entries.first += 1;
         }
     }
 
-    /// The entries from a cursor on.
+    /// Reads a page of the entries from a cursor on.
     pub fn page(&self, after: Cursor) -> CancellationPage {
         let entries = self.entries();
         let end = entries.end();
-        let kept = entries.first..=end;
-        let continues = after.incarnation == self.incarnation && kept.contains(&after.next);
-        let from = if continues { after.next } else { end };
-        let skipped = (from - entries.first) as usize;
+        let readable = entries.first..=end;
+        let continues = after.incarnation == self.incarnation && readable.contains(&after.next);
+        let first = if continues { after.next } else { end };
+        let skipped = (first - entries.first) as usize;
         let jobs: Vec<Arc<str>> = entries
             .jobs
             .iter()
             .skip(skipped)
-            .take(PAGE)
+            .take(PAGE_SIZE)
             .cloned()
             .collect();
-        let next = from + jobs.len() as u64;
+        let next = first + jobs.len() as u64;
         CancellationPage {
             cursor: Cursor {
                 incarnation: self.incarnation,
@@ -128,8 +135,8 @@
     }
 }
 
-/// A number that no earlier process on this machine has had: processes start at different times,
-/// and the rest is random.
+/// An incarnation that no earlier process on this machine has had: processes start at different times,
+/// and the hash is randomly seeded.
 fn new_incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let mut hasher = RandomState::new().build_hasher();
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -1,8 +1,9 @@
-//! The state service's client.
+//! The client of the state service.
 
 use super::request_counts::{RecentRequests, RequestCounts, RequestKind};
 use crate::protocol::store::{
-    Applied, Events, Granted, Page, Refused, Transaction, VersionedValue,
+    Events, LeaseGranted, Page, Transaction, TransactionApplied, TransactionConflict,
+    VersionedValue,
 };
 use crate::protocol::TOO_MANY_REQUESTS;
 use crate::transport::client::{Answer, Client};
@@ -13,94 +14,90 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Answers normally take milliseconds and now and then a few hundred.
-const WITHIN: Duration = Duration::from_millis(1200);
-const MAX_BYTES: u64 = 8 * 1024 * 1024;
-const PAGE: usize = 400;
-
-/// What became of a transaction.
-#[derive(Debug)]
-pub enum CommitOutcome {
-    Applied(u64),
-    /// The named keys had other versions.
-    Conflict(Vec<String>),
-    /// It was not carried out: the service refuses this node, or is not reached.
-    Refused,
-    /// It was not carried out: it was one too many.
-    Limited,
-    /// It never will be: a value or the whole is larger than the service takes.
-    TooLarge,
-    /// The leadership lease named in it is over.
-    NoLease,
-    /// It may have been carried out, or may yet be.
-    Unknown,
-}
+pub use super::outcome::{CommitOutcome, Renewal, Unavailable};
 
-/// The state service could not be asked.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unavailable;
+/// The timeout of a request whose caller sets none. Responses normally take milliseconds, and now and
+/// then a few hundred.
+const DEFAULT_TIMEOUT: Duration = Duration::from_millis(1200);
+/// The longest response that is read, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
+/// Keys in one page of a list.
+const LIST_PAGE_SIZE: usize = 400;
 
-/// What became of a lease's renewal.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Renewal {
-    Renewed,
-    Over,
-    Unavailable,
-}
+/// The status of a request that was carried out.
+const OK: u16 = 200;
+/// The status of a malformed request, and of a write that names an expired lease.
+const BAD_REQUEST: u16 = 400;
+/// The status of a request for something that does not exist: a key or a lease.
+const NOT_FOUND: u16 = 404;
+/// The status of a transaction of which a comparison failed.
+const CONFLICT: u16 = 409;
+/// The status of a watch whose revision is older than the changes that the service retains.
+const GONE: u16 = 410;
+/// The status of a request that was not carried out because of an outage.
+const SERVICE_UNAVAILABLE: u16 = 503;
 
+/// A client of the state service. Clones share its connections and statistics.
 #[derive(Clone)]
 pub struct KeyValueStore {
     client: Client,
-    /// When it last answered anything, in milliseconds since `begun`.
-    answered_ms: Arc<AtomicU64>,
-    begun: Instant,
-    /// Whether it has ever refused a transaction for being one too many.
-    limited: Arc<AtomicBool>,
+    created_at: Instant,
+    /// When the service last responded, in milliseconds since `created_at`.
+    last_response_ms: Arc<AtomicU64>,
+    /// Whether the service has ever rejected a transaction by its rate limit.
+    rate_limited: Arc<AtomicBool>,
     counts: Arc<RequestCounts>,
 }
 
 impl KeyValueStore {
+    /// A client of the service at `remote` that keeps up to `connections` idle connections.
     pub fn new(remote: SocketAddr, connections: usize) -> KeyValueStore {
         KeyValueStore {
-            client: Client::new(remote, connections, MAX_BYTES),
-            answered_ms: Arc::default(),
-            begun: Instant::now(),
-            limited: Arc::default(),
+            client: Client::new(remote, connections, MAX_RESPONSE_BYTES),
+            created_at: Instant::now(),
+            last_response_ms: Arc::default(),
+            rate_limited: Arc::default(),
             counts: Arc::default(),
         }
     }
 
-    /// Whether the service has refused a change, as it does beyond its rate.
+    /// Whether the service has ever rejected a transaction of this client by its rate limit.
     pub fn is_limited(&self) -> bool {
-        self.limited.load(Ordering::Relaxed)
+        self.rate_limited.load(Ordering::Relaxed)
     }
 
-    /// When the service last answered, by whatever it said but that it is out of order.
+    /// When the service last responded with any status except that of an outage, as the time since
+    /// `epoch`.
     pub fn last_answer(&self, epoch: Instant) -> Duration {
-        let since_begun = Duration::from_millis(self.answered_ms.load(Ordering::Relaxed));
-        self.begun.saturating_duration_since(epoch) + since_begun
+        let since_creation = Duration::from_millis(self.last_response_ms.load(Ordering::Relaxed));
+        self.created_at.saturating_duration_since(epoch) + since_creation
     }
 
-    /// The requests since the last call of this.
+    /// The statistics of the requests since the last call of this method.
     pub fn take_request_counts(&self) -> RecentRequests {
         self.counts.take()
     }
 
-    fn noted(&self, kind: RequestKind, answer: Answer) -> Answer {
+    /// Enters a request and its response into the statistics.
+    fn count(&self, kind: RequestKind, answer: Answer) -> Answer {
         let status = match answer {
             Answer::Response(status, _) => Some(status),
             _ => None,
         };
         self.counts.count(kind, status);
-        if matches!(answer, Answer::Response(status, _) if status != 503) {
-            let now = self.begun.elapsed().as_millis() as u64;
-            self.answered_ms.store(now, Ordering::Relaxed);
+        if status.is_some_and(|status| status != SERVICE_UNAVAILABLE) {
+            let now = self.created_at.elapsed().as_millis() as u64;
+            self.last_response_ms.store(now, Ordering::Relaxed);
         }
         answer
     }
 
+    /// Reads a key; `None` if it is absent.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if no usable response came.
     pub fn get(&self, key: &str) -> Result<Option<VersionedValue>, Unavailable> {
-        self.get_within(key, WITHIN)
+        self.get_within(key, DEFAULT_TIMEOUT)
     }
 
     fn get_within(
@@ -109,18 +106,25 @@
         timeout: Duration,
     ) -> Result<Option<VersionedValue>, Unavailable> {
         let answer = self.client.get(&format!("/store/{key}"), timeout);
-        match self.noted(RequestKind::Read, answer) {
-            Answer::Response(404, _) => Ok(None),
+        match self.count(RequestKind::Read, answer) {
+            Answer::Response(NOT_FOUND, _) => Ok(None),
             answer => answer.ok().map(Some).ok_or(Unavailable),
         }
     }
 
-    /// Reads a key's value as `T`; what cannot be read as such counts as absent.
+    /// Reads a key's value as a `T`, with its version. A value that does not parse as a `T` counts as
+    /// absent.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if no usable response came.
     pub fn read<T: DeserializeOwned>(&self, key: &str) -> Result<Option<(T, u64)>, Unavailable> {
-        self.read_within(key, WITHIN)
+        self.read_within(key, DEFAULT_TIMEOUT)
     }
 
-    /// The same, for a caller that cannot wait as long as usual.
+    /// The same as [`read`](Self::read), with a timeout of the caller's.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if no usable response came.
     pub fn read_within<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -132,7 +136,10 @@
         }))
     }
 
-    /// The first keys under a prefix that come after another one, or the first of all.
+    /// Reads up to `limit` keys under a prefix, beginning after the key `after` if there is one.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if no usable response came.
     pub fn page(
         &self,
         prefix: &str,
@@ -141,88 +148,84 @@
     ) -> Result<Page, Unavailable> {
         let after = after.map_or(String::new(), |key| format!("&after={key}"));
         let path = format!("/store?under={prefix}{after}&limit={limit}");
-        let answer = self.noted(RequestKind::Page, self.client.get(&path, WITHIN));
+        let answer = self.count(RequestKind::Page, self.client.get(&path, DEFAULT_TIMEOUT));
         answer.ok().ok_or(Unavailable)
     }
 
-    /// Everything under a prefix, with the revision as of the first page.
+    /// Reads all keys under a prefix, with the revision as of the first page: a watch from that
+    /// revision on misses no change made while later pages were read.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if any page got no usable response.
     pub fn list(&self, prefix: &str) -> Result<(Vec<VersionedValue>, u64), Unavailable> {
         let mut items: Vec<VersionedValue> = Vec::new();
-        let mut first = None;
+        let mut first_revision = None;
         loop {
-            let page = self.page(prefix, items.last().map(|item| item.key.as_str()), PAGE)?;
-            let revision = *first.get_or_insert(page.revision);
-            let empty = page.items.is_empty();
+            let last_key = items.last().map(|item| item.key.as_str());
+            let page = self.page(prefix, last_key, LIST_PAGE_SIZE)?;
+            let revision = *first_revision.get_or_insert(page.revision);
+            let is_empty = page.items.is_empty();
             items.extend(page.items);
-            if !page.more || empty {
+            if !page.more || is_empty {
                 return Ok((items, revision));
             }
         }
     }
 
+    /// Commits a transaction.
     pub fn commit(&self, transaction: &Transaction) -> CommitOutcome {
-        self.commit_within(transaction, WITHIN)
+        self.commit_within(transaction, DEFAULT_TIMEOUT)
     }
 
-    /// The same, for a caller that cannot wait as long as usual.
+    /// The same as [`commit`](Self::commit), with a timeout of the caller's.
     pub fn commit_within(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
-        let kind = if transaction.changes.is_empty() {
+        let kind = if transaction.operations.is_empty() {
             RequestKind::Comparison
         } else {
             RequestKind::Change
         };
         let answer = self.client.post("/txn", transaction, timeout);
-        match self.noted(kind, answer) {
-            Answer::Response(200, body) => match serde_json::from_slice::<Applied>(&body) {
-                Ok(applied) => CommitOutcome::Applied(applied.revision),
-                Err(_) => CommitOutcome::Unknown,
-            },
-            Answer::Response(409, body) => match serde_json::from_slice::<Refused>(&body) {
-                Ok(refused) => CommitOutcome::Conflict(refused.failed),
-                Err(_) => CommitOutcome::Unknown,
-            },
-            Answer::Response(400, body) => {
-                if String::from_utf8_lossy(&body).contains("no such lease") {
-                    return CommitOutcome::NoLease;
-                }
-                tracing::error!(
-                    "the state service calls a transaction malformed: {}",
-                    String::from_utf8_lossy(&body)
-                );
-                CommitOutcome::TooLarge
-            }
-            Answer::Response(TOO_MANY_REQUESTS, _) => {
-                self.limited.store(true, Ordering::Relaxed);
-                CommitOutcome::Limited
-            }
-            Answer::Response(..) | Answer::NotSent => CommitOutcome::Refused,
-            Answer::Unknown => CommitOutcome::Unknown,
+        let outcome = commit_outcome(self.count(kind, answer));
+        if matches!(outcome, CommitOutcome::Limited) {
+            self.rate_limited.store(true, Ordering::Relaxed);
         }
+        outcome
     }
 
+    /// Requests a lease that expires unless it is renewed within `life`; returns its id.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if no usable response came.
     pub fn grant(&self, life: Duration) -> Result<u64, Unavailable> {
         let body = json!({"life_ms": life.as_millis() as u64});
-        let answer = self.client.post("/leases", &body, WITHIN);
-        let granted: Option<Granted> = self.noted(RequestKind::Lease, answer).ok();
-        granted.map(|g| g.lease).ok_or(Unavailable)
+        let answer = self.client.post("/leases", &body, DEFAULT_TIMEOUT);
+        let granted: Option<LeaseGranted> = self.count(RequestKind::Lease, answer).ok();
+        granted.map(|granted| granted.lease).ok_or(Unavailable)
     }
 
-    pub fn renew(&self, lease: u64, within: Duration) -> Renewal {
+    /// Renews a lease for its full time.
+    pub fn renew(&self, lease: u64, timeout: Duration) -> Renewal {
         let path = format!("/leases/{lease}/extend");
-        let answer = self.client.post(&path, &json!({}), within);
-        match self.noted(RequestKind::Lease, answer) {
-            Answer::Response(200, _) => Renewal::Renewed,
-            Answer::Response(404, _) => Renewal::Over,
+        let answer = self.client.post(&path, &json!({}), timeout);
+        match self.count(RequestKind::Lease, answer) {
+            Answer::Response(OK, _) => Renewal::Renewed,
+            Answer::Response(NOT_FOUND, _) => Renewal::Over,
             _ => Renewal::Unavailable,
         }
     }
 
+    /// Ends a lease, on a best-effort basis: if the request fails, the lease expires by itself.
     pub fn release(&self, lease: u64) {
-        let answer = self.client.delete(&format!("/leases/{lease}"), WITHIN);
-        self.noted(RequestKind::Lease, answer);
+        let path = format!("/leases/{lease}");
+        let answer = self.client.delete(&path, DEFAULT_TIMEOUT);
+        self.count(RequestKind::Lease, answer);
     }
 
-    /// Waits for changes under a prefix; `None` when the revision is too old to go on from.
+    /// Waits up to `hold` for changes under a prefix after the revision `after`. `None` if the service
+    /// no longer retains the changes since that revision: the keys must be read again.
+    ///
+    /// # Errors
+    /// [`Unavailable`] if no usable response came.
     pub fn watch(
         &self,
         prefix: &str,
@@ -231,10 +234,37 @@
     ) -> Result<Option<Events>, Unavailable> {
         let hold_ms = hold.as_millis();
         let path = format!("/changes?under={prefix}&after={after}&hold_ms={hold_ms}");
-        let answer = self.client.get(&path, hold + WITHIN);
-        match self.noted(RequestKind::Watch, answer) {
-            Answer::Response(410, _) => Ok(None),
+        let answer = self.client.get(&path, hold + DEFAULT_TIMEOUT);
+        match self.count(RequestKind::Watch, answer) {
+            Answer::Response(GONE, _) => Ok(None),
             answer => answer.ok().map(Some).ok_or(Unavailable),
         }
     }
 }
+
+/// Reads the response to a transaction.
+fn commit_outcome(answer: Answer) -> CommitOutcome {
+    match answer {
+        Answer::Response(OK, body) => match serde_json::from_slice::<TransactionApplied>(&body) {
+            Ok(applied) => CommitOutcome::Applied(applied.revision),
+            Err(_) => CommitOutcome::Unknown,
+        },
+        Answer::Response(CONFLICT, body) => {
+            match serde_json::from_slice::<TransactionConflict>(&body) {
+                Ok(conflict) => CommitOutcome::Conflict(conflict.failed),
+                Err(_) => CommitOutcome::Unknown,
+            }
+        }
+        Answer::Response(BAD_REQUEST, body) => {
+            let reason = String::from_utf8_lossy(&body);
+            if reason.contains("no such lease") {
+                return CommitOutcome::NoLease;
+            }
+            tracing::error!(%reason, "the state service rejected a transaction as malformed");
+            CommitOutcome::TooLarge
+        }
+        Answer::Response(TOO_MANY_REQUESTS, _) => CommitOutcome::Limited,
+        Answer::Response(..) | Answer::NotSent => CommitOutcome::Refused,
+        Answer::Unknown => CommitOutcome::Unknown,
+    }
+}
--- a/src/storage/recent_jobs.rs
+++ b/src/storage/recent_jobs.rs
@@ -1,43 +1,48 @@
-//! What a node remembers of jobs, bounded in number: the state service has it all.
+//! A bounded memory of the most recent jobs: older ones are read from the state service.
 
 use crate::protocol::job::JobState;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Remembers something of the most recent jobs that never changes, so that any node may answer from
-/// here: what is noted first stays.
+/// Remembers an immutable fact about each of the most recent jobs, so that any controller can answer
+/// from memory. The first value of a job stays; beyond the capacity, the job that was entered first is
+/// evicted.
 pub struct RecentJobs<T> {
-    most: usize,
-    known: HashMap<Arc<str>, T>,
-    order: VecDeque<Arc<str>>,
+    capacity: usize,
+    values: HashMap<Arc<str>, T>,
+    /// The jobs in the order of their insertion.
+    insertion_order: VecDeque<Arc<str>>,
 }
 
-/// The most recent ends.
+/// The final states of the jobs that ended most recently.
 pub type EndIndex = RecentJobs<JobState>;
 
 impl<T> RecentJobs<T> {
-    pub fn new(most: usize) -> RecentJobs<T> {
+    /// An empty memory of up to `capacity` jobs, at least one.
+    pub fn new(capacity: usize) -> RecentJobs<T> {
         RecentJobs {
-            most: most.max(1),
-            known: HashMap::new(),
-            order: VecDeque::new(),
+            capacity: capacity.max(1),
+            values: HashMap::new(),
+            insertion_order: VecDeque::new(),
         }
     }
 
+    /// The value of a job, if it is remembered.
     pub fn get(&self, id: &str) -> Option<&T> {
-        self.known.get(id)
+        self.values.get(id)
     }
 
+    /// Enters a job, unless it is remembered already.
     pub fn insert(&mut self, id: &str, value: T) {
-        if self.known.contains_key(id) {
+        if self.values.contains_key(id) {
             return;
         }
         let id: Arc<str> = id.into();
-        self.known.insert(id.clone(), value);
-        self.order.push_back(id);
-        if self.order.len() > self.most {
-            if let Some(oldest) = self.order.pop_front() {
-                self.known.remove(&oldest);
+        self.values.insert(id.clone(), value);
+        self.insertion_order.push_back(id);
+        if self.insertion_order.len() > self.capacity {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.values.remove(&oldest);
             }
         }
     }
--- /dev/null
+++ b/src/storage/records/end.rs
@@ -0,0 +1,30 @@
+//! The end of a job.
+
+use crate::protocol::job::JobState;
+use serde::{Deserialize, Serialize};
+
+/// How a job ended. The record is write-once.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct EndRecord {
+    /// The final state.
+    pub state: JobState,
+    /// When the record was written, in milliseconds of the time of day. Earlier versions did not
+    /// record it.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub at_ms: Option<u64>,
+}
+
+impl EndRecord {
+    /// The end of a job that is cancelled at a time of day.
+    pub fn cancelled(at_ms: u64) -> EndRecord {
+        EndRecord {
+            state: JobState::Cancelled,
+            at_ms: Some(at_ms),
+        }
+    }
+
+    /// The JSON value to store.
+    pub fn to_value(&self) -> serde_json::Value {
+        serde_json::to_value(self).expect("serializing plain data cannot fail")
+    }
+}
--- a/src/storage/request_counts.rs
+++ b/src/storage/request_counts.rs
@@ -1,10 +1,10 @@
-//! How many requests this process has sent to the state service, by what they are for.
+//! Statistics of the requests that this process sends to the state service, by kind.
 
 use crate::protocol::TOO_MANY_REQUESTS;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a request is for.
+/// What a request does.
 #[derive(Clone, Copy, Debug)]
 pub enum RequestKind {
     /// Reads one key.
@@ -15,10 +15,13 @@
     Comparison,
     /// A transaction that changes something.
     Change,
+    /// Waits for changes.
     Watch,
+    /// Grants, renews or ends a lease.
     Lease,
 }
 
+/// All kinds with the words that they are reported by, in the order of their discriminants.
 const KINDS: [(RequestKind, &str); 6] = [
     (RequestKind::Read, "reads"),
     (RequestKind::Page, "pages"),
@@ -32,11 +35,12 @@
 #[derive(Debug, Default)]
 pub struct RequestCounts {
     sent: [AtomicU64; KINDS.len()],
+    /// Requests that exceeded the service's rate limit.
     limited: AtomicU64,
 }
 
 impl RequestCounts {
-    /// Counts a request and its answer, if there was one.
+    /// Counts a request with the status of its response, if there was one.
     pub fn count(&self, kind: RequestKind, status: Option<u16>) {
         self.sent[kind as usize].fetch_add(1, Ordering::Relaxed);
         if status == Some(TOO_MANY_REQUESTS) {
@@ -44,7 +48,7 @@
         }
     }
 
-    /// The counts since the last call of this.
+    /// Returns the counts since the last call of this method, and resets them.
     pub fn take(&self) -> RecentRequests {
         let take = |counter: &AtomicU64| counter.swap(0, Ordering::Relaxed);
         RecentRequests {
@@ -54,7 +58,7 @@
     }
 }
 
-/// Requests of a period.
+/// The requests sent within a period.
 #[derive(Debug, PartialEq)]
 pub struct RecentRequests {
     sent: [u64; KINDS.len()],
--- a/src/storage/token_bucket.rs
+++ b/src/storage/token_bucket.rs
@@ -1,25 +1,30 @@
-//! A token bucket for calls to services that limit their rate.
+//! A token bucket: the rate limit for requests to services that limit their rate.
 
-/// Allows `rate` a second, with bursts of `burst`.
+/// A rate limit that allows `rate` units a second on average, and up to `burst` units at once. The
+/// clock is the caller's: `now` is in seconds, and a time before the last one refills nothing.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
+    /// Units refilled per second.
     rate: f64,
+    /// The capacity in units.
     burst: f64,
+    /// The units available as of `refilled_at`.
     level: f64,
-    at: f64,
+    refilled_at: f64,
 }
 
 impl TokenBucket {
+    /// A full bucket.
     pub fn new(rate: f64, burst: f64) -> TokenBucket {
         TokenBucket {
             rate,
             burst,
             level: burst,
-            at: 0.0,
+            refilled_at: 0.0,
         }
     }
 
-    /// Allows less from now on.
+    /// Lowers the limits from now on; they never rise.
     pub fn lower(&mut self, rate: f64, burst: f64) {
         self.rate = self.rate.min(rate);
         self.burst = self.burst.min(burst);
@@ -27,29 +32,29 @@
     }
 
     fn refill(&mut self, now: f64) {
-        let passed = (now - self.at).max(0.0);
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.at = self.at.max(now);
+        let elapsed = (now - self.refilled_at).max(0.0);
+        self.level = (self.level + elapsed * self.rate).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// The most that may be taken at once.
+    /// The capacity: the maximum number of units that can be taken at once.
     pub fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// How much may be taken now.
+    /// The units available now.
     pub fn level(&mut self, now: f64) -> f64 {
         self.refill(now);
         self.level
     }
 
-    /// Takes `n` if that much is left.
+    /// Takes `n` units if that many are available, and returns whether they were.
     pub fn take(&mut self, now: f64, n: f64) -> bool {
         self.refill(now);
-        let enough = self.level >= n;
-        if enough {
+        let is_available = self.level >= n;
+        if is_available {
             self.level -= n;
         }
-        enough
+        is_available
     }
 }
--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -27,10 +27,10 @@
 
 impl LargestWrite {
     fn note(&mut self, transaction: &Transaction) {
-        self.changes = self.changes.max(transaction.changes.len());
-        self.conditions = self.conditions.max(transaction.conditions.len());
-        for change in &transaction.changes {
-            if let Change::Put { value, .. } = change {
+        self.changes = self.changes.max(transaction.operations.len());
+        self.conditions = self.conditions.max(transaction.compares.len());
+        for change in &transaction.operations {
+            if let WriteOperation::Put { value, .. } = change {
                 self.value_bytes = self.value_bytes.max(value.to_string().len());
             }
         }
@@ -61,10 +61,10 @@
         now += 0.1;
         carry_out_all(&mut manager, now, |effect| match effect {
             Effect::Write { id, transaction } => {
-                changes += transaction.changes.len();
+                changes += transaction.operations.len();
                 largest.note(transaction);
-                for change in &transaction.changes {
-                    if let Change::Put { key, value, .. } = change {
+                for change in &transaction.operations {
+                    if let WriteOperation::Put { key, value, .. } = change {
                         places.insert(key.clone(), (value.clone(), 100 + id));
                     }
                 }
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -4,7 +4,7 @@
 use super::random::SplitMix64;
 use serde_json::Value;
 use stairstage::coordination::election::CurrentLeader;
-use stairstage::protocol::store::{Change, Event, Events, Transaction};
+use stairstage::protocol::store::{Event, Events, Transaction, WriteOperation};
 use stairstage::storage::key_value_store::{CommitOutcome, Renewal};
 use stairstage::storage::records::{LeaderRecord, LEADER_KEY};
 use std::collections::BTreeMap;
@@ -139,15 +139,15 @@
     }
 
     pub(crate) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
-        let lease_of = |change: &Change| match change {
-            Change::Put { lease, .. } => *lease,
-            Change::Delete { .. } => None,
+        let lease_of = |change: &WriteOperation| match change {
+            WriteOperation::Put { lease, .. } => *lease,
+            WriteOperation::Delete { .. } => None,
         };
-        let mut leases = transaction.changes.iter().filter_map(lease_of);
+        let mut leases = transaction.operations.iter().filter_map(lease_of);
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
             return CommitOutcome::NoLease;
         }
-        let conditions = transaction.conditions.iter();
+        let conditions = transaction.compares.iter();
         let failed: Vec<String> = conditions
             .filter(|condition| self.version(&condition.key) != condition.version)
             .map(|condition| condition.key.clone())
@@ -156,15 +156,15 @@
             return CommitOutcome::Conflict(failed);
         }
         self.revision += 1;
-        for change in &transaction.changes {
+        for change in &transaction.operations {
             self.apply(change);
         }
         CommitOutcome::Applied(self.revision)
     }
 
-    fn apply(&mut self, change: &Change) {
+    fn apply(&mut self, change: &WriteOperation) {
         match change {
-            Change::Put { key, value, lease } => {
+            WriteOperation::Put { key, value, lease } => {
                 let stored = StoredKey {
                     value: value.clone(),
                     version: self.revision,
@@ -173,7 +173,7 @@
                 self.keys.insert(key.clone(), stored);
                 self.note_change(key, Some(value.clone()));
             }
-            Change::Delete { key } => {
+            WriteOperation::Delete { key } => {
                 self.keys.remove(key);
                 self.note_change(key, None);
             }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use stairstage::coordination::state::Name;
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::job::JobSpec;
-use stairstage::protocol::store::{Change, Compare, Page, Transaction, VersionedValue};
+use stairstage::protocol::store::{Compare, Page, Transaction, VersionedValue, WriteOperation};
 use stairstage::protocol::worker::*;
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::CommitOutcome;
@@ -252,19 +252,19 @@
 
 impl Store {
     fn takes(&self, txn: &Transaction) -> bool {
-        let fits = |change: &Change| match change {
-            Change::Put { value, .. } => value.to_string().len() <= self.value_bytes,
-            Change::Delete { .. } => true,
+        let fits = |change: &WriteOperation| match change {
+            WriteOperation::Put { value, .. } => value.to_string().len() <= self.value_bytes,
+            WriteOperation::Delete { .. } => true,
         };
-        let conditions = txn.conditions.len() <= 4 * self.txn_ops;
-        conditions && txn.changes.len() <= self.txn_ops && txn.changes.iter().all(fits)
+        let conditions = txn.compares.len() <= 4 * self.txn_ops;
+        conditions && txn.operations.len() <= self.txn_ops && txn.operations.iter().all(fits)
     }
 
     /// The keys of conditions that don't hold.
     pub(crate) fn conflicts(&self, txn: &Transaction) -> Vec<String> {
         let version = |key: &String| self.values.get(key).map_or(0, |v| v.1);
         let fails = |c: &&Compare| version(&c.key) != c.version;
-        let failed = txn.conditions.iter().filter(fails);
+        let failed = txn.compares.iter().filter(fails);
         failed.map(|c| c.key.clone()).collect()
     }
 
@@ -276,13 +276,13 @@
             return Err(Refusal::Conflict);
         }
         self.revision += 1;
-        for change in &txn.changes {
+        for change in &txn.operations {
             match change {
-                Change::Put { key, value, .. } => {
+                WriteOperation::Put { key, value, .. } => {
                     self.values
                         .insert(key.clone(), (value.clone(), self.revision));
                 }
-                Change::Delete { key } => {
+                WriteOperation::Delete { key } => {
                     self.values.remove(key);
                 }
             }
@@ -339,7 +339,7 @@
 
     /// What keys hold, as it is read when a write went unanswered.
     pub(crate) fn reread(&self, txn: &Transaction) -> WriteOutcome {
-        let keys = txn.conditions.iter().map(|c| c.key.clone());
+        let keys = txn.compares.iter().map(|c| c.key.clone());
         WriteOutcome::Indeterminate(keys.map(|k| (k.clone(), self.item(&k))).collect())
     }
 
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -40,7 +40,7 @@
 }
 
 fn stamp_in(transaction: &Transaction) -> Option<u64> {
-    let condition = transaction.conditions.iter().find(|c| c.key == VERSION);
+    let condition = transaction.compares.iter().find(|c| c.key == VERSION);
     condition.map(|c| c.version)
 }
 
@@ -70,7 +70,7 @@
 fn a_leader_names_the_version_that_it_knows_in_what_it_writes() {
     let (_, _, transaction) = leader_with_a_write();
     assert_eq!(stamp_in(&transaction), Some(STAMP));
-    assert!(transaction.conditions.iter().any(|c| c.key == LEADER_KEY));
+    assert!(transaction.compares.iter().any(|c| c.key == LEADER_KEY));
     let mut unstaged = manager();
     report(&mut unstaged, 1, Vec::new(), 1.0);
     submit(&mut unstaged, "req-1", "sweep", "normal", None, 1);
@@ -127,7 +127,7 @@
         );
     }
     let (_, transaction) = next_write(&mut manager, 1.0).expect("places are recorded");
-    assert_eq!(transaction.conditions.len(), most);
+    assert_eq!(transaction.compares.len(), most);
 }
 
 fn committed(effects: &[Effect]) -> &Transaction {
@@ -187,7 +187,7 @@
     );
     for open in [clearance(2), WriteFence::Unstaged] {
         let (_, effects) = Request::submission(body.as_bytes(), request_context(open));
-        let asks_for_needed = committed(&effects).conditions.iter();
+        let asks_for_needed = committed(&effects).compares.iter();
         let keys: Vec<&str> = asks_for_needed.map(|c| c.key.as_str()).collect();
         assert!(keys.contains(&open_key("req-1").as_str()), "{keys:?}");
     }
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -80,7 +80,7 @@
             self.manager.tick(at);
             each_effect(&mut self.manager, at, |manager, effect| match effect {
                 Effect::Write { id, transaction } => {
-                    *changes += transaction.changes.len();
+                    *changes += transaction.operations.len();
                     manager.write_finished(id, WriteOutcome::Applied(100 + id), at);
                 }
                 Effect::SendCommands {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -67,7 +67,10 @@
         while let Some(effect) = effects.pop_front() {
             match effect {
                 polls::Effect::Store(StoreCall::Commit(transaction)) => {
-                    assert!(transaction.changes.is_empty(), "a question writes nothing");
+                    assert!(
+                        transaction.operations.is_empty(),
+                        "a question writes nothing"
+                    );
                     self.calls += 1;
                     let answer = StoreAnswer::Committed(CommitOutcome::Applied(1));
                     effects.extend(batcher.on(answer, now));
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -7,7 +7,7 @@
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::job::{JobSpec, JobState};
-use stairstage::protocol::store::{Change, Transaction};
+use stairstage::protocol::store::{Transaction, WriteOperation};
 use stairstage::protocol::worker::*;
 use stairstage::storage::records::*;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
     fn cancel(&mut self, id: &str, now: f64) {
         let item = self.store.item(&open_key(id)).unwrap();
         let record: OpenRecord = serde_json::from_value(item.value).unwrap();
-        let record = serde_json::to_value(record.taken_back(2000)).unwrap();
+        let record = serde_json::to_value(record.into_cancelled(2000)).unwrap();
         let txn = Transaction::default()
             .put(end_key(id), json!({"state": "cancelled"}))
             .put(open_key(id), record);
@@ -146,11 +146,11 @@
 
 /// Whether a transaction puts the end of a job on record.
 fn ends(txn: &Transaction) -> bool {
-    let key = |change: &Change| match change {
-        Change::Put { key, .. } => key.starts_with("end/"),
-        Change::Delete { .. } => false,
+    let key = |change: &WriteOperation| match change {
+        WriteOperation::Put { key, .. } => key.starts_with("end/"),
+        WriteOperation::Delete { .. } => false,
     };
-    txn.changes.iter().any(key)
+    txn.operations.iter().any(key)
 }
 
 #[test]
--- a/tests/play/services.rs
+++ b/tests/play/services.rs
@@ -75,7 +75,7 @@
     }
 
     pub(crate) fn fate(&mut self, txn: &Transaction, random: &mut Random, now: f64) -> Fate {
-        if self.refuses || !self.allows(txn.changes.len(), now) {
+        if self.refuses || !self.allows(txn.operations.len(), now) {
             Fate::Refused
         } else if random.chance(self.unanswered) {
             Fate::Unanswered(now + PATIENCE_S)
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -115,7 +115,7 @@
             } else {
                 Err(Unavailable)
             }),
-            StoreCall::Commit(transaction) if !transaction.changes.is_empty() => {
+            StoreCall::Commit(transaction) if !transaction.operations.is_empty() => {
                 panic!("polls write nothing: {transaction:?}")
             }
             StoreCall::Commit(transaction) => StoreAnswer::Committed(if allowed {
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -25,7 +25,7 @@
     Answer, Context, Effect, Event, Located, PeerAnswer, Request, StoreAnswer, StoreCall,
 };
 use stairstage::protocol::job::JobState;
-use stairstage::protocol::store::Change;
+use stairstage::protocol::store::WriteOperation;
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use stairstage::storage::records::{end_key, EndRecord};
 use stairstage_upgrade::fence::WriteFence;
@@ -203,7 +203,7 @@
 
 fn compares(effects: &[polls::Effect]) -> bool {
     matches!(effects, [polls::Effect::Store(StoreCall::Commit(transaction))]
-        if transaction.changes.is_empty())
+        if transaction.operations.is_empty())
 }
 
 /// The status, where the request is answered.
@@ -334,8 +334,8 @@
         panic!("{commits:?}");
     };
     let own_end = end_key(&jobs::id_of(waiting));
-    let writes_end = matches!(&transaction.changes[..],
-        [Change::Put { key, .. }] if *key == own_end);
+    let writes_end = matches!(&transaction.operations[..],
+        [WriteOperation::Put { key, .. }] if *key == own_end);
     assert!(writes_end, "{transaction:?}");
     let told = request.on(committed(CommitOutcome::Applied(2)));
     let cancelled = matches!(&told[..],
--- a/tests/requests/seen.rs
+++ b/tests/requests/seen.rs
@@ -2,7 +2,7 @@
 
 use crate::rules::{Kind, Question, Told};
 use stairstage::coordination::requests::PeerAnswer;
-use stairstage::protocol::store::{Change, Transaction};
+use stairstage::protocol::store::{Transaction, WriteOperation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::AddAssign;
 
@@ -54,10 +54,10 @@
     }
 
     pub(crate) fn answer_lost(&mut self, by: u64, node: usize, transaction: &Transaction) {
-        let key_of = |change: &Change| match change {
-            Change::Put { key, .. } | Change::Delete { key } => key.clone(),
+        let key_of = |change: &WriteOperation| match change {
+            WriteOperation::Put { key, .. } | WriteOperation::Delete { key } => key.clone(),
         };
-        let keys = transaction.changes.iter().map(key_of).collect();
+        let keys = transaction.operations.iter().map(key_of).collect();
         self.unknown.insert(by, (node, keys));
     }
 
--- a/tests/requests/world.rs
+++ b/tests/requests/world.rs
@@ -375,7 +375,7 @@
         let conflicts = self.store.conflicts(transaction);
         match self.store.commit(transaction) {
             Ok(version) => {
-                self.nodes[node].applied += usize::from(!transaction.changes.is_empty());
+                self.nodes[node].applied += usize::from(!transaction.operations.is_empty());
                 CommitOutcome::Applied(version)
             }
             Err(Refusal::Conflict) => CommitOutcome::Conflict(conflicts),
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -8,7 +8,7 @@
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::JobState;
-use stairstage::protocol::store::Change;
+use stairstage::protocol::store::WriteOperation;
 use stairstage::protocol::worker::*;
 use stairstage::settings::Workers;
 use stairstage::storage::records::OpenRecord;
@@ -277,9 +277,9 @@
     let (mut deleted, mut launches) = (Vec::new(), Vec::new());
     each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, transaction } => {
-            deleted.extend(transaction.changes.iter().filter_map(|c| match c {
-                Change::Delete { key } => Some(key.clone()),
-                Change::Put { .. } => None,
+            deleted.extend(transaction.operations.iter().filter_map(|c| match c {
+                WriteOperation::Delete { key } => Some(key.clone()),
+                WriteOperation::Put { .. } => None,
             }));
             manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
         }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -253,7 +253,10 @@
     assert_eq!(run.done, [(0, 3), (7, 7)]);
     assert_eq!(parse_completion_key("run/req-1/0"), Some(("req-1", 0)));
     assert_eq!(
-        CompletionShards { tasks: 2048 }.position(0),
+        CompletionShards {
+            tasks_per_shard: 2048
+        }
+        .shard_index(0),
         None,
         "never written anew"
     );
@@ -310,7 +313,7 @@
     let record = OpenRecord::accepted(parsed(&body), u64::MAX);
     assert!(record.bytes() > 16 * 1024);
     let bound = 2048 * 85 / 100;
-    let cancelled = record.taken_back(bound);
+    let cancelled = record.into_cancelled(bound);
     assert!(cancelled.bytes() <= bound, "{}", cancelled.bytes());
     let value = serde_json::to_value(&cancelled).unwrap();
     let back: OpenRecord = serde_json::from_value(value).unwrap();
@@ -351,8 +354,8 @@
     fn a_full_record_of_completed_tasks_fits(bytes in 100usize..20_000) {
         let cut = CompletionShards::within(bytes);
         let mut run = StoredCompletions::default();
-        let first = 99_999 - 2 * (cut.tasks as u32 / 2);
-        (0..cut.tasks as u32 / 2).for_each(|i| run.push_done(first + 2 * i));
+        let first = 99_999 - 2 * (cut.tasks_per_shard as u32 / 2);
+        (0..cut.tasks_per_shard as u32 / 2).for_each(|i| run.push_done(first + 2 * i));
         prop_assert!(serde_json::to_string(&run).unwrap().len() <= bytes);
     }
 }
