--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as their users describe them.
+//! Jobs: the descriptions that users submit, their validation, and the status that users query.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -18,15 +18,19 @@
     Service,
 }
 
-/// Priorities in rising order.
+/// A job's priority. The order of the variants is the order of the priorities, from the lowest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
+    /// Below normal work.
     #[serde(rename = "idle")]
     Low,
+    /// Ordinary work.
     #[serde(rename = "normal")]
     Normal,
+    /// Above normal work.
     #[serde(rename = "urgent")]
     High,
+    /// Above all other work.
     #[serde(rename = "critical")]
     Critical,
 }
@@ -34,83 +38,115 @@
 /// A job's description.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The job's unique id, chosen by its user. A retried submission has the same id.
     #[serde(rename = "name_id")]
     pub id: String,
+    /// The class of jobs it belongs to. Service-level objectives are set by class.
     #[serde(rename = "duty")]
     pub class: String,
+    /// The team whose quota it uses.
     #[serde(rename = "crew")]
     pub team: String,
+    /// How its tasks belong together.
     #[serde(rename = "rig")]
     pub kind: JobKind,
+    /// Its priority.
     #[serde(rename = "precedence")]
     pub priority: Priority,
+    /// The number of its tasks, which are numbered from 0.
     #[serde(rename = "legs")]
     pub tasks: u32,
+    /// CPUs that each task requests.
     pub cpus: f64,
+    /// GPUs that each task requests.
     pub gpus: f64,
+    /// Memory that each task requests, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
+    /// The image that a machine must have before a task can start.
     #[serde(rename = "kit")]
     pub image: String,
+    /// The size of the image, in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
+    /// The allowed machine types; any if it is absent.
     #[serde(rename = "hulls")]
     pub types: Option<Vec<String>>,
+    /// The only allowed zone; any if it is absent.
     #[serde(rename = "berth")]
     pub zone: Option<String>,
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
+    /// The user's estimate of a task's run time without the image fetch, in seconds; 0 for services.
     #[serde(rename = "passage_s")]
     pub estimate_s: f64,
+    /// The interval of progress between checkpoints, in seconds. With 0 a task never saves, and loses
+    /// its progress when it is stopped.
     #[serde(rename = "fix_interval_s")]
     pub checkpoint_s: f64,
+    /// The time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "fix_s")]
     pub save_s: f64,
+    /// The deadline of the whole job, in seconds from its submission, if it has one.
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any of its tasks starts. Records tell it in their own way.
+    /// The ids of its prerequisites: jobs that must be done before any of its tasks starts. Submissions
+    /// and stored records have forms of their own for it, so it is no part of this one.
     #[serde(skip)]
     pub waits_on: Vec<String>,
 }
 
-/// Why a description cannot be taken.
+/// Why a description is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {why}")]
-pub struct Malformed {
+#[error("{field}: {reason}")]
+pub struct InvalidField {
+    /// The name of the invalid field on the wire, or `body` if the whole body is invalid.
     pub field: &'static str,
-    pub why: String,
+    /// What is wrong with it.
+    pub reason: &'static str,
 }
 
-fn bad<T>(field: &'static str, why: &str) -> Result<T, Malformed> {
-    Err(Malformed {
-        field,
-        why: why.to_string(),
-    })
+fn invalid<T>(field: &'static str, reason: &'static str) -> Result<T, InvalidField> {
+    Err(InvalidField { field, reason })
 }
 
-/// The most tasks that a job may have.
+/// The maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-const MAX_TEXT: usize = 150;
+/// The maximum length of a text in a description, in bytes.
+const MAX_TEXT_BYTES: usize = 150;
+/// The maximum length of the part of a job id after its prefix, in bytes.
+const MAX_ID_BYTES: usize = 40;
+/// The maximum number of digits of a task's number.
+const MAX_TASK_DIGITS: usize = 6;
 
-/// Whether `id` has the form that job ids always have.
+/// Whether `id` has the form that all job ids have, such as `req-000412`.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix("req-").is_some_and(|rest| {
-        !rest.is_empty() && rest.len() <= 40 && rest.bytes().all(|b| b.is_ascii_alphanumeric())
+        !rest.is_empty()
+            && rest.len() <= MAX_ID_BYTES
+            && rest.bytes().all(|b| b.is_ascii_alphanumeric())
     })
 }
 
-/// Splits a task's name, such as `req-000412/3`, into job and number.
+/// Splits a task's name, such as `req-000412/3`, into the job's id and the task's number.
 pub fn parse_task(name: &str) -> Option<(&str, u32)> {
     let (job, number) = name.rsplit_once('/')?;
-    if !is_job_id(job) || number.len() > 6 || !number.bytes().all(|b| b.is_ascii_digit()) {
+    if !is_job_id(job)
+        || number.len() > MAX_TASK_DIGITS
+        || !number.bytes().all(|b| b.is_ascii_digit())
+    {
         return None;
     }
     Some((job, number.parse().ok()?))
 }
 
+/// The fields of a submission, read with validation. A field that is null counts as missing.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl Fields<'_> {
@@ -118,110 +154,131 @@
         self.0.get(name).filter(|v| !v.is_null())
     }
 
-    fn text(&self, name: &'static str) -> Result<String, Malformed> {
+    /// A string that is neither empty nor too long.
+    fn text(&self, name: &'static str) -> Result<String, InvalidField> {
         match self.get(name) {
-            None => bad(name, "is missing"),
-            Some(Value::String(s)) if s.is_empty() || s.len() > MAX_TEXT => {
-                bad(name, "has no sensible length")
+            None => invalid(name, "is missing"),
+            Some(Value::String(s)) if s.is_empty() || s.len() > MAX_TEXT_BYTES => {
+                invalid(name, "has no sensible length")
             }
             Some(Value::String(s)) => Ok(s.clone()),
-            Some(_) => bad(name, "must be a string"),
+            Some(_) => invalid(name, "must be a string"),
         }
     }
 
-    fn optional_text(&self, name: &'static str) -> Result<Option<String>, Malformed> {
+    fn optional_text(&self, name: &'static str) -> Result<Option<String>, InvalidField> {
         self.get(name).map(|_| self.text(name)).transpose()
     }
 
-    fn amount(&self, name: &'static str) -> Result<f64, Malformed> {
+    /// A number that is finite and not negative.
+    fn amount(&self, name: &'static str) -> Result<f64, InvalidField> {
         match self.get(name).map(Value::as_f64) {
-            None => bad(name, "is missing"),
+            None => invalid(name, "is missing"),
             Some(Some(x)) if x.is_finite() && x >= 0.0 => Ok(x),
-            Some(_) => bad(name, "must be a number that is not negative"),
+            Some(_) => invalid(name, "must be a number that is not negative"),
         }
     }
 
-    fn flag(&self, name: &'static str) -> Result<bool, Malformed> {
+    fn optional_amount(&self, name: &'static str) -> Result<Option<f64>, InvalidField> {
+        self.get(name).map(|_| self.amount(name)).transpose()
+    }
+
+    fn flag(&self, name: &'static str) -> Result<bool, InvalidField> {
         match self.get(name) {
-            None => bad(name, "is missing"),
+            None => invalid(name, "is missing"),
             Some(Value::Bool(b)) => Ok(*b),
-            Some(_) => bad(name, "must be true or false"),
+            Some(_) => invalid(name, "must be true or false"),
         }
     }
 
-    /// A list of jobs, each once; none where it is missing.
-    fn jobs(&self, name: &'static str) -> Result<Vec<String>, Malformed> {
+    fn job_id(&self, name: &'static str) -> Result<String, InvalidField> {
+        let id = self.text(name)?;
+        if !is_job_id(&id) {
+            return invalid(name, "has not the form of a job id");
+        }
+        Ok(id)
+    }
+
+    /// A number of tasks from 1 to [`MAX_TASKS`].
+    fn task_count(&self, name: &'static str) -> Result<u32, InvalidField> {
+        match self.get(name).map(Value::as_u64) {
+            None => invalid(name, "is missing"),
+            Some(Some(n)) if (1..=MAX_TASKS).contains(&n) => Ok(n as u32),
+            Some(_) => invalid(name, "must be a count from 1 to 100000"),
+        }
+    }
+
+    /// A list of machine types; `None`, which stands for any type, if it is missing.
+    fn machine_types(&self, name: &'static str) -> Result<Option<Vec<String>>, InvalidField> {
+        let list = match self.get(name) {
+            None => return Ok(None),
+            Some(Value::Array(list)) => list,
+            Some(_) => return invalid(name, "must be a list of machine types"),
+        };
+        let types = list.iter().map(|value| match value.as_str() {
+            Some(text) if text.len() <= MAX_TEXT_BYTES => Ok(text.to_string()),
+            _ => invalid(name, "must be a list of machine types"),
+        });
+        types.collect::<Result<Vec<_>, _>>().map(Some)
+    }
+
+    /// A list of job ids, sorted and without duplicates; empty if it is missing.
+    fn job_ids(&self, name: &'static str) -> Result<Vec<String>, InvalidField> {
         let list = match self.get(name) {
             None => return Ok(Vec::new()),
             Some(Value::Array(list)) => list,
-            Some(_) => return bad(name, "must be a list of job ids"),
+            Some(_) => return invalid(name, "must be a list of job ids"),
         };
-        let ids = list.iter().map(|v| v.as_str().filter(|id| is_job_id(id)));
+        let ids = list
+            .iter()
+            .map(|value| value.as_str().filter(|id| is_job_id(id)));
         match ids.collect::<Option<BTreeSet<&str>>>() {
             Some(ids) => Ok(ids.into_iter().map(str::to_string).collect()),
-            None => bad(name, "must be a list of job ids"),
+            None => invalid(name, "must be a list of job ids"),
         }
     }
 
-    fn choice<T: serde::de::DeserializeOwned>(&self, name: &'static str) -> Result<T, Malformed> {
+    /// A value of an enumeration.
+    fn choice<T: serde::de::DeserializeOwned>(
+        &self,
+        name: &'static str,
+    ) -> Result<T, InvalidField> {
         match self.get(name) {
-            None => bad(name, "is missing"),
-            Some(v) => T::deserialize(v).or_else(|_| bad(name, "is not a known value")),
+            None => invalid(name, "is missing"),
+            Some(v) => T::deserialize(v).or_else(|_| invalid(name, "is not a known value")),
         }
     }
 }
 
 impl JobSpec {
-    /// Reads and checks the body of a submission.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
+    /// Parses and validates the body of a submission.
+    ///
+    /// # Errors
+    /// Names the field that is missing or invalid.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, InvalidField> {
         let value: Value = match serde_json::from_slice(body) {
             Ok(v) => v,
-            Err(_) => return bad("body", "is not JSON"),
+            Err(_) => return invalid("body", "is not JSON"),
         };
         let Value::Object(map) = &value else {
-            return bad("body", "is not an object");
+            return invalid("body", "is not an object");
         };
         let f = Fields(map);
-        let id = f.text("name_id")?;
-        if !is_job_id(&id) {
-            return bad("name_id", "has not the form of a job id");
-        }
-        let tasks = match f.get("legs").map(Value::as_u64) {
-            None => return bad("legs", "is missing"),
-            Some(Some(n)) if (1..=MAX_TASKS).contains(&n) => n as u32,
-            Some(_) => return bad("legs", "must be a count from 1 to 100000"),
-        };
-        let types = match f.get("hulls") {
-            None => None,
-            Some(Value::Array(list)) => {
-                let mut out = Vec::new();
-                for v in list {
-                    match v.as_str() {
-                        Some(s) if s.len() <= MAX_TEXT => out.push(s.to_string()),
-                        _ => return bad("hulls", "must be a list of machine types"),
-                    }
-                }
-                Some(out)
-            }
-            Some(_) => return bad("hulls", "must be a list of machine types"),
-        };
-        let deadline_s = match f.get("due_s") {
-            None => None,
-            Some(_) => Some(f.amount("due_s")?),
-        };
+        // Of several invalid fields, the first in this order is reported.
         Ok(JobSpec {
-            id,
+            id: f.job_id("name_id")?,
+            tasks: f.task_count("legs")?,
+            types: f.machine_types("hulls")?,
+            deadline_s: f.optional_amount("due_s")?,
             class: f.text("duty")?,
             team: f.text("crew")?,
             kind: f.choice("rig")?,
             priority: f.choice("precedence")?,
-            tasks,
             cpus: f.amount("cpus")?,
             gpus: f.amount("gpus")?,
             memory_gb: f.amount("mem_gb")?,
             image: f.text("kit")?,
             image_gb: f.amount("size_gb")?,
-            types,
             zone: f.optional_text("berth")?,
             one_zone: f.flag("same_place")?,
             spread: f.flag("spread")?,
@@ -229,36 +286,43 @@
             estimate_s: f.amount("passage_s")?,
             checkpoint_s: f.amount("fix_interval_s")?,
             save_s: f.amount("fix_s")?,
-            deadline_s,
-            waits_on: f.jobs("waits_on")?,
+            waits_on: f.job_ids("waits_on")?,
         })
     }
 }
 
-/// What a user is told of a job.
+/// The state of a job as its user sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
+    /// Accepted; none of its tasks runs.
     Pending,
+    /// At least one of its tasks runs or is done.
     Running,
+    /// All of its tasks are done.
     Done,
+    /// Its user has cancelled it.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether it never changes again.
+    /// Whether the state is final.
     pub fn is_end(self) -> bool {
         matches!(self, JobState::Done | JobState::Cancelled)
     }
 }
 
-/// The answer to a user's request about a job.
+/// The response to a user's request about a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
+    /// The job's id.
     #[serde(rename = "name_id")]
     pub id: String,
+    /// Its state.
     #[serde(rename = "status")]
     pub state: JobState,
+    /// The number of tasks that are done.
     pub done: u32,
+    /// The number of tasks that run.
     pub running: u32,
 }
