--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -5,10 +5,8 @@
 //! it replaces, so it is repeated until one copy is known to be applied: all others then fail. Until
 //! then the controller has no answer, and goes on expecting that its token may rise.
 
-use super::{
-    leader_transaction, lease_event, CurrentLeader, ElectionEvent, ElectionRequest, Input,
-    Operation, RENEWALS, RETRIES,
-};
+use super::messages::{CurrentLeader, ElectionEvent, ElectionRequest, Input, Operation};
+use super::state_machine::{leader_transaction, lease_event, RENEWALS, RETRIES};
 use crate::coordination::Time;
 use crate::storage::key_value_store::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
