--- a/src/coordination/election/messages.rs
+++ b/src/coordination/election/messages.rs
@@ -1,37 +1,51 @@
-//! What an election is told, what it asks its driver to do, and what it tells the controller.
+//! The election's interface: the operations that it has its driver carry out and their outcomes, the
+//! events that it reports to the controller, and the controller's requests.
 
 use crate::coordination::Time;
-use crate::protocol::store::{Events, Transaction};
-use crate::storage::key_value_store::{CommitOutcome, Renewal, Unavailable};
+use crate::protocol::store::{Events, LeaseId, Transaction};
+use crate::storage::outcome::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
 
-/// What the election tells the controller.
+/// What the election reports to the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ElectionEvent {
-    /// Another node leads, or none that is known.
-    Leader(Option<String>),
-    /// This node leads; the token names the term, too.
-    Elected { token: u64 },
-    /// The lease holds until then, by this node's clock.
-    Lease { valid_until: Time },
-    /// The answer to [`ElectionRequest::RaiseToken`]: the token from now on, or `None` if it stays.
+    /// This node follows: the leader as last read, or `None` since its record is gone.
+    LeaderObserved(Option<String>),
+    /// This node has won an election: it leads a new term with this fencing token.
+    Elected {
+        /// The fencing token. It identifies the term, too, also after the token has been raised.
+        token: u64,
+    },
+    /// This node's leadership lease was granted or renewed.
+    LeaseExtended {
+        /// Until when the lease is valid at least, by this node's clock.
+        valid_until: Time,
+    },
+    /// The response to [`ElectionRequest::RaiseToken`]: the fencing token from now on, or `None` if it
+    /// is unchanged.
     TokenRaised(Option<u64>),
-    /// This node leads no more.
+    /// This node's term is over: its lease has expired or it has resigned.
     Deposed,
 }
 
-/// What the controller asks of the election, for the term that began with the token `term`. Requests
-/// for a term that is over have no effect on a later one.
+/// A request of the controller to the election. It is meant for the term that began with the fencing
+/// token `term`; a request for a term that is over has no effect on a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionRequest {
-    /// Draw a higher token from the state service.
-    RaiseToken { term: u64 },
-    /// Give the leadership up, so that another node may have it.
-    Resign { term: u64 },
+    /// Obtain a higher fencing token within the same term.
+    RaiseToken {
+        /// The term's first token.
+        term: u64,
+    },
+    /// Give leadership up, and let other nodes campaign first.
+    Resign {
+        /// The term's first token.
+        term: u64,
+    },
 }
 
 impl ElectionRequest {
-    /// The term that the request is meant for.
+    /// The first token of the term that the request is meant for.
     pub fn term(&self) -> u64 {
         match self {
             ElectionRequest::RaiseToken { term } | ElectionRequest::Resign { term } => *term,
@@ -39,68 +53,87 @@
     }
 }
 
-/// The leader's record and its version.
+/// The leader's record as it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CurrentLeader {
+    /// The leader's name.
     pub node: String,
+    /// The version of the record, which is the leader's fencing token.
     pub version: u64,
 }
 
-/// How an [`Operation`] ended.
+/// The outcome of an [`Operation`], as reported by the driver.
 #[derive(Debug)]
 pub enum Input {
+    /// Of [`Operation::Read`]: the leader's record, or `None` if there is none.
     Read(Result<Option<CurrentLeader>, Unavailable>),
-    /// `None` when the revision was too old to go on from.
+    /// Of [`Operation::Watch`]: the changes, or `None` if the revision was too old to continue from.
     Watched(Result<Option<Events>, Unavailable>),
-    /// The new lease.
-    Granted(Result<u64, Unavailable>),
+    /// Of [`Operation::Grant`]: the new lease.
+    Granted(Result<LeaseId, Unavailable>),
+    /// Of [`Operation::Commit`].
     Committed(CommitOutcome),
+    /// Of [`Operation::Renew`].
     Renewed(Renewal),
+    /// Of [`Operation::Release`], whether or not it succeeded.
     Released,
-    /// A request came before the wait was over.
+    /// Of [`Operation::Wait`]: a request came before the time.
     Requested(ElectionRequest),
-    /// The wait is over.
+    /// Of [`Operation::Wait`]: the time has come.
     Elapsed,
 }
 
-/// What the driver does next. It hands back how that ended as an [`Input`].
+/// An operation for the driver to carry out. It reports the outcome as an [`Input`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// Reads the leader's record. Without a timeout, the store's own applies.
+    /// Read the leader's record.
     Read {
+        /// The timeout; `None` for the default of the state service's client.
         timeout: Option<Duration>,
     },
-    /// Waits for a change of the leader's record after a revision, for as long as `hold`.
+    /// Wait for a change of the leader's record.
     Watch {
+        /// The revision after which changes count.
         after: u64,
+        /// How long to wait.
         hold: Duration,
     },
-    /// Takes a new lease.
+    /// Request a new lease.
     Grant {
+        /// The time after which the lease expires unless it is renewed.
         life: Duration,
     },
-    /// Without a timeout, the store's own applies.
+    /// Commit a transaction.
     Commit {
+        /// The transaction.
         transaction: Transaction,
+        /// The timeout; `None` for the default of the state service's client.
         timeout: Option<Duration>,
     },
+    /// Renew a lease.
     Renew {
-        lease: u64,
+        /// The lease.
+        lease: LeaseId,
+        /// The timeout.
         timeout: Duration,
     },
-    /// Ends a lease, and with it the records that are attached to it.
+    /// End a lease, and with it the records that are attached to it.
     Release {
-        lease: u64,
+        /// The lease.
+        lease: LeaseId,
     },
-    /// Waits until then, or until the controller asks for something.
+    /// Wait for a time of the node's clock, or for a request of the controller's.
     Wait {
+        /// The time.
         until: Time,
     },
 }
 
-/// What follows from an input: first tell the controller, then carry the operation out.
+/// What follows from an input. The driver first reports the events, then carries the operation out.
 #[derive(Debug, PartialEq)]
 pub struct Step {
+    /// The events for the controller, in this order.
     pub events: Vec<ElectionEvent>,
+    /// The next operation.
     pub operation: Operation,
 }
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -1,77 +1,64 @@
 //! The election's state machine.
 
+use super::leadership_lease::{self, leader_transaction, RETRIES_PER_LEASE};
 use super::messages::{CurrentLeader, ElectionEvent, Input, Operation, Step};
 use super::term::{Term, TermEnd};
 use crate::coordination::Time;
-use crate::protocol::store::{Events, Transaction};
-use crate::storage::key_value_store::{CommitOutcome, Unavailable};
-use crate::storage::records::{LeaderRecord, LEADER_KEY};
+use crate::protocol::store::{Events, LeaseId};
+use crate::storage::outcome::{CommitOutcome, Unavailable};
 use std::time::Duration;
 use tracing::{debug, error, info, warn};
 
-/// The share of a lease that counts as safe by this node's own clock, whatever its drift.
-const SAFE: f64 = 0.98;
-/// Renewals within a lease.
-pub(super) const RENEWALS: u32 = 4;
-/// Leases that a watch of the leader's record is held open for.
+/// The time that a watch of the leader's record is held open for, in leases.
 const WATCH_LEASES: u32 = 4;
-/// A lease divided by this is the pause before a failed operation is tried again.
-pub(super) const RETRIES: u32 = 8;
 
 /// One node's part in the election.
 pub struct Election {
     node: String,
-    lease: Duration,
+    lease_duration: Duration,
     state: State,
-    /// What the controller is to be told with the next step.
+    /// Events for the controller, reported with the next step.
     events: Vec<ElectionEvent>,
 }
 
-/// The operation whose end is awaited.
+/// The state by the operation that is in progress.
 enum State {
+    /// Reads the leader's record.
     Reading,
-    /// Another node leads; changes after this revision are awaited.
-    Following {
-        after: u64,
-    },
-    /// A lease is requested, to campaign against this version of the leader's record.
-    Granting {
-        version: u64,
-        sent: Time,
-    },
-    /// The leader's record is written. The lease was requested at `sent`.
-    Campaigning {
-        lease: u64,
-        sent: Time,
-    },
-    Releasing {
-        next: AfterRelease,
-    },
-    Pausing {
-        until: Time,
-        next: AfterPause,
-    },
+    /// Follows another node: watches the leader's record for changes after this revision.
+    Following { after: u64 },
+    /// Requests a lease, to campaign against this version of the leader's record.
+    Granting { version: u64, requested_at: Time },
+    /// Campaigns: writes the leader's record with a lease that was requested at that time.
+    Campaigning { lease: LeaseId, requested_at: Time },
+    /// Releases a lease.
+    Releasing { next: AfterRelease },
+    /// Pauses until that time.
+    Pausing { until: Time, next: AfterPause },
+    /// Leads.
     Leading(Term),
 }
 
+/// What follows when a lease is released.
 enum AfterRelease {
-    /// The campaign was lost.
+    /// The campaign was lost: read who leads.
     Read,
-    /// This node has resigned: others may campaign for as long as a lease.
+    /// This node has resigned: let the others campaign for the duration of a lease.
     Abstain,
 }
 
+/// What follows a pause.
 enum AfterPause {
     Read,
     Watch { after: u64 },
 }
 
 impl Election {
-    /// An election of `node`, with leases of the given length.
-    pub fn new(node: impl Into<String>, lease: Duration) -> Election {
+    /// The election of `node`, whose leadership leases last for `lease_duration`.
+    pub fn new(node: impl Into<String>, lease_duration: Duration) -> Election {
         Election {
             node: node.into(),
-            lease,
+            lease_duration,
             state: State::Reading,
             events: Vec::new(),
         }
@@ -83,27 +70,35 @@
         self.step(operation)
     }
 
-    /// Takes in how the last operation ended, at this time of the node's clock.
+    /// Handles the outcome of the last operation at that time of the node's clock.
     pub fn handle(&mut self, input: Input, now: Time) -> Step {
         let operation = match (std::mem::replace(&mut self.state, State::Reading), input) {
             (State::Reading, Input::Read(record)) => self.record_read(record, now),
             (State::Following { after }, Input::Watched(events)) => {
                 self.watched(after, events, now)
             }
-            (State::Granting { version, sent }, Input::Granted(lease)) => {
-                self.granted(version, sent, lease, now)
-            }
-            (State::Campaigning { lease, sent }, Input::Committed(outcome)) => {
-                self.campaigned(lease, sent, outcome, now)
-            }
+            (
+                State::Granting {
+                    version,
+                    requested_at,
+                },
+                Input::Granted(lease),
+            ) => self.granted(version, requested_at, lease, now),
+            (
+                State::Campaigning {
+                    lease,
+                    requested_at,
+                },
+                Input::Committed(outcome),
+            ) => self.campaign_ended(lease, requested_at, outcome, now),
             (State::Releasing { next }, Input::Released) => self.released(next, now),
-            // Requests are meant for a leader.
+            // Requests are meant for a leader; a node that pauses ignores them.
             (State::Pausing { until, next }, Input::Elapsed | Input::Requested(_)) => {
                 self.paused(until, next, now)
             }
             (State::Leading(term), input) => self.lead(term, input, now),
             (_, input) => {
-                error!("an operation ended unexpectedly: {input:?}");
+                error!(?input, "unexpected outcome of an election operation");
                 self.read()
             }
         };
@@ -126,26 +121,31 @@
         self.state = State::Following { after };
         Operation::Watch {
             after,
-            hold: self.lease * WATCH_LEASES,
+            hold: self.lease_duration * WATCH_LEASES,
         }
     }
 
     fn campaign(&mut self, version: u64, now: Time) -> Operation {
-        self.state = State::Granting { version, sent: now };
-        Operation::Grant { life: self.lease }
+        self.state = State::Granting {
+            version,
+            requested_at: now,
+        };
+        Operation::Grant {
+            life: self.lease_duration,
+        }
     }
 
-    fn pause(&mut self, pause: Duration, next: AfterPause, now: Time) -> Operation {
-        let until = now + pause.as_secs_f64();
+    fn pause(&mut self, duration: Duration, next: AfterPause, now: Time) -> Operation {
+        let until = now + duration.as_secs_f64();
         self.state = State::Pausing { until, next };
         Operation::Wait { until }
     }
 
-    fn retry_later(&mut self, now: Time) -> Operation {
-        self.pause(self.lease / RETRIES, AfterPause::Read, now)
+    fn retry(&mut self, next: AfterPause, now: Time) -> Operation {
+        self.pause(self.lease_duration / RETRIES_PER_LEASE, next, now)
     }
 
-    fn release(&mut self, lease: u64, next: AfterRelease) -> Operation {
+    fn release(&mut self, lease: LeaseId, next: AfterRelease) -> Operation {
         self.state = State::Releasing { next };
         Operation::Release { lease }
     }
@@ -156,13 +156,14 @@
         now: Time,
     ) -> Operation {
         match record {
-            Err(Unavailable) => self.retry_later(now),
+            Err(Unavailable) => self.retry(AfterPause::Read, now),
             Ok(None) => self.campaign(0, now),
-            // This node's own record, of a process that has ended or of a campaign whose outcome is
-            // unknown: nobody renews its lease.
+            // This node's own record, of an earlier process or of a campaign with an unknown outcome:
+            // nobody renews its lease.
             Ok(Some(leader)) if leader.node == self.node => self.campaign(leader.version, now),
             Ok(Some(leader)) => {
-                self.events.push(ElectionEvent::Leader(Some(leader.node)));
+                self.events
+                    .push(ElectionEvent::LeaderObserved(Some(leader.node)));
                 self.follow(leader.version)
             }
         }
@@ -175,14 +176,14 @@
         now: Time,
     ) -> Operation {
         match events {
-            Err(Unavailable) => self.pause(self.lease / RETRIES, AfterPause::Watch { after }, now),
+            Err(Unavailable) => self.retry(AfterPause::Watch { after }, now),
             Ok(None) => self.read(),
             Ok(Some(changes)) => match changes.events.last() {
                 None => self.follow(after.max(changes.revision)),
                 Some(last) => {
                     if last.delete.is_some() {
-                        debug!("nobody leads");
-                        self.events.push(ElectionEvent::Leader(None));
+                        debug!(node = %self.node, "the leader's record was deleted");
+                        self.events.push(ElectionEvent::LeaderObserved(None));
                     }
                     self.read()
                 }
@@ -193,32 +194,38 @@
     fn granted(
         &mut self,
         version: u64,
-        sent: Time,
-        lease: Result<u64, Unavailable>,
+        requested_at: Time,
+        lease: Result<LeaseId, Unavailable>,
         now: Time,
     ) -> Operation {
         let Ok(lease) = lease else {
-            return self.retry_later(now);
+            return self.retry(AfterPause::Read, now);
+        };
+        self.state = State::Campaigning {
+            lease,
+            requested_at,
         };
-        self.state = State::Campaigning { lease, sent };
         Operation::Commit {
             transaction: leader_transaction(&self.node, version, lease),
             timeout: None,
         }
     }
 
-    fn campaigned(
+    fn campaign_ended(
         &mut self,
-        lease: u64,
-        sent: Time,
+        lease: LeaseId,
+        requested_at: Time,
         outcome: CommitOutcome,
         now: Time,
     ) -> Operation {
         match outcome {
             CommitOutcome::Applied(token) => {
                 self.events.push(ElectionEvent::Elected { token });
-                self.events.push(lease_event(sent, self.lease));
-                let mut term = Term::new(self.node.clone(), token, lease, self.lease, now);
+                self.events.push(leadership_lease::extended(
+                    requested_at,
+                    self.lease_duration,
+                ));
+                let mut term = Term::new(self.node.clone(), token, lease, self.lease_duration, now);
                 let operation = term.next_operation(now);
                 self.state = State::Leading(term);
                 operation
@@ -226,7 +233,7 @@
             CommitOutcome::Unknown
             | CommitOutcome::Refused
             | CommitOutcome::Limited
-            | CommitOutcome::TooLarge => self.retry_later(now),
+            | CommitOutcome::TooLarge => self.retry(AfterPause::Read, now),
             CommitOutcome::Conflict(_) | CommitOutcome::NoLease => {
                 self.release(lease, AfterRelease::Read)
             }
@@ -236,7 +243,7 @@
     fn released(&mut self, next: AfterRelease, now: Time) -> Operation {
         match next {
             AfterRelease::Read => self.read(),
-            AfterRelease::Abstain => self.pause(self.lease, AfterPause::Read, now),
+            AfterRelease::Abstain => self.pause(self.lease_duration, AfterPause::Read, now),
         }
     }
 
@@ -257,34 +264,16 @@
                 self.state = State::Leading(term);
                 operation
             }
-            Err(TermEnd::LeaseOver) => {
-                warn!("the leadership lease is over");
+            Err(TermEnd::LeaseExpired) => {
+                warn!(node = %self.node, token = term.token(), "leadership lease expired");
                 self.events.push(ElectionEvent::Deposed);
                 self.read()
             }
             Err(TermEnd::Resigned) => {
-                info!("hands leadership over");
+                info!(node = %self.node, token = term.token(), "resigning leadership");
                 self.events.push(ElectionEvent::Deposed);
                 self.release(term.lease(), AfterRelease::Abstain)
             }
         }
     }
 }
-
-/// A lease that was requested or renewed at `sent` holds at least until then.
-pub(super) fn lease_event(sent: Time, lease: Duration) -> ElectionEvent {
-    ElectionEvent::Lease {
-        valid_until: sent + lease.as_secs_f64() * SAFE,
-    }
-}
-
-/// Writes `node` as the leader, if the leader's record still has that version.
-pub(super) fn leader_transaction(node: &str, version: u64, lease: u64) -> Transaction {
-    let record = LeaderRecord {
-        node: node.to_string(),
-    };
-    let value = serde_json::to_value(record).expect("plain data");
-    Transaction::default()
-        .version(LEADER_KEY, version)
-        .put_leased(LEADER_KEY, value, lease)
-}
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -1,62 +1,72 @@
-//! A leader's term: it renews the lease for as long as the state service allows, and raises the
-//! token when the controller asks for it.
+//! A leader's term: it renews the leadership lease for as long as the state service allows, and raises
+//! the fencing token on the controller's request.
 //!
-//! A raise whose answer is lost may be applied at any later time. It is conditional on the token that
-//! it replaces, so it is repeated until one copy is known to be applied: all others then fail. Until
-//! then the controller has no answer, and goes on expecting that its token may rise.
+//! A raise is a transaction that rewrites the leader's record, conditional on the token that it
+//! replaces. If its response is lost, the transaction may be applied at any later time. It is therefore
+//! retried until one copy is known to be applied, which makes all others fail. Until then the
+//! controller gets no response, and must expect that the token may rise.
 
+use super::leadership_lease::{self, leader_transaction, RENEWALS_PER_LEASE, RETRIES_PER_LEASE};
 use super::messages::{CurrentLeader, ElectionEvent, ElectionRequest, Input, Operation};
-use super::state_machine::{leader_transaction, lease_event, RENEWALS, RETRIES};
 use crate::coordination::Time;
-use crate::storage::key_value_store::{CommitOutcome, Renewal, Unavailable};
+use crate::protocol::store::LeaseId;
+use crate::storage::outcome::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
 use tracing::error;
 
-/// A lease divided by this bounds the time for a renewal.
-const RENEWAL_TIMEOUTS: u32 = 2;
-/// A lease divided by this bounds the time for one try to raise the token, as the renewals wait for
-/// it meanwhile.
-const RAISE_TIMEOUTS: u32 = 4;
+/// The timeout of a renewal is a lease divided by this.
+const RENEWAL_TIMEOUTS_PER_LEASE: u32 = 2;
+/// The timeout of an attempt to raise the token is a lease divided by this. It is shorter, as
+/// renewals wait for it.
+const RAISE_TIMEOUTS_PER_LEASE: u32 = 4;
 
 /// Why a term ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum TermEnd {
-    LeaseOver,
+    /// The lease has expired.
+    LeaseExpired,
+    /// The controller has resigned; the lease is still to be released.
     Resigned,
 }
 
+/// The term of a leader.
 pub(super) struct Term {
     node: String,
+    /// The token that the term began with, which identifies it.
     first_token: u64,
+    /// The highest token that is known to be this term's.
     token: u64,
-    lease: u64,
-    lease_life: Duration,
+    lease: LeaseId,
+    lease_duration: Duration,
     renew_at: Time,
-    raise: Option<Raise>,
-    activity: Activity,
+    raise: Option<TokenRaise>,
+    in_progress: InProgress,
 }
 
-/// The operation whose end is awaited.
+/// The operation in progress.
 #[derive(Clone, Copy)]
-enum Activity {
-    Waiting,
-    Renewing { sent: Time },
-    Raising,
-    ReadingBack,
+enum InProgress {
+    Wait,
+    Renew { sent_at: Time },
+    RaiseToken,
+    ReadBack,
 }
 
-/// A raise of the token that is not decided yet.
+/// A raise of the token whose outcome is open.
 #[derive(Clone, Copy)]
-struct Raise {
+struct TokenRaise {
     next: RaiseStep,
     not_before: Time,
-    /// Whether a transaction went unanswered, so that it may be applied at any time.
-    unanswered: bool,
+    /// Whether the outcome of a transaction is unknown, so that it may be applied at any time.
+    is_indeterminate: bool,
 }
 
+/// The next step of a raise.
 #[derive(Clone, Copy)]
 enum RaiseStep {
+    /// Rewrite the leader's record.
     Commit,
+    /// Read the record, to learn whether an earlier transaction was applied.
     ReadBack,
 }
 
@@ -64,8 +74,8 @@
     pub(super) fn new(
         node: String,
         token: u64,
-        lease: u64,
-        lease_life: Duration,
+        lease: LeaseId,
+        lease_duration: Duration,
         now: Time,
     ) -> Term {
         Term {
@@ -73,46 +83,50 @@
             first_token: token,
             token,
             lease,
-            lease_life,
-            renew_at: now + (lease_life / RENEWALS).as_secs_f64(),
+            lease_duration,
+            renew_at: now + (lease_duration / RENEWALS_PER_LEASE).as_secs_f64(),
             raise: None,
-            activity: Activity::Waiting,
+            in_progress: InProgress::Wait,
         }
     }
 
-    pub(super) fn lease(&self) -> u64 {
+    pub(super) fn token(&self) -> u64 {
+        self.token
+    }
+
+    pub(super) fn lease(&self) -> LeaseId {
         self.lease
     }
 
-    /// Takes in how the last operation ended; returns the next one, or why the term is over.
+    /// Handles the outcome of the last operation; returns the next one, or why the term ended.
     pub(super) fn handle(
         &mut self,
         input: Input,
         now: Time,
         events: &mut Vec<ElectionEvent>,
     ) -> Result<Operation, TermEnd> {
-        match (self.activity, input) {
-            (Activity::Waiting, Input::Elapsed) => {}
-            (Activity::Waiting, Input::Requested(request)) => self.requested(request, now)?,
-            (Activity::Renewing { sent }, Input::Renewed(renewal)) => {
-                self.renewed(sent, renewal, now, events)?;
+        match (self.in_progress, input) {
+            (InProgress::Wait, Input::Elapsed) => {}
+            (InProgress::Wait, Input::Requested(request)) => self.requested(request, now)?,
+            (InProgress::Renew { sent_at }, Input::Renewed(renewal)) => {
+                self.renewed(sent_at, renewal, now, events)?;
             }
-            (Activity::Raising, Input::Committed(outcome)) => {
-                self.committed(outcome, now, events);
+            (InProgress::RaiseToken, Input::Committed(outcome)) => {
+                self.raise_committed(outcome, now, events);
             }
-            (Activity::ReadingBack, Input::Read(record)) => self.read_back(record, now, events),
-            (_, input) => error!("an operation ended unexpectedly: {input:?}"),
+            (InProgress::ReadBack, Input::Read(record)) => self.read_back(record, now, events),
+            (_, input) => error!(?input, "unexpected outcome of an election operation"),
         }
         Ok(self.next_operation(now))
     }
 
-    /// Renewals go before everything else.
+    /// The next operation. Renewals take precedence.
     pub(super) fn next_operation(&mut self, now: Time) -> Operation {
         if now >= self.renew_at {
-            self.activity = Activity::Renewing { sent: now };
+            self.in_progress = InProgress::Renew { sent_at: now };
             return Operation::Renew {
                 lease: self.lease,
-                timeout: self.lease_life / RENEWAL_TIMEOUTS,
+                timeout: self.lease_duration / RENEWAL_TIMEOUTS_PER_LEASE,
             };
         }
         match self.raise {
@@ -123,37 +137,38 @@
     }
 
     fn wait(&mut self, until: Time) -> Operation {
-        self.activity = Activity::Waiting;
+        self.in_progress = InProgress::Wait;
         Operation::Wait { until }
     }
 
     fn raise_operation(&mut self, step: RaiseStep) -> Operation {
-        let timeout = Some(self.lease_life / RAISE_TIMEOUTS);
+        let timeout = Some(self.lease_duration / RAISE_TIMEOUTS_PER_LEASE);
         match step {
             RaiseStep::Commit => {
-                self.activity = Activity::Raising;
+                self.in_progress = InProgress::RaiseToken;
                 Operation::Commit {
                     transaction: leader_transaction(&self.node, self.token, self.lease),
                     timeout,
                 }
             }
             RaiseStep::ReadBack => {
-                self.activity = Activity::ReadingBack;
+                self.in_progress = InProgress::ReadBack;
                 Operation::Read { timeout }
             }
         }
     }
 
+    /// Handles a request of the controller.
     fn requested(&mut self, request: ElectionRequest, now: Time) -> Result<(), TermEnd> {
         match request {
-            // The controller has asked before it knew of this term.
+            // The controller did not know of this term yet.
             request if request.term() != self.first_token => Ok(()),
             ElectionRequest::Resign { .. } => Err(TermEnd::Resigned),
             ElectionRequest::RaiseToken { .. } => {
-                self.raise.get_or_insert(Raise {
+                self.raise.get_or_insert(TokenRaise {
                     next: RaiseStep::Commit,
                     not_before: now,
-                    unanswered: false,
+                    is_indeterminate: false,
                 });
                 Ok(())
             }
@@ -162,38 +177,43 @@
 
     fn renewed(
         &mut self,
-        sent: Time,
+        sent_at: Time,
         renewal: Renewal,
         now: Time,
         events: &mut Vec<ElectionEvent>,
     ) -> Result<(), TermEnd> {
-        let pause = (self.lease_life / RENEWALS).as_secs_f64();
+        let interval = (self.lease_duration / RENEWALS_PER_LEASE).as_secs_f64();
         match renewal {
             Renewal::Renewed => {
-                events.push(lease_event(sent, self.lease_life));
-                self.renew_at = sent + pause;
+                events.push(leadership_lease::extended(sent_at, self.lease_duration));
+                self.renew_at = sent_at + interval;
             }
-            Renewal::Over => return Err(TermEnd::LeaseOver),
-            Renewal::Unavailable => self.renew_at = now + pause / 2.0,
+            Renewal::Over => return Err(TermEnd::LeaseExpired),
+            Renewal::Unavailable => self.renew_at = now + interval / 2.0,
         }
         Ok(())
     }
 
-    fn committed(&mut self, outcome: CommitOutcome, now: Time, events: &mut Vec<ElectionEvent>) {
-        let unanswered = self.raise.is_some_and(|raise| raise.unanswered);
+    fn raise_committed(
+        &mut self,
+        outcome: CommitOutcome,
+        now: Time,
+        events: &mut Vec<ElectionEvent>,
+    ) {
+        let is_indeterminate = self.raise.is_some_and(|raise| raise.is_indeterminate);
         match outcome {
             CommitOutcome::Applied(token) => self.raised(token, events),
-            CommitOutcome::Unknown => self.continue_raise(RaiseStep::ReadBack, true, now),
-            // An earlier copy was applied, or the leadership is lost.
-            CommitOutcome::Conflict(_) if unanswered => {
-                self.continue_raise(RaiseStep::ReadBack, true, now);
+            CommitOutcome::Unknown => self.continue_raise(RaiseStep::ReadBack, now),
+            // An earlier copy was applied, or leadership is lost.
+            CommitOutcome::Conflict(_) if is_indeterminate => {
+                self.continue_raise(RaiseStep::ReadBack, now);
             }
             CommitOutcome::Conflict(_) | CommitOutcome::NoLease => self.not_raised(now, events),
-            // This copy was not carried out, but an earlier one may be.
+            // This copy was not applied, but an earlier one may be.
             CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge
-                if unanswered =>
+                if is_indeterminate =>
             {
-                self.continue_raise(RaiseStep::Commit, true, now + self.retry_pause());
+                self.continue_raise(RaiseStep::Commit, now + self.retry_interval());
             }
             CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge => {
                 self.raise = None;
@@ -208,22 +228,23 @@
         now: Time,
         events: &mut Vec<ElectionEvent>,
     ) {
-        let retry_at = now + self.retry_pause();
+        let retry_at = now + self.retry_interval();
         match record {
-            Err(Unavailable) => self.continue_raise(RaiseStep::ReadBack, true, retry_at),
+            Err(Unavailable) => self.continue_raise(RaiseStep::ReadBack, retry_at),
             Ok(Some(leader)) if leader.node == self.node && leader.version == self.token => {
-                self.continue_raise(RaiseStep::Commit, true, retry_at);
+                self.continue_raise(RaiseStep::Commit, retry_at);
             }
             Ok(Some(leader)) if leader.node == self.node => self.raised(leader.version, events),
             Ok(_) => self.not_raised(now, events),
         }
     }
 
-    fn continue_raise(&mut self, next: RaiseStep, unanswered: bool, not_before: Time) {
-        self.raise = Some(Raise {
+    /// Retries a raise of which a transaction may have been, or may yet be, applied.
+    fn continue_raise(&mut self, next: RaiseStep, not_before: Time) {
+        self.raise = Some(TokenRaise {
             next,
             not_before,
-            unanswered,
+            is_indeterminate: true,
         });
     }
 
@@ -233,14 +254,14 @@
         events.push(ElectionEvent::TokenRaised(Some(token)));
     }
 
-    /// The record is no longer this term's: a renewal shows whether the lease is over.
+    /// The record is not this term's any more: a renewal shows whether the lease has expired.
     fn not_raised(&mut self, now: Time, events: &mut Vec<ElectionEvent>) {
         self.raise = None;
         self.renew_at = now;
         events.push(ElectionEvent::TokenRaised(None));
     }
 
-    fn retry_pause(&self) -> f64 {
-        (self.lease_life / RETRIES).as_secs_f64()
+    fn retry_interval(&self) -> f64 {
+        (self.lease_duration / RETRIES_PER_LEASE).as_secs_f64()
     }
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -7,6 +7,18 @@
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::records::VERSION;
+use std::fmt;
+
+/// The id of a lease. Keys attached to a lease are deleted when it expires or is released.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct LeaseId(pub u64);
+
+impl fmt::Display for LeaseId {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        self.0.fmt(out)
+    }
+}
 
 /// A key with its value and version.
 #[derive(Clone, Debug, Deserialize)]
@@ -60,7 +72,7 @@
         /// The lease to attach the key to: when the lease ends, the key is deleted. Without one, the
         /// key is detached from any lease.
         #[serde(rename = "mooring", skip_serializing_if = "Option::is_none")]
-        lease: Option<u64>,
+        lease: Option<LeaseId>,
     },
     /// Deletes a key.
     Delete {
@@ -113,11 +125,11 @@
     }
 
     /// Adds a write of a key that is deleted when the lease ends.
-    pub fn put_leased(self, key: impl Into<String>, value: Value, lease: u64) -> Self {
+    pub fn put_leased(self, key: impl Into<String>, value: Value, lease: LeaseId) -> Self {
         self.push_put(key.into(), value, Some(lease))
     }
 
-    fn push_put(mut self, key: String, value: Value, lease: Option<u64>) -> Self {
+    fn push_put(mut self, key: String, value: Value, lease: Option<LeaseId>) -> Self {
         self.operations
             .push(WriteOperation::Put { key, value, lease });
         self
@@ -151,7 +163,7 @@
 pub struct LeaseGranted {
     /// The id of the new lease.
     #[serde(rename = "mooring")]
-    pub lease: u64,
+    pub lease: LeaseId,
 }
 
 /// One change reported by a watch: either a put or a deletion.
--- a/src/service/controller/leadership.rs
+++ b/src/service/controller/leadership.rs
@@ -24,7 +24,7 @@
 impl Controller {
     pub(super) fn election_event(&mut self, event: ElectionEvent) {
         match event {
-            ElectionEvent::Leader(leader) => {
+            ElectionEvent::LeaderObserved(leader) => {
                 if leader != self.leader {
                     debug!("leader: {leader:?}");
                 }
@@ -48,7 +48,7 @@
                 self.term.store(token, Ordering::Relaxed);
                 self.load(token);
             }
-            ElectionEvent::Lease { valid_until: until } => match &mut self.role {
+            ElectionEvent::LeaseExtended { valid_until: until } => match &mut self.role {
                 Role::Recovering { valid_until, .. } => *valid_until = until,
                 Role::Leading(manager) => manager.lease_valid_until = until,
                 Role::Follower => {}
--- a/src/service/election_driver.rs
+++ b/src/service/election_driver.rs
@@ -1,43 +1,50 @@
-//! Carries out the operations of an [`Election`], on a thread of its own.
+//! The driver of an [`Election`]: carries out its operations on a thread of its own.
 
 use crate::coordination::election::{
     CurrentLeader, Election, ElectionEvent, ElectionRequest, Input, Operation,
 };
 use crate::coordination::Time;
 use crate::service::upgrade::SharedWriteFence;
-use crate::storage::key_value_store::{KeyValueStore, Unavailable};
+use crate::storage::key_value_store::KeyValueStore;
+use crate::storage::outcome::Unavailable;
 use crate::storage::records::{LeaderRecord, LEADER_KEY};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use stairstage_upgrade::fence::Refusal;
 use std::time::{Duration, Instant};
 
-/// Requests that may wait. The controller has at most three for each term.
+/// The capacity of the queue of requests. The controller makes at most three in each term.
 const MAX_REQUESTS: usize = 16;
 
-/// The channel by which the controller speaks to the election.
-pub fn requests() -> (Sender<ElectionRequest>, Receiver<ElectionRequest>) {
+/// The queue of the controller's requests to the election.
+pub fn request_queue() -> (Sender<ElectionRequest>, Receiver<ElectionRequest>) {
     crossbeam::channel::bounded(MAX_REQUESTS)
 }
 
+/// An election with what it needs to run.
 pub struct ElectionDriver {
+    /// The state machine.
     pub election: Election,
+    /// The state service that holds the leader's record.
     pub store: KeyValueStore,
-    /// The zero of the clock by which the controller reads the lease's end.
+    /// The zero of the clock that the controller compares the lease's end with.
     pub epoch: Instant,
+    /// Reports an event to the controller.
     pub notify: Box<dyn Fn(ElectionEvent) + Send>,
+    /// The controller's requests.
     pub requests: Receiver<ElectionRequest>,
-    pub clearance: SharedWriteFence,
+    /// The write fence: a controller that must not write does not campaign.
+    pub write_fence: SharedWriteFence,
 }
 
 impl ElectionDriver {
-    /// Goes on until the controller is gone.
+    /// Runs the election until the controller has ended, or must not lead any more.
     pub fn run(mut self) {
         let mut step = self.election.start();
         loop {
             for event in step.events {
                 (self.notify)(event);
             }
-            let Some(input) = self.carry_out(step.operation) else {
+            let Some(input) = self.execute(step.operation) else {
                 return;
             };
             step = self.election.handle(input, self.now());
@@ -48,15 +55,15 @@
         self.epoch.elapsed().as_secs_f64()
     }
 
-    /// `None` when the controller is gone, or may lead no more.
-    fn carry_out(&self, operation: Operation) -> Option<Input> {
+    /// Executes an operation. `None` if the controller has ended, or must not lead any more.
+    fn execute(&self, operation: Operation) -> Option<Input> {
         Some(match operation {
             Operation::Read { timeout } => Input::Read(self.read(timeout)),
             Operation::Watch { after, hold } => {
                 Input::Watched(self.store.watch(LEADER_KEY, after, hold))
             }
-            // A campaign begins with a lease.
-            Operation::Grant { life } => match self.clearance.get().refusal() {
+            // Every campaign begins with a lease.
+            Operation::Grant { life } => match self.write_fence.get().refusal() {
                 None => Input::Granted(self.store.grant(life)),
                 Some(Refusal::VersionUnread) => Input::Granted(Err(Unavailable)),
                 Some(Refusal::Withdrawn(_)) => return None,
@@ -91,6 +98,7 @@
         }))
     }
 
+    /// Waits for that time or a request. `None` if the controller has ended.
     fn wait(&self, until: Time) -> Option<Input> {
         let deadline = self.epoch + Duration::from_secs_f64(until);
         match self.requests.recv_deadline(deadline) {
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -89,7 +89,7 @@
     let store = KeyValueStore::new(settings.endpoints.state, GATEWAYS);
     let clearance = SharedWriteFence::new(settings.upgrade.is_some());
     upgrade::start(&settings, &store, &clearance, &inbox)?;
-    let (election_requests, requests) = election_driver::requests();
+    let (election_requests, requests) = election_driver::request_queue();
     let report_s = settings.cluster.workers.report_s;
     let lease_s = (settings.policy.leader_lease * report_s)
         .min(settings.cluster.workers.lease_s / 4.0)
@@ -103,7 +103,7 @@
             let _ = event_inbox.send(Message::Election(event));
         }),
         requests,
-        clearance: clearance.clone(),
+        write_fence: clearance.clone(),
     };
     spawn("election", move || election.run())?;
 
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -2,7 +2,7 @@
 
 use super::records;
 use super::SharedWriteFence;
-use crate::protocol::store::Transaction;
+use crate::protocol::store::{LeaseId, Transaction};
 use crate::service::controller::wall_ms;
 use crate::service::messages::Message;
 use crate::service::spawn;
@@ -32,7 +32,7 @@
     store: KeyValueStore,
     clearance: SharedWriteFence,
     controller: Sender<Message>,
-    lease: Option<u64>,
+    lease: Option<LeaseId>,
     lease_life: Duration,
     since_ms: u64,
     told: Option<Plan>,
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -2,7 +2,7 @@
 
 use super::request_counts::{RecentRequests, RequestCounts, RequestKind};
 use crate::protocol::store::{
-    Events, LeaseGranted, Page, Transaction, TransactionApplied, TransactionConflict,
+    Events, LeaseGranted, LeaseId, Page, Transaction, TransactionApplied, TransactionConflict,
     VersionedValue,
 };
 use crate::protocol::TOO_MANY_REQUESTS;
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     /// [`Unavailable`] if no usable response came.
-    pub fn grant(&self, life: Duration) -> Result<u64, Unavailable> {
+    pub fn grant(&self, life: Duration) -> Result<LeaseId, Unavailable> {
         let body = json!({"life_ms": life.as_millis() as u64});
         let answer = self.client.post("/leases", &body, DEFAULT_TIMEOUT);
         let granted: Option<LeaseGranted> = self.count(RequestKind::Lease, answer).ok();
@@ -204,7 +204,7 @@
     }
 
     /// Renews a lease for its full time.
-    pub fn renew(&self, lease: u64, timeout: Duration) -> Renewal {
+    pub fn renew(&self, lease: LeaseId, timeout: Duration) -> Renewal {
         let path = format!("/leases/{lease}/extend");
         let answer = self.client.post(&path, &json!({}), timeout);
         match self.count(RequestKind::Lease, answer) {
@@ -215,7 +215,7 @@
     }
 
     /// Ends a lease, on a best-effort basis: if the request fails, the lease expires by itself.
-    pub fn release(&self, lease: u64) {
+    pub fn release(&self, lease: LeaseId) {
         let path = format!("/leases/{lease}");
         let answer = self.client.delete(&path, DEFAULT_TIMEOUT);
         self.count(RequestKind::Lease, answer);
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -139,7 +139,9 @@
                 });
                 self.elections += 1;
             }
-            (ElectionEvent::Lease { valid_until }, Some(term)) => term.valid_until = valid_until,
+            (ElectionEvent::LeaseExtended { valid_until }, Some(term)) => {
+                term.valid_until = valid_until
+            }
             (ElectionEvent::TokenRaised(token), Some(term)) => {
                 term.raising = false;
                 term.token = term.token.max(token.unwrap_or(0));
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -4,7 +4,7 @@
 use super::random::SplitMix64;
 use serde_json::Value;
 use stairstage::coordination::election::CurrentLeader;
-use stairstage::protocol::store::{Event, Events, Transaction, WriteOperation};
+use stairstage::protocol::store::{Event, Events, LeaseId, Transaction, WriteOperation};
 use stairstage::storage::key_value_store::{CommitOutcome, Renewal};
 use stairstage::storage::records::{LeaderRecord, LEADER_KEY};
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
 struct StoredKey {
     value: Value,
     version: u64,
-    lease: Option<u64>,
+    lease: Option<LeaseId>,
 }
 
 struct Lease {
@@ -48,7 +48,7 @@
 pub(crate) struct LeaseStore {
     revision: u64,
     keys: BTreeMap<String, StoredKey>,
-    leases: BTreeMap<u64, Lease>,
+    leases: BTreeMap<LeaseId, Lease>,
     leader_changes: Vec<Event>,
     /// Which node wrote each version of the leader's record.
     pub leader_versions: BTreeMap<u64, String>,
@@ -82,8 +82,8 @@
         if self.outage {
             return;
         }
-        let over = |(id, lease): (&u64, &Lease)| (lease.ends_at <= now).then_some(*id);
-        let ended: Vec<u64> = self.leases.iter().filter_map(over).collect();
+        let over = |(id, lease): (&LeaseId, &Lease)| (lease.ends_at <= now).then_some(*id);
+        let ended: Vec<LeaseId> = self.leases.iter().filter_map(over).collect();
         for lease in ended {
             self.release(lease);
         }
@@ -96,14 +96,15 @@
         }
     }
 
-    pub(crate) fn grant(&mut self, life: Micros, now: Micros) -> u64 {
+    pub(crate) fn grant(&mut self, life: Micros, now: Micros) -> LeaseId {
         self.revision += 1;
         let ends_at = now + life + self.random.between(0, self.latest_end);
-        self.leases.insert(self.revision, Lease { life, ends_at });
-        self.revision
+        let lease = LeaseId(self.revision);
+        self.leases.insert(lease, Lease { life, ends_at });
+        lease
     }
 
-    pub(crate) fn renew(&mut self, lease: u64, now: Micros) -> Renewal {
+    pub(crate) fn renew(&mut self, lease: LeaseId, now: Micros) -> Renewal {
         let Some(lease) = self.leases.get_mut(&lease) else {
             return Renewal::Over;
         };
@@ -112,7 +113,7 @@
     }
 
     /// Ends a lease, and removes what is attached to it.
-    pub(crate) fn release(&mut self, lease: u64) {
+    pub(crate) fn release(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
         let attached = |(key, stored): (&String, &StoredKey)| {
             (stored.lease == Some(lease)).then(|| key.clone())
