--- a/tests/common/election_cluster/mod.rs
+++ b/tests/common/election_cluster/mod.rs
@@ -2,9 +2,9 @@
 //! networks, clocks and processes that fail. What must always hold is checked after every event.
 
 mod calls;
-mod checks;
 mod controllers;
-mod troubles;
+mod faults;
+mod invariants;
 
 use crate::lease_store::{LeaseStore, Micros, Random, SECOND};
 use stairstage::coordination::election::{
