--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -1,8 +1,8 @@
-//! Calls of nodes to the state service: delayed, lost, refused, or carried out late.
+//! Calls of nodes to the state service: delayed, lost, refused, or applied late.
 
 use super::{
-    Call, Cluster, Occurrence, ProcessId, Watch, CLIENT_TIMEOUT, LATE, LATENCY, SLOW_LATENCY,
-    SLOW_SHARE,
+    Call, Cluster, ProcessId, SimulatedEvent, Watch, CLIENT_TIMEOUT, COMMIT_DELAY, LATENCY,
+    SLOW_LATENCY, SLOW_PROBABILITY,
 };
 use crate::lease_store::{Micros, SECOND};
 use stairstage::coordination::election::{Input, Operation};
@@ -12,105 +12,124 @@
 
 impl Cluster {
     pub(super) fn latency(&mut self) -> Micros {
-        let (low, high) = if self.random.chance(SLOW_SHARE) {
+        let range = if self.random.chance(SLOW_PROBABILITY) {
             SLOW_LATENCY
         } else {
             LATENCY
         };
-        self.random.between(low, high)
+        self.random.within(range)
     }
 
-    pub(super) fn send(&mut self, by: ProcessId, call: Call) {
-        if self.process(by).is_none() {
+    pub(super) fn send(&mut self, id: ProcessId, call: Call) {
+        if self.process(id).is_none() {
             return;
         }
         if let Call::Election { number, operation } = &call {
             let timeout = self.now + timeout_of(operation);
-            let input = unanswered(operation);
-            self.schedule(timeout, Occurrence::Answer(by, *number, input));
+            let input = without_response(operation);
+            self.schedule(timeout, response(id, *number, input));
         }
-        let commits = is_commit(&call);
-        let (cut, late) = {
-            let troubles = &self.nodes[by.node].troubles;
-            (troubles.cut, troubles.late_commits > self.now && commits)
-        };
-        if self.now < cut {
-            return self.send_into_cut(by, call, cut);
+        let faults = &self.nodes[id.node].faults;
+        let partitioned_until = faults.partitioned_until;
+        let is_delayed = faults.commits_delayed_until > self.now && is_commit(&call);
+        if self.now < partitioned_until {
+            return self.send_into_partition(id, call, partitioned_until);
         }
-        if late && self.random.chance(self.trouble_share) {
-            let at = self.now + self.random.between(LATE.0, LATE.1);
-            return self.schedule(at, Occurrence::Arrive(by, call, false));
+        if is_delayed && self.random.chance(self.fault_rate) {
+            let at = self.now + self.random.within(COMMIT_DELAY);
+            return self.schedule_arrival(at, id, call, false);
         }
         let at = self.now + self.latency();
-        self.schedule(at, Occurrence::Arrive(by, call, true));
+        self.schedule_arrival(at, id, call, true);
+    }
+
+    fn schedule_arrival(&mut self, at: Micros, id: ProcessId, call: Call, is_awaited: bool) {
+        let arrival = SimulatedEvent::Arrive {
+            id,
+            call,
+            is_awaited,
+        };
+        self.schedule(at, arrival);
     }
 
     /// A connection cannot be made, or what is sent on one is held back.
-    pub(super) fn send_into_cut(&mut self, by: ProcessId, call: Call, until: Micros) {
+    pub(super) fn send_into_partition(&mut self, id: ProcessId, call: Call, until: Micros) {
         if self.random.chance(0.5) {
-            return self.schedule(until, Occurrence::Arrive(by, call, false));
+            return self.schedule_arrival(until, id, call, false);
         }
         if let Call::Election { number, operation } = call {
             let at = self.now + self.latency();
-            self.schedule(at, Occurrence::Answer(by, number, refused(&operation)));
+            self.schedule(at, response(id, number, refused(&operation)));
         }
     }
 
-    pub(super) fn arrive(&mut self, by: ProcessId, call: Call, awaited: bool) {
-        let refused_alone = self.nodes[by.node].troubles.refused > self.now;
-        if (self.store.outage || refused_alone) && !is_watch(&call) {
-            match (awaited, call) {
-                // It is carried out after the outage, as it is late anyway.
+    pub(super) fn arrive(&mut self, id: ProcessId, call: Call, is_awaited: bool) {
+        let is_refused = self.nodes[id.node].faults.refused_until > self.now;
+        if (self.store.outage || is_refused) && !is_watch(&call) {
+            match (is_awaited, call) {
+                // A delayed call is held back further, until the outage is over.
                 (false, call) => {
                     let at = self.now + SECOND / 2;
-                    self.schedule(at, Occurrence::Arrive(by, call, false));
+                    self.schedule_arrival(at, id, call, false);
                 }
                 (true, Call::Election { number, operation }) => {
-                    let input = refused(&operation);
-                    self.reply(by, Occurrence::Answer(by, number, input));
+                    self.respond(id, number, refused(&operation));
                 }
                 (true, Call::Write { .. }) => {}
             }
             return;
         }
         match call {
-            Call::Write { token } => self.write_arrived(by, token),
+            Call::Write { token } => self.write_arrived(id, token),
             Call::Election { number, operation } => {
-                let commits = matches!(operation, Operation::Commit { .. });
-                let input = self.carried_out(by, number, operation);
-                let lost = commits && self.loses_answer(by);
-                if let Some(input) = input.filter(|_| awaited && !lost) {
-                    self.reply(by, Occurrence::Answer(by, number, input));
+                let is_commit = matches!(operation, Operation::Commit { .. });
+                let input = self.execute_in_store(id, number, operation);
+                let is_lost = is_commit && self.loses_response(id);
+                if let Some(input) = input.filter(|_| is_awaited && !is_lost) {
+                    self.respond(id, number, input);
                 }
             }
         }
     }
 
-    pub(super) fn loses_answer(&mut self, by: ProcessId) -> bool {
-        let troubled = self.nodes[by.node].troubles.answers_lost > self.now;
-        troubled && self.random.chance(self.trouble_share)
+    pub(super) fn loses_response(&mut self, id: ProcessId) -> bool {
+        let is_faulty = self.nodes[id.node].faults.responses_lost_until > self.now;
+        is_faulty && self.random.chance(self.fault_rate)
     }
 
-    pub(super) fn reply(&mut self, by: ProcessId, answer: Occurrence) {
-        if self.nodes[by.node].troubles.cut <= self.now {
+    fn respond(&mut self, id: ProcessId, operation_number: u64, input: Input) {
+        self.deliver(id, response(id, operation_number, input));
+    }
+
+    /// Delivers a response to a process, unless its node is partitioned.
+    pub(super) fn deliver(&mut self, id: ProcessId, response: SimulatedEvent) {
+        if self.nodes[id.node].faults.partitioned_until <= self.now {
             let at = self.now + self.latency();
-            self.schedule(at, answer);
+            self.schedule(at, response);
         }
     }
 
-    /// What the state service answers to an operation; a watch is answered later.
-    pub(super) fn carried_out(
+    /// Executes an operation in the state service. The response to a watch comes later.
+    pub(super) fn execute_in_store(
         &mut self,
-        by: ProcessId,
+        id: ProcessId,
         number: u64,
         operation: Operation,
     ) -> Option<Input> {
         Some(match operation {
             Operation::Read { .. } => Input::Read(Ok(self.store.leader())),
             Operation::Watch { after, hold } => {
-                self.watches.push(Watch { by, number, after });
+                self.watches.push(Watch {
+                    id,
+                    operation_number: number,
+                    after,
+                });
                 let at = self.now + hold.as_micros() as Micros;
-                self.schedule(at, Occurrence::WatchOver(by, number));
+                let timeout = SimulatedEvent::WatchTimeout {
+                    id,
+                    operation_number: number,
+                };
+                self.schedule(at, timeout);
                 return None;
             }
             Operation::Grant { life } => {
@@ -122,7 +141,7 @@
             }
             Operation::Renew { lease, .. } => {
                 let renewal = self.store.renew(lease, self.now);
-                // A late copy of a renewal gives its lease another full time.
+                // A delayed copy of a renewal extends its lease, too.
                 if let Some(unknown) = &mut self.unknown_record {
                     unknown.since = self.now;
                 }
@@ -136,41 +155,56 @@
         })
     }
 
-    pub(super) fn watch_over(&mut self, by: ProcessId, number: u64) {
-        let asked = |watch: &Watch| watch.by == by && watch.number == number;
-        let Some(position) = self.watches.iter().position(asked) else {
+    /// Responds to a watch without changes, unless it has had a response.
+    pub(super) fn watch_timed_out(&mut self, id: ProcessId, operation_number: u64) {
+        let is_meant = |watch: &Watch| watch.id == id && watch.operation_number == operation_number;
+        let Some(position) = self.watches.iter().position(is_meant) else {
             return;
         };
         self.watches.swap_remove(position);
-        if !self.store.outage && self.nodes[by.node].troubles.refused <= self.now {
+        if !self.store.outage && self.nodes[id.node].faults.refused_until <= self.now {
             let events = self.store.leader_changes_after(u64::MAX);
-            self.reply(by, Occurrence::Answer(by, number, watched(events)));
+            self.respond(id, operation_number, watched(events));
         }
     }
 
-    pub(super) fn answer_watches(&mut self) {
+    /// Responds to the watches for which there are changes.
+    pub(super) fn notify_watches(&mut self) {
         if self.store.outage {
             return;
         }
         for position in (0..self.watches.len()).rev() {
-            let Watch { by, number, after } = self.watches[position];
-            let refused = self.nodes[by.node].troubles.refused > self.now;
+            let Watch {
+                id,
+                operation_number,
+                after,
+            } = self.watches[position];
+            let is_refused = self.nodes[id.node].faults.refused_until > self.now;
             let events = self.store.leader_changes_after(after);
-            if !refused && !events.events.is_empty() {
+            if !is_refused && !events.events.is_empty() {
                 self.watches.swap_remove(position);
-                self.reply(by, Occurrence::Answer(by, number, watched(events)));
+                self.respond(id, operation_number, watched(events));
             }
         }
     }
 
-    pub(super) fn answered(&mut self, by: ProcessId, number: u64, input: Input) {
-        let process = self.process(by);
-        if process.is_some_and(|process| process.operation_number == number) {
-            self.handle(by, input);
+    /// Handles an operation's outcome, unless the process has had one already.
+    pub(super) fn responded(&mut self, id: ProcessId, operation_number: u64, input: Input) {
+        let process = self.process(id);
+        if process.is_some_and(|process| process.operation_number == operation_number) {
+            self.handle(id, input);
         }
     }
 }
 
+fn response(id: ProcessId, operation_number: u64, input: Input) -> SimulatedEvent {
+    SimulatedEvent::Respond {
+        id,
+        operation_number,
+        input,
+    }
+}
+
 fn is_commit(call: &Call) -> bool {
     match call {
         Call::Election { operation, .. } => matches!(operation, Operation::Commit { .. }),
@@ -206,15 +240,15 @@
     }
 }
 
-/// How an operation ends that gets no answer.
-fn unanswered(operation: &Operation) -> Input {
+/// The outcome of an operation without a response.
+fn without_response(operation: &Operation) -> Input {
     match operation {
         Operation::Commit { .. } => Input::Committed(CommitOutcome::Unknown),
         other => refused(other),
     }
 }
 
-/// How an operation ends that is not carried out.
+/// The outcome of an operation that is refused.
 fn refused(operation: &Operation) -> Input {
     match operation {
         Operation::Read { .. } => Input::Read(Err(Unavailable)),
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -1,7 +1,9 @@
-//! Nodes: what they decide on inputs, what their controllers are told, and what leaders write.
+//! The processes of nodes: the steps of their elections, the events that their controllers handle, and
+//! the writes of leaders.
 
 use super::{
-    Call, Cluster, ModelTerm, Occurrence, ProcessId, SETTING_KEY, SLOW_CONTROLLER, WRITE_INTERVAL,
+    Call, Cluster, ModelTerm, ProcessId, SimulatedEvent, CONTROLLER_DELAY, WRITE_INTERVAL,
+    WRITTEN_KEY,
 };
 use stairstage::coordination::election::{ElectionEvent, ElectionRequest, Input, Operation, Step};
 use stairstage::protocol::store::Transaction;
@@ -9,7 +11,7 @@
 use stairstage::storage::records::LEADER_KEY;
 
 impl Cluster {
-    /// The controller hands over, if it leads.
+    /// The controller resigns, if it leads.
     pub(crate) fn resign(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
@@ -20,7 +22,7 @@
         }
     }
 
-    /// The controller asks for a higher token, if it leads.
+    /// The controller requests a higher token, if it leads.
     pub(crate) fn raise_token(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
@@ -32,51 +34,51 @@
         }
     }
 
-    pub(super) fn handle(&mut self, by: ProcessId, input: Input) {
-        let now = self.local_time(by.node);
-        if let Some(process) = self.process(by) {
+    pub(super) fn handle(&mut self, id: ProcessId, input: Input) {
+        let now = self.local_time(id.node);
+        if let Some(process) = self.process(id) {
             let step = process.election.handle(input, now);
-            self.carry_out(by, step);
+            self.apply_step(id, step);
         }
     }
 
-    pub(super) fn carry_out(&mut self, by: ProcessId, step: Step) {
-        let slow = self.nodes[by.node].troubles.slow_controller > self.now;
+    pub(super) fn apply_step(&mut self, id: ProcessId, step: Step) {
+        let is_slow = self.nodes[id.node].faults.controller_slow_until > self.now;
         let now = self.now;
-        let Some(process) = self.process(by) else {
+        let Some(process) = self.process(id) else {
             return;
         };
         process.operation_number += 1;
         process.operation = step.operation.clone();
         let number = process.operation_number;
-        let delay = if slow { SLOW_CONTROLLER } else { 0 };
+        let delay = if is_slow { CONTROLLER_DELAY } else { 0 };
         process.notified_at = process.notified_at.max(now + delay);
         let notified_at = process.notified_at;
         for event in step.events {
-            self.note_token(by, &event);
-            self.schedule(notified_at, Occurrence::Notified(by, event));
+            self.record_token(id, &event);
+            self.schedule(notified_at, SimulatedEvent::Notified(id, event));
         }
         match step.operation {
-            Operation::Wait { until } => self.wait(by, number, until),
+            Operation::Wait { until } => self.wait(id, number, until),
             operation => {
                 let call = Call::Election { number, operation };
-                self.schedule(now, Occurrence::Send(by, call));
+                self.schedule(now, SimulatedEvent::Send(id, call));
             }
         }
     }
 
-    pub(super) fn note_token(&mut self, by: ProcessId, event: &ElectionEvent) {
+    pub(super) fn record_token(&mut self, id: ProcessId, event: &ElectionEvent) {
         let token = match event {
             ElectionEvent::Elected { token } | ElectionEvent::TokenRaised(Some(token)) => *token,
             _ => return,
         };
-        let name = &self.nodes[by.node].name;
+        let name = &self.nodes[id.node].name;
         assert_eq!(
             self.store.leader_versions.get(&token),
             Some(name),
             "the state service has given this token to another node, or to none"
         );
-        let Some(process) = self.process(by) else {
+        let Some(process) = self.process(id) else {
             return;
         };
         let last = process.tokens.last().copied();
@@ -84,49 +86,57 @@
         process.tokens.insert(token);
     }
 
-    pub(super) fn wait(&mut self, by: ProcessId, number: u64, until: f64) {
-        let Some(process) = self.process(by) else {
+    pub(super) fn wait(&mut self, id: ProcessId, operation_number: u64, until: f64) {
+        let Some(process) = self.process(id) else {
             return;
         };
         let at = if process.requests.is_empty() {
-            self.real_time(by.node, until).max(self.now)
+            self.real_time(id.node, until).max(self.now)
         } else {
             self.now
         };
-        self.schedule(at, Occurrence::WaitOver(by, number));
+        let over = SimulatedEvent::WaitOver {
+            id,
+            operation_number,
+        };
+        self.schedule(at, over);
     }
 
-    pub(super) fn wait_over(&mut self, by: ProcessId, number: u64) {
-        let Some(process) = self.process(by) else {
+    pub(super) fn wait_over(&mut self, id: ProcessId, operation_number: u64) {
+        let Some(process) = self.process(id) else {
             return;
         };
-        if process.operation_number != number {
+        if process.operation_number != operation_number {
             return;
         }
         let input = match process.requests.pop_front() {
             Some(request) => Input::Requested(request),
             None => Input::Elapsed,
         };
-        self.handle(by, input);
+        self.handle(id, input);
     }
 
     pub(super) fn request(&mut self, node: usize, request: ElectionRequest) {
-        let Some(by) = self.process_id(node) else {
+        let Some(id) = self.process_id(node) else {
             return;
         };
-        let Some(process) = self.process(by) else {
+        let Some(process) = self.process(id) else {
             return;
         };
         process.requests.push_back(request);
         if matches!(process.operation, Operation::Wait { .. }) {
-            let number = process.operation_number;
-            self.schedule(self.now, Occurrence::WaitOver(by, number));
+            let operation_number = process.operation_number;
+            let over = SimulatedEvent::WaitOver {
+                id,
+                operation_number,
+            };
+            self.schedule(self.now, over);
         }
     }
 
-    pub(super) fn notified(&mut self, by: ProcessId, event: ElectionEvent) {
-        let now = self.local_time(by.node);
-        let Some(process) = self.process(by) else {
+    pub(super) fn notified(&mut self, id: ProcessId, event: ElectionEvent) {
+        let now = self.local_time(id.node);
+        let Some(process) = self.process(id) else {
             return;
         };
         match (event, &mut process.term) {
@@ -151,22 +161,22 @@
         }
     }
 
-    /// A leader writes something every now and then, as long as it trusts its lease.
-    pub(super) fn write(&mut self, by: ProcessId) {
-        if self.process(by).is_none() {
+    /// A leader writes periodically, as long as its lease is valid by its own clock.
+    pub(super) fn write(&mut self, id: ProcessId) {
+        if self.process(id).is_none() {
             return;
         }
-        if let Some(token) = self.valid_token(by.node) {
-            self.schedule(self.now, Occurrence::Send(by, Call::Write { token }));
+        if let Some(token) = self.valid_token(id.node) {
+            self.schedule(self.now, SimulatedEvent::Send(id, Call::Write { token }));
         }
-        self.schedule(self.now + WRITE_INTERVAL, Occurrence::WriteDue(by));
+        self.schedule(self.now + WRITE_INTERVAL, SimulatedEvent::WriteDue(id));
     }
 
-    pub(super) fn write_arrived(&mut self, by: ProcessId, token: u64) {
+    pub(super) fn write_arrived(&mut self, id: ProcessId, token: u64) {
         let value = serde_json::json!(token);
         let write = Transaction::default()
             .version(LEADER_KEY, token)
-            .put(SETTING_KEY, value);
+            .put(WRITTEN_KEY, value);
         match self.store.commit(&write) {
             CommitOutcome::Applied(_) => {
                 let last = self.store.leader_versions.last_key_value();
@@ -174,15 +184,16 @@
                 assert_eq!(last, Some(token), "a write of a deposed leader was applied");
             }
             _ => {
-                let version = self.store.version(LEADER_KEY);
-                self.reply(by, Occurrence::WriteFailed(by, version));
+                let leader_version = self.store.version(LEADER_KEY);
+                let failure = SimulatedEvent::WriteFailed { id, leader_version };
+                self.deliver(id, failure);
             }
         }
     }
 
-    /// The controller takes the leader's record into account as it does after each failed write.
-    pub(super) fn write_failed(&mut self, by: ProcessId, leader_version: u64) {
-        let Some(process) = self.process(by) else {
+    /// The controller reads the leader's record, as it does after each failed write.
+    pub(super) fn write_failed(&mut self, id: ProcessId, leader_version: u64) {
+        let Some(process) = self.process(id) else {
             return;
         };
         let lost = process.term.as_ref().is_some_and(|term| {
@@ -190,7 +201,7 @@
         });
         if lost {
             self.deposed_by_conflict += 1;
-            self.resign(by.node);
+            self.resign(id.node);
         }
     }
 }
--- a/tests/common/election_cluster/faults.rs
+++ b/tests/common/election_cluster/faults.rs
@@ -1,57 +1,57 @@
-//! What a test has go wrong with nodes, and with the state service.
+//! The faults that a test injects into nodes and the state service.
 
-use super::{Cluster, Occurrence, Troubles};
+use super::{Cluster, Faults, SimulatedEvent};
 use crate::lease_store::Micros;
 
 impl Cluster {
-    /// Ends a node's process, which is back after a while.
-    pub(crate) fn restart(&mut self, node: usize, away: Micros) {
+    /// Stops a node's process, and starts another after a while.
+    pub(crate) fn restart(&mut self, node: usize, downtime: Micros) {
         if self.nodes[node].process.take().is_some() {
-            self.schedule(self.now + away, Occurrence::Start(node));
+            self.schedule(self.now + downtime, SimulatedEvent::Start(node));
         }
     }
 
     /// A node stands still while its clock runs on.
     pub(crate) fn pause(&mut self, node: usize, time: Micros) {
-        self.nodes[node].troubles.paused = self.now + time;
+        self.nodes[node].faults.paused_until = self.now + time;
     }
 
     /// The state service refuses one node alone.
     pub(crate) fn refuse(&mut self, node: usize, time: Micros) {
-        self.nodes[node].troubles.refused = self.now + time;
+        self.nodes[node].faults.refused_until = self.now + time;
     }
 
-    /// A node is cut off from the state service; what it sends may be held back until the end.
-    pub(crate) fn cut(&mut self, node: usize, time: Micros) {
-        self.nodes[node].troubles.cut = self.now + time;
+    /// A node is partitioned from the state service; what it sends may be held back until the end.
+    pub(crate) fn partition(&mut self, node: usize, time: Micros) {
+        self.nodes[node].faults.partitioned_until = self.now + time;
     }
 
-    /// Transactions of a node are carried out without an answer.
-    pub(crate) fn lose_answers(&mut self, node: usize, time: Micros) {
-        self.nodes[node].troubles.answers_lost = self.now + time;
+    /// Transactions of a node are applied without a response.
+    pub(crate) fn lose_responses(&mut self, node: usize, time: Micros) {
+        self.nodes[node].faults.responses_lost_until = self.now + time;
     }
 
-    /// Transactions of a node get no answer, and are carried out seconds later.
+    /// Transactions of a node get no response, and are applied seconds later.
     pub(crate) fn delay_commits(&mut self, node: usize, time: Micros) {
-        self.nodes[node].troubles.late_commits = self.now + time;
+        self.nodes[node].faults.commits_delayed_until = self.now + time;
     }
 
-    /// The controller of a node takes in what the election tells it a second late.
+    /// The controller of a node handles the election's events a second late.
     pub(crate) fn slow_controller(&mut self, node: usize, time: Micros) {
-        self.nodes[node].troubles.slow_controller = self.now + time;
+        self.nodes[node].faults.controller_slow_until = self.now + time;
     }
 
     /// The state service refuses everybody.
     pub(crate) fn begin_outage(&mut self, time: Micros) {
         self.store.outage = true;
         self.outage_until = self.outage_until.max(self.now + time);
-        self.schedule(self.outage_until, Occurrence::OutageOver);
+        self.schedule(self.outage_until, SimulatedEvent::OutageOver);
     }
 
-    /// Ends all troubles but what is under way.
+    /// Ends all faults. What has been delayed already stays so.
     pub(crate) fn heal(&mut self) {
         for node in &mut self.nodes {
-            node.troubles = Troubles::default();
+            node.faults = Faults::default();
         }
         if self.store.outage {
             self.outage_until = self.now;
--- a/tests/common/election_cluster/invariants.rs
+++ b/tests/common/election_cluster/invariants.rs
@@ -1,35 +1,41 @@
-//! What must always hold.
+//! The invariants of an election.
 
-use super::{Cluster, UnknownRecord};
-use crate::lease_store::LATEST_END;
+use super::{Cluster, UnknownRecord, ValidToken};
+use crate::lease_store::MAX_EXPIRY_DELAY;
 use stairstage::storage::records::LEADER_KEY;
 
 impl Cluster {
-    /// What must hold at every moment.
-    pub(super) fn check(&mut self) {
-        let valid = |node: usize| Some((self.valid_token(node)?, node));
-        let valid: Vec<(u64, usize)> = (0..self.nodes.len()).filter_map(valid).collect();
+    /// At every moment at most one node trusts its lease, valid tokens only rise, each belongs to one
+    /// node, and no record outlives its lease without its node knowing of it.
+    pub(super) fn check_invariants(&mut self) {
+        let valid_token = |node: usize| {
+            let token = self.valid_token(node)?;
+            Some(ValidToken { token, node })
+        };
+        let valid: Vec<ValidToken> = (0..self.nodes.len()).filter_map(valid_token).collect();
         let (now, lease) = (self.now, self.lease);
         assert!(valid.len() <= 1, "two leaders at {now}: {valid:?}");
-        if let Some((token, node)) = valid.first().copied() {
-            if let Some((highest, holder)) = self.highest_valid {
-                assert!(token >= highest, "at {now} token {token} after {highest}");
-                assert!(token > highest || node == holder, "two nodes with {token}");
+        if let Some(current) = valid.first().copied() {
+            if let Some(highest) = self.highest_valid {
+                let (token, previous) = (current.token, highest.token);
+                assert!(token >= previous, "at {now} token {token} after {previous}");
+                let is_same_node = current.node == highest.node;
+                assert!(token > previous || is_same_node, "two nodes with {token}");
             }
-            self.highest_valid = Some((token, node));
+            self.highest_valid = Some(current);
         }
-        self.note_unknown_record();
+        self.track_unknown_record();
         if let Some(unknown) = self.unknown_record.as_ref().filter(|_| !self.store.outage) {
             let unknown_for = now - unknown.since;
-            let most = lease + LATEST_END;
+            let max_unknown_time = lease + MAX_EXPIRY_DELAY;
             assert!(
-                unknown_for <= most,
-                "at {now}: a leader that knows nothing of it"
+                unknown_for <= max_unknown_time,
+                "at {now}: a record of a leader that does not know of it"
             );
         }
     }
 
-    pub(super) fn note_unknown_record(&mut self) {
+    fn track_unknown_record(&mut self) {
         let version = self.store.version(LEADER_KEY);
         let processes = self.nodes.iter().filter_map(|node| node.process.as_ref());
         let known = processes.into_iter().any(|p| p.tokens.contains(&version));
--- a/tests/common/election_cluster/mod.rs
+++ b/tests/common/election_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The elections of several nodes in virtual time, against a model of the state service, with
-//! networks, clocks and processes that fail. What must always hold is checked after every event.
+//! A discrete-event simulation of the elections of several nodes, against a model of the state service,
+//! with networks, clocks and processes that fail. The invariants are checked after every event.
 
 mod calls;
 mod controllers;
@@ -11,155 +11,209 @@
     Election, ElectionEvent, ElectionRequest, Input, Operation,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// What the store's client waits for an answer.
+/// The timeout of the store's client.
 const CLIENT_TIMEOUT: Micros = 12 * SECOND / 10;
-/// One way between a node and the state service: usually, and now and then.
-const LATENCY: (Micros, Micros) = (100, 5_000);
-const SLOW_LATENCY: (Micros, Micros) = (100_000, 300_000);
-const SLOW_SHARE: f64 = 0.02;
-/// When a transaction is carried out that is late.
-const LATE: (Micros, Micros) = (SECOND / 2, 12 * SECOND);
-/// How often a leader writes something that depends on its token.
+/// The one-way latency between a node and the state service.
+const LATENCY: RangeInclusive<Micros> = 100..=5_000;
+/// The same for a slow message.
+const SLOW_LATENCY: RangeInclusive<Micros> = 100_000..=300_000;
+/// The probability that a message is slow.
+const SLOW_PROBABILITY: f64 = 0.02;
+/// After what time a delayed transaction is applied.
+const COMMIT_DELAY: RangeInclusive<Micros> = SECOND / 2..=12 * SECOND;
+/// The interval of a leader's writes that are conditional on its token.
 const WRITE_INTERVAL: Micros = 3 * SECOND / 20;
-/// Clocks of different nodes drift apart by 0.05% at the most.
+/// The rates of the nodes' clocks, which drift apart by at most 0.05%.
 const CLOCK_RATES: [f64; 3] = [0.99975, 1.00025, 1.0];
-/// How late a slow controller takes an event in.
-const SLOW_CONTROLLER: Micros = SECOND;
-const SETTING_KEY: &str = "written-by-a-leader";
+/// The time after which a slow controller handles an event.
+const CONTROLLER_DELAY: Micros = SECOND;
+/// The key that leaders write.
+const WRITTEN_KEY: &str = "written-by-a-leader";
 
-/// What goes wrong with a node, and until when.
+/// The faults of a node, each with the time until which it lasts.
 #[derive(Default)]
-struct Troubles {
-    paused: Micros,
-    refused: Micros,
-    cut: Micros,
-    answers_lost: Micros,
-    late_commits: Micros,
-    slow_controller: Micros,
+struct Faults {
+    /// The node stands still.
+    paused_until: Micros,
+    /// The state service refuses the node's requests.
+    refused_until: Micros,
+    /// The node is partitioned from the state service.
+    partitioned_until: Micros,
+    /// Responses to the node's transactions are lost.
+    responses_lost_until: Micros,
+    /// The node's transactions are applied late.
+    commits_delayed_until: Micros,
+    /// The node's controller handles events late.
+    controller_slow_until: Micros,
 }
 
-/// What the controller of a leading node keeps.
+/// A model of a leader's controller.
 struct ModelTerm {
     first_token: u64,
     token: u64,
     valid_until: f64,
+    /// Whether the controller has requested a higher token and has no response yet.
     raising: bool,
 }
 
+/// A running controller process.
 struct Process {
     id: u64,
     started: Micros,
     election: Election,
-    /// Counts operations, so that an answer finds the one that it belongs to.
+    /// Numbers the operations, so that a response is matched with its operation.
     operation_number: u64,
     operation: Operation,
     requests: VecDeque<ElectionRequest>,
     term: Option<ModelTerm>,
-    /// When the controller takes in the last event that it was told.
+    /// When the controller handles the last event that was reported to it.
     notified_at: Micros,
-    /// Tokens that this process knows to be its own.
+    /// The tokens that this process knows to be its own.
     tokens: BTreeSet<u64>,
 }
 
+/// A node, whose process may be down.
 struct Node {
     name: String,
     clock_rate: f64,
-    troubles: Troubles,
+    faults: Faults,
     process: Option<Process>,
 }
 
-/// One process of a node.
+/// Identifies a process among all that a node has had.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ProcessId {
     node: usize,
     process: u64,
 }
 
+/// A request to the state service.
 #[derive(Clone)]
 enum Call {
-    Election {
-        number: u64,
-        operation: Operation,
-    },
+    /// An operation of the election.
+    Election { number: u64, operation: Operation },
     /// The controller's own write, conditional on its token.
-    Write {
-        token: u64,
-    },
+    Write { token: u64 },
 }
 
-enum Occurrence {
+/// An event of the simulation.
+enum SimulatedEvent {
     /// A call leaves its node.
     Send(ProcessId, Call),
-    /// It arrives at the state service. The caller may no longer wait for the answer.
-    Arrive(ProcessId, Call, bool),
-    Answer(ProcessId, u64, Input),
-    /// The version of the leader's record that made the controller's write fail.
-    WriteFailed(ProcessId, u64),
-    WatchOver(ProcessId, u64),
-    WaitOver(ProcessId, u64),
+    /// A call arrives at the state service.
+    Arrive {
+        id: ProcessId,
+        call: Call,
+        /// Whether the caller still waits for the response.
+        is_awaited: bool,
+    },
+    /// An operation's outcome reaches its process.
+    Respond {
+        id: ProcessId,
+        operation_number: u64,
+        input: Input,
+    },
+    /// The controller learns that its write has failed.
+    WriteFailed {
+        id: ProcessId,
+        /// The version that the leader's record has instead.
+        leader_version: u64,
+    },
+    /// A watch times out.
+    WatchTimeout {
+        id: ProcessId,
+        operation_number: u64,
+    },
+    /// A process has waited for as long as it wanted, or has a request to handle.
+    WaitOver {
+        id: ProcessId,
+        operation_number: u64,
+    },
+    /// An event of the election reaches the controller.
     Notified(ProcessId, ElectionEvent),
+    /// The controller writes if it leads.
     WriteDue(ProcessId),
+    /// A node's process starts.
     Start(usize),
+    /// An outage of the state service ends.
     OutageOver,
 }
 
+/// A watch of the leader's record that the state service holds open.
 struct Watch {
-    by: ProcessId,
-    number: u64,
+    id: ProcessId,
+    operation_number: u64,
     after: u64,
 }
 
-/// The leader's record, and since when it has been there without its node knowing of it.
+/// A leader's record that its own node does not know of, and since when.
 struct UnknownRecord {
     version: u64,
     since: Micros,
 }
 
+/// A token that was valid, with the node that held it.
+#[derive(Clone, Copy, Debug)]
+struct ValidToken {
+    token: u64,
+    node: usize,
+}
+
+/// The simulation.
 pub(crate) struct Cluster {
     pub now: Micros,
     pub store: LeaseStore,
-    /// Elections of which a controller was told.
+    /// Elections that were reported to a controller.
     pub elections: u32,
-    /// Leaders that learned from a failed write that they lead no more.
+    /// Leaders that learned from a failed write that they are deposed.
     pub deposed_by_conflict: u32,
     lease: Micros,
     nodes: Vec<Node>,
-    queue: BTreeMap<(Micros, u64), Occurrence>,
-    occurrences: u64,
+    /// The events by their time and by the order in which they were scheduled.
+    queue: BTreeMap<(Micros, u64), SimulatedEvent>,
+    scheduled_events: u64,
+    /// The number of processes that have been started.
     processes: u64,
     watches: Vec<Watch>,
     random: Random,
     outage_until: Micros,
-    trouble_share: f64,
-    highest_valid: Option<(u64, usize)>,
+    fault_rate: f64,
+    highest_valid: Option<ValidToken>,
     unknown_record: Option<UnknownRecord>,
 }
 
 impl Cluster {
-    /// Nodes whose leases have that length. The troubles of requests meet `trouble_share` of them.
-    pub(crate) fn new(lease: Micros, latest_end: Micros, trouble_share: f64, seed: u64) -> Cluster {
+    /// Nodes whose leases last for `lease`. A fault of requests affects each with the probability
+    /// `fault_rate`.
+    pub(crate) fn new(
+        lease: Micros,
+        max_expiry_delay: Micros,
+        fault_rate: f64,
+        seed: u64,
+    ) -> Cluster {
         let nodes = CLOCK_RATES.iter().enumerate().map(|(i, rate)| Node {
             name: format!("node-{i}"),
             clock_rate: *rate,
-            troubles: Troubles::default(),
+            faults: Faults::default(),
             process: None,
         });
         let mut cluster = Cluster {
             now: 0,
-            store: LeaseStore::new(seed, latest_end),
+            store: LeaseStore::new(seed, max_expiry_delay),
             elections: 0,
             deposed_by_conflict: 0,
             lease,
             nodes: nodes.collect(),
             queue: BTreeMap::new(),
-            occurrences: 0,
+            scheduled_events: 0,
             processes: 0,
             watches: Vec::new(),
             random: Random::new(!seed),
             outage_until: 0,
-            trouble_share,
+            fault_rate,
             highest_valid: None,
             unknown_record: None,
         };
@@ -186,31 +240,32 @@
         (self.local_time(node) < term.valid_until).then_some(term.token)
     }
 
-    /// The node that is named in the leader's record, whether or not it knows.
+    /// The node that the leader's record names, whether or not it knows.
     pub(crate) fn recorded_leader(&self) -> Option<usize> {
         let record = self.store.leader()?;
         self.nodes.iter().position(|node| node.name == record.node)
     }
 
-    /// Plays until then.
+    /// Simulates until that time.
     pub(crate) fn run_until(&mut self, end: Micros) {
         loop {
             let next_event = self.queue.first_key_value().map(|((at, _), _)| *at);
-            let next = [next_event, self.store.next_lease_end(), Some(end)];
-            let next = next.into_iter().flatten().min().unwrap().max(self.now);
+            let candidates = [next_event, self.store.next_lease_expiry(), Some(end)];
+            let next = candidates.into_iter().flatten().min().unwrap();
+            let next = next.max(self.now);
             self.now = next;
             self.store.expire(next);
             if next_event == Some(next) {
-                let (_, occurrence) = self.queue.pop_first().unwrap();
-                self.occur(occurrence);
+                let (_, event) = self.queue.pop_first().unwrap();
+                self.dispatch(event);
             }
-            self.answer_watches();
-            self.check();
-            let idle = self
+            self.notify_watches();
+            self.check_invariants();
+            let is_idle = self
                 .queue
                 .first_key_value()
                 .is_none_or(|((at, _), _)| *at > end);
-            if next == end && idle {
+            if next == end && is_idle {
                 return;
             }
         }
@@ -220,8 +275,8 @@
         self.run_until(self.now + time);
     }
 
-    /// Plays until a node other than `former` leads, and fails if that takes longer.
-    pub(crate) fn run_until_led(&mut self, former: Option<usize>, within: Micros) -> usize {
+    /// Simulates until a node other than `former` leads, and fails if that takes longer than `within`.
+    pub(crate) fn run_until_elected(&mut self, former: Option<usize>, within: Micros) -> usize {
         let end = self.now + within;
         while self.now < end {
             self.run_for(SECOND / 100);
@@ -233,9 +288,9 @@
         panic!("nobody but {former:?} leads within {within} microseconds");
     }
 
-    fn schedule(&mut self, at: Micros, occurrence: Occurrence) {
-        self.occurrences += 1;
-        self.queue.insert((at, self.occurrences), occurrence);
+    fn schedule(&mut self, at: Micros, event: SimulatedEvent) {
+        self.scheduled_events += 1;
+        self.queue.insert((at, self.scheduled_events), event);
     }
 
     fn local_time(&self, node: usize) -> f64 {
@@ -261,40 +316,56 @@
         Some(ProcessId { node, process })
     }
 
-    fn occur(&mut self, occurrence: Occurrence) {
-        if let Some(until) = self.paused_until(&occurrence) {
-            return self.schedule(until, occurrence);
+    fn dispatch(&mut self, event: SimulatedEvent) {
+        if let Some(until) = self.paused_until(&event) {
+            return self.schedule(until, event);
         }
-        match occurrence {
-            Occurrence::Send(by, call) => self.send(by, call),
-            Occurrence::Arrive(by, call, awaited) => self.arrive(by, call, awaited),
-            Occurrence::Answer(by, number, input) => self.answered(by, number, input),
-            Occurrence::WriteFailed(by, version) => self.write_failed(by, version),
-            Occurrence::WatchOver(by, number) => self.watch_over(by, number),
-            Occurrence::WaitOver(by, number) => self.wait_over(by, number),
-            Occurrence::Notified(by, event) => self.notified(by, event),
-            Occurrence::WriteDue(by) => self.write(by),
-            Occurrence::Start(node) => self.start(node),
-            Occurrence::OutageOver if self.now >= self.outage_until => self.end_outage(),
-            Occurrence::OutageOver => {}
+        match event {
+            SimulatedEvent::Send(id, call) => self.send(id, call),
+            SimulatedEvent::Arrive {
+                id,
+                call,
+                is_awaited,
+            } => self.arrive(id, call, is_awaited),
+            SimulatedEvent::Respond {
+                id,
+                operation_number,
+                input,
+            } => self.responded(id, operation_number, input),
+            SimulatedEvent::WriteFailed { id, leader_version } => {
+                self.write_failed(id, leader_version);
+            }
+            SimulatedEvent::WatchTimeout {
+                id,
+                operation_number,
+            } => self.watch_timed_out(id, operation_number),
+            SimulatedEvent::WaitOver {
+                id,
+                operation_number,
+            } => self.wait_over(id, operation_number),
+            SimulatedEvent::Notified(id, event) => self.notified(id, event),
+            SimulatedEvent::WriteDue(id) => self.write(id),
+            SimulatedEvent::Start(node) => self.start(node),
+            SimulatedEvent::OutageOver if self.now >= self.outage_until => self.end_outage(),
+            SimulatedEvent::OutageOver => {}
         }
     }
 
-    /// Until when what happens within a node has to wait, as the node stands still.
-    fn paused_until(&self, occurrence: &Occurrence) -> Option<Micros> {
-        let by = match occurrence {
-            Occurrence::Send(by, _)
-            | Occurrence::Answer(by, ..)
-            | Occurrence::WriteFailed(by, _)
-            | Occurrence::WaitOver(by, _)
-            | Occurrence::Notified(by, _)
-            | Occurrence::WriteDue(by) => by,
-            Occurrence::Arrive(..)
-            | Occurrence::WatchOver(..)
-            | Occurrence::Start(_)
-            | Occurrence::OutageOver => return None,
+    /// Until when an event within a node is postponed because the node stands still.
+    fn paused_until(&self, event: &SimulatedEvent) -> Option<Micros> {
+        let id = match event {
+            SimulatedEvent::Send(id, _)
+            | SimulatedEvent::Respond { id, .. }
+            | SimulatedEvent::WriteFailed { id, .. }
+            | SimulatedEvent::WaitOver { id, .. }
+            | SimulatedEvent::Notified(id, _)
+            | SimulatedEvent::WriteDue(id) => id,
+            SimulatedEvent::Arrive { .. }
+            | SimulatedEvent::WatchTimeout { .. }
+            | SimulatedEvent::Start(_)
+            | SimulatedEvent::OutageOver => return None,
         };
-        let paused = self.nodes[by.node].troubles.paused;
+        let paused = self.nodes[id.node].faults.paused_until;
         (self.now < paused).then_some(paused)
     }
 
@@ -317,11 +388,11 @@
             notified_at: self.now,
             tokens: BTreeSet::new(),
         });
-        let by = ProcessId {
+        let id = ProcessId {
             node,
             process: self.processes,
         };
-        self.carry_out(by, first);
-        self.schedule(self.now + WRITE_INTERVAL, Occurrence::WriteDue(by));
+        self.apply_step(id, first);
+        self.schedule(self.now + WRITE_INTERVAL, SimulatedEvent::WriteDue(id));
     }
 }
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -1,4 +1,4 @@
-//! A model of the state service in virtual time: keys, versions, conditions and leases, as the
+//! A model of the state service in virtual time: keys, versions, compare-and-swap and leases, as the
 //! protocol describes them.
 
 use super::random::SplitMix64;
@@ -8,13 +8,14 @@
 use stairstage::storage::key_value_store::{CommitOutcome, Renewal};
 use stairstage::storage::records::{LeaderRecord, LEADER_KEY};
 use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
 
-/// Real time in microseconds.
+/// Virtual time in microseconds.
 pub(crate) type Micros = u64;
 
 pub(crate) const SECOND: Micros = 1_000_000;
-/// A lease ends late by at most this.
-pub(crate) const LATEST_END: Micros = SECOND / 10;
+/// A lease expires late by at most this.
+pub(crate) const MAX_EXPIRY_DELAY: Micros = SECOND / 10;
 
 /// Pseudo-random numbers that depend on nothing but a seed.
 pub(crate) struct Random(SplitMix64);
@@ -29,8 +30,14 @@
         low + self.0.next() % (high - low + 1)
     }
 
-    pub(crate) fn chance(&mut self, share: f64) -> bool {
-        (self.between(0, 999_999) as f64) < share * 1e6
+    /// The same for a range.
+    pub(crate) fn within(&mut self, range: RangeInclusive<u64>) -> u64 {
+        self.between(*range.start(), *range.end())
+    }
+
+    /// True with that probability.
+    pub(crate) fn chance(&mut self, probability: f64) -> bool {
+        (self.between(0, 999_999) as f64) < probability * 1e6
     }
 }
 
@@ -42,9 +49,10 @@
 
 struct Lease {
     life: Micros,
-    ends_at: Micros,
+    expires_at: Micros,
 }
 
+/// The state service.
 pub(crate) struct LeaseStore {
     revision: u64,
     keys: BTreeMap<String, StoredKey>,
@@ -54,12 +62,12 @@
     pub leader_versions: BTreeMap<u64, String>,
     pub outage: bool,
     random: Random,
-    latest_end: Micros,
+    max_expiry_delay: Micros,
 }
 
 impl LeaseStore {
-    /// Leases end late by up to `latest_end`.
-    pub(crate) fn new(seed: u64, latest_end: Micros) -> LeaseStore {
+    /// Leases expire late by up to `latest_end`.
+    pub(crate) fn new(seed: u64, max_expiry_delay: Micros) -> LeaseStore {
         LeaseStore {
             revision: 0,
             keys: BTreeMap::new(),
@@ -68,39 +76,41 @@
             leader_versions: BTreeMap::new(),
             outage: false,
             random: Random::new(seed),
-            latest_end,
+            max_expiry_delay,
         }
     }
 
-    /// When the next lease ends; none does during an outage.
-    pub(crate) fn next_lease_end(&self) -> Option<Micros> {
-        let ends = self.leases.values().map(|lease| lease.ends_at);
+    /// When the next lease expires; none does during an outage.
+    pub(crate) fn next_lease_expiry(&self) -> Option<Micros> {
+        let ends = self.leases.values().map(|lease| lease.expires_at);
         ends.min().filter(|_| !self.outage)
     }
 
+    /// Ends the leases that have expired.
     pub(crate) fn expire(&mut self, now: Micros) {
         if self.outage {
             return;
         }
-        let over = |(id, lease): (&LeaseId, &Lease)| (lease.ends_at <= now).then_some(*id);
-        let ended: Vec<LeaseId> = self.leases.iter().filter_map(over).collect();
-        for lease in ended {
+        let is_expired = |(id, lease): (&LeaseId, &Lease)| (lease.expires_at <= now).then_some(*id);
+        let expired: Vec<LeaseId> = self.leases.iter().filter_map(is_expired).collect();
+        for lease in expired {
             self.release(lease);
         }
     }
 
+    /// Ends an outage: every lease has its full time again.
     pub(crate) fn end_outage(&mut self, now: Micros) {
         self.outage = false;
         for lease in self.leases.values_mut() {
-            lease.ends_at = now + lease.life + self.random.between(0, self.latest_end);
+            lease.expires_at = now + lease.life + self.random.between(0, self.max_expiry_delay);
         }
     }
 
     pub(crate) fn grant(&mut self, life: Micros, now: Micros) -> LeaseId {
         self.revision += 1;
-        let ends_at = now + life + self.random.between(0, self.latest_end);
+        let expires_at = now + life + self.random.between(0, self.max_expiry_delay);
         let lease = LeaseId(self.revision);
-        self.leases.insert(lease, Lease { life, ends_at });
+        self.leases.insert(lease, Lease { life, expires_at });
         lease
     }
 
@@ -108,11 +118,11 @@
         let Some(lease) = self.leases.get_mut(&lease) else {
             return Renewal::Over;
         };
-        lease.ends_at = now + lease.life + self.random.between(0, self.latest_end);
+        lease.expires_at = now + lease.life + self.random.between(0, self.max_expiry_delay);
         Renewal::Renewed
     }
 
-    /// Ends a lease, and removes what is attached to it.
+    /// Ends a lease, and deletes the keys attached to it.
     pub(crate) fn release(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
         let attached = |(key, stored): (&String, &StoredKey)| {
@@ -122,7 +132,7 @@
         for key in keys {
             self.revision += 1;
             self.keys.remove(&key);
-            self.note_change(&key, None);
+            self.record_change(&key, None);
         }
     }
 
@@ -140,7 +150,7 @@
     }
 
     pub(crate) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
-        let lease_of = |change: &WriteOperation| match change {
+        let lease_of = |operation: &WriteOperation| match operation {
             WriteOperation::Put { lease, .. } => *lease,
             WriteOperation::Delete { .. } => None,
         };
@@ -148,23 +158,23 @@
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
             return CommitOutcome::NoLease;
         }
-        let conditions = transaction.compares.iter();
-        let failed: Vec<String> = conditions
-            .filter(|condition| self.version(&condition.key) != condition.version)
-            .map(|condition| condition.key.clone())
+        let compares = transaction.compares.iter();
+        let failed: Vec<String> = compares
+            .filter(|compare| self.version(&compare.key) != compare.version)
+            .map(|compare| compare.key.clone())
             .collect();
         if !failed.is_empty() {
             return CommitOutcome::Conflict(failed);
         }
         self.revision += 1;
-        for change in &transaction.operations {
-            self.apply(change);
+        for operation in &transaction.operations {
+            self.apply(operation);
         }
         CommitOutcome::Applied(self.revision)
     }
 
-    fn apply(&mut self, change: &WriteOperation) {
-        match change {
+    fn apply(&mut self, operation: &WriteOperation) {
+        match operation {
             WriteOperation::Put { key, value, lease } => {
                 let stored = StoredKey {
                     value: value.clone(),
@@ -172,16 +182,16 @@
                     lease: *lease,
                 };
                 self.keys.insert(key.clone(), stored);
-                self.note_change(key, Some(value.clone()));
+                self.record_change(key, Some(value.clone()));
             }
             WriteOperation::Delete { key } => {
                 self.keys.remove(key);
-                self.note_change(key, None);
+                self.record_change(key, None);
             }
         }
     }
 
-    fn note_change(&mut self, key: &str, value: Option<Value>) {
+    fn record_change(&mut self, key: &str, value: Option<Value>) {
         if key != LEADER_KEY {
             return;
         }
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,5 +1,5 @@
-//! Elections of several nodes in virtual time: generated schedules of troubles, and combinations of
-//! troubles by name.
+//! Elections of several nodes in virtual time: generated schedules of faults, and particular
+//! combinations of faults.
 
 #[path = "common/election_cluster/mod.rs"]
 mod election_cluster;
@@ -9,27 +9,28 @@
 mod random;
 
 use election_cluster::Cluster;
-use lease_store::{Micros, LATEST_END, SECOND};
+use lease_store::{Micros, MAX_EXPIRY_DELAY, SECOND};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const LEASE: Micros = 16 * SECOND / 10;
-/// Leases after which somebody leads again: a watch whose connection was lost is held open for four.
+/// The time after which a node leads again: a watch whose connection was lost is held open for four
+/// leases.
 const RECOVERY: Micros = 7 * LEASE;
 const SEED: u64 = 7;
 
-/// All requests that may meet a trouble do.
+/// A cluster whose faults affect every request.
 fn cluster() -> Cluster {
-    Cluster::new(LEASE, LATEST_END, 1.0, SEED)
+    Cluster::new(LEASE, MAX_EXPIRY_DELAY, 1.0, SEED)
 }
 
-fn led_cluster() -> (Cluster, usize) {
+fn cluster_with_leader() -> (Cluster, usize) {
     let mut cluster = cluster();
-    let leader = cluster.run_until_led(None, LEASE);
+    let leader = cluster.run_until_elected(None, LEASE);
     (cluster, leader)
 }
 
-/// After the troubles there is a leader, which stays and knows its token.
+/// Once the faults are over there is a leader, which stays and knows its token.
 fn assert_recovers(cluster: &mut Cluster) {
     cluster.heal();
     cluster.run_for(RECOVERY);
@@ -43,13 +44,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     Restart(usize, Micros),
     RestartAll(Micros),
     Pause(usize, Micros),
     Refuse(usize, Micros),
-    Cut(usize, Micros),
-    LoseAnswers(usize, Micros),
+    Partition(usize, Micros),
+    LoseResponses(usize, Micros),
     DelayCommits(usize, Micros),
     SlowController(usize, Micros),
     Outage(Micros),
@@ -60,68 +61,67 @@
     RaiseToken,
 }
 
-fn trouble() -> impl Strategy<Value = Trouble> {
-    use Trouble::*;
+fn fault() -> impl Strategy<Value = Fault> {
     let node = 0..3usize;
     let brief = SECOND / 20..SECOND;
     let long = SECOND / 2..5 * LEASE;
     let either = || prop_oneof![brief.clone(), long.clone()];
     prop_oneof![
-        (node.clone(), either()).prop_map(|(node, time)| Restart(node, time)),
-        either().prop_map(RestartAll),
-        (node.clone(), either()).prop_map(|(node, time)| Pause(node, time)),
-        (node.clone(), either()).prop_map(|(node, time)| Refuse(node, time)),
-        (node.clone(), either()).prop_map(|(node, time)| Cut(node, time)),
-        (node.clone(), long.clone()).prop_map(|(node, time)| LoseAnswers(node, time)),
-        (node.clone(), long.clone()).prop_map(|(node, time)| DelayCommits(node, time)),
-        (node, long.clone()).prop_map(|(node, time)| SlowController(node, time)),
-        either().prop_map(Outage),
-        long.clone().prop_map(LeaderRefusedThenAll),
-        either().prop_map(RestartLeader),
-        either().prop_map(PauseLeader),
-        Just(Resign),
-        Just(RaiseToken),
-        Just(RaiseToken),
+        (node.clone(), either()).prop_map(|(node, time)| Fault::Restart(node, time)),
+        either().prop_map(Fault::RestartAll),
+        (node.clone(), either()).prop_map(|(node, time)| Fault::Pause(node, time)),
+        (node.clone(), either()).prop_map(|(node, time)| Fault::Refuse(node, time)),
+        (node.clone(), either()).prop_map(|(node, time)| Fault::Partition(node, time)),
+        (node.clone(), long.clone()).prop_map(|(node, time)| Fault::LoseResponses(node, time)),
+        (node.clone(), long.clone()).prop_map(|(node, time)| Fault::DelayCommits(node, time)),
+        (node, long.clone()).prop_map(|(node, time)| Fault::SlowController(node, time)),
+        either().prop_map(Fault::Outage),
+        long.clone().prop_map(Fault::LeaderRefusedThenAll),
+        either().prop_map(Fault::RestartLeader),
+        either().prop_map(Fault::PauseLeader),
+        Just(Fault::Resign),
+        Just(Fault::RaiseToken),
+        Just(Fault::RaiseToken),
     ]
 }
 
-fn apply(cluster: &mut Cluster, trouble: Trouble) {
-    match trouble {
-        Trouble::Restart(node, time) => cluster.restart(node, time),
-        Trouble::RestartAll(time) => restart_all(cluster, time),
-        Trouble::Pause(node, time) => cluster.pause(node, time),
-        Trouble::Refuse(node, time) => cluster.refuse(node, time),
-        Trouble::Cut(node, time) => cluster.cut(node, time),
-        Trouble::LoseAnswers(node, time) => cluster.lose_answers(node, time),
-        Trouble::DelayCommits(node, time) => cluster.delay_commits(node, time),
-        Trouble::SlowController(node, time) => cluster.slow_controller(node, time),
-        Trouble::Outage(time) => cluster.begin_outage(time),
-        trouble => {
+fn apply(cluster: &mut Cluster, fault: Fault) {
+    match fault {
+        Fault::Restart(node, time) => cluster.restart(node, time),
+        Fault::RestartAll(time) => restart_all(cluster, time),
+        Fault::Pause(node, time) => cluster.pause(node, time),
+        Fault::Refuse(node, time) => cluster.refuse(node, time),
+        Fault::Partition(node, time) => cluster.partition(node, time),
+        Fault::LoseResponses(node, time) => cluster.lose_responses(node, time),
+        Fault::DelayCommits(node, time) => cluster.delay_commits(node, time),
+        Fault::SlowController(node, time) => cluster.slow_controller(node, time),
+        Fault::Outage(time) => cluster.begin_outage(time),
+        fault => {
             if let Some(leader) = cluster.leader() {
-                apply_to_leader(cluster, trouble, leader);
+                apply_to_leader(cluster, fault, leader);
             }
         }
     }
 }
 
-fn apply_to_leader(cluster: &mut Cluster, trouble: Trouble, leader: usize) {
-    match trouble {
-        Trouble::LeaderRefusedThenAll(time) => {
+fn apply_to_leader(cluster: &mut Cluster, fault: Fault, leader: usize) {
+    match fault {
+        Fault::LeaderRefusedThenAll(time) => {
             cluster.refuse(leader, time);
             cluster.run_for(SECOND);
             cluster.begin_outage(time);
         }
-        Trouble::RestartLeader(time) => cluster.restart(leader, time),
-        Trouble::PauseLeader(time) => cluster.pause(leader, time),
-        Trouble::Resign => cluster.resign(leader),
-        Trouble::RaiseToken => cluster.raise_token(leader),
+        Fault::RestartLeader(time) => cluster.restart(leader, time),
+        Fault::PauseLeader(time) => cluster.pause(leader, time),
+        Fault::Resign => cluster.resign(leader),
+        Fault::RaiseToken => cluster.raise_token(leader),
         other => unreachable!("{other:?} is not the leader's alone"),
     }
 }
 
-fn restart_all(cluster: &mut Cluster, away: Micros) {
+fn restart_all(cluster: &mut Cluster, downtime: Micros) {
     for node in 0..cluster.nodes() {
-        cluster.restart(node, away);
+        cluster.restart(node, downtime);
     }
 }
 
@@ -136,11 +136,11 @@
     #[test]
     fn no_schedule_breaks_the_election(
         seed in any::<u64>(),
-        schedule in prop::collection::vec((trouble(), 0..2 * LEASE), 5..40),
+        schedule in prop::collection::vec((fault(), 0..2 * LEASE), 5..40),
     ) {
-        let mut cluster = Cluster::new(LEASE, LATEST_END, 0.5, seed);
-        for (trouble, pause) in schedule {
-            apply(&mut cluster, trouble);
+        let mut cluster = Cluster::new(LEASE, MAX_EXPIRY_DELAY, 0.5, seed);
+        for (fault, pause) in schedule {
+            apply(&mut cluster, fault);
             cluster.run_for(pause);
         }
         assert_recovers(&mut cluster);
@@ -149,7 +149,7 @@
 
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
-    let (mut cluster, mut leader) = led_cluster();
+    let (mut cluster, mut leader) = cluster_with_leader();
     for change in 0..10 {
         if change == 4 {
             cluster.begin_outage(10 * SECOND);
@@ -158,7 +158,7 @@
         cluster.restart(leader, 5 * SECOND);
         // During the outage the node is back before its lease is over, and may lead a new term.
         cluster.run_for(SECOND / 100);
-        leader = cluster.run_until_led(None, 12 * SECOND);
+        leader = cluster.run_until_elected(None, 12 * SECOND);
         assert!(cluster.valid_token(leader) > token);
     }
     assert!(cluster.now <= 120 * SECOND);
@@ -168,51 +168,51 @@
 
 #[test]
 fn a_leader_that_ends_inside_an_outage_leads_again_or_is_followed() {
-    let (mut cluster, leader) = led_cluster();
+    let (mut cluster, leader) = cluster_with_leader();
     cluster.begin_outage(10 * LEASE);
     for _ in 0..10 {
         cluster.restart(leader, SECOND / 4);
         cluster.run_for(LEASE);
     }
-    cluster.run_until_led(None, LEASE);
+    cluster.run_until_elected(None, LEASE);
     assert_recovers(&mut cluster);
 }
 
 #[test]
 fn controllers_hand_over_and_back_then_all_end_and_one_returns() {
-    for away in [SECOND / 4, SECOND, 3 * LEASE] {
-        let (mut cluster, first) = led_cluster();
+    for downtime in [SECOND / 4, SECOND, 3 * LEASE] {
+        let (mut cluster, first) = cluster_with_leader();
         cluster.resign(first);
-        let second = cluster.run_until_led(Some(first), LEASE);
+        let second = cluster.run_until_elected(Some(first), LEASE);
         cluster.run_for(2 * LEASE);
         cluster.resign(second);
-        cluster.run_until_led(Some(second), LEASE);
+        cluster.run_until_elected(Some(second), LEASE);
         for node in 0..cluster.nodes() {
-            cluster.restart(node, if node == first { away } else { 8 * LEASE });
+            cluster.restart(node, if node == first { downtime } else { 8 * LEASE });
         }
-        cluster.run_for(away);
-        assert_eq!(cluster.run_until_led(None, 2 * LEASE), first);
+        cluster.run_for(downtime);
+        assert_eq!(cluster.run_until_elected(None, 2 * LEASE), first);
         assert_recovers(&mut cluster);
     }
 }
 
 #[test]
 fn all_controllers_are_away_for_longer_than_a_workers_lease() {
-    let (mut cluster, _) = led_cluster();
+    let (mut cluster, _) = cluster_with_leader();
     restart_all(&mut cluster, 8 * LEASE);
     cluster.run_for(8 * LEASE);
-    cluster.run_until_led(None, LEASE);
+    cluster.run_until_elected(None, LEASE);
     assert_recovers(&mut cluster);
 }
 
 #[test]
 fn the_leader_is_refused_alone_and_then_everybody() {
-    let (mut cluster, leader) = led_cluster();
+    let (mut cluster, leader) = cluster_with_leader();
     cluster.refuse(leader, 20 * LEASE);
     cluster.run_for(SECOND);
     cluster.begin_outage(10 * LEASE);
     cluster.run_for(10 * LEASE);
-    cluster.run_until_led(Some(leader), 2 * LEASE);
+    cluster.run_until_elected(Some(leader), 2 * LEASE);
     assert_recovers(&mut cluster);
 }
 
@@ -220,15 +220,15 @@
 fn a_campaign_whose_answer_is_lost_is_won_within_a_lease() {
     let mut cluster = cluster();
     for node in 0..cluster.nodes() {
-        cluster.lose_answers(node, SECOND / 10);
+        cluster.lose_responses(node, SECOND / 10);
     }
-    cluster.run_until_led(None, 2 * LEASE);
+    cluster.run_until_elected(None, 2 * LEASE);
     assert_recovers(&mut cluster);
 }
 
 #[test]
 fn a_campaign_that_is_carried_out_late_leads_nobody() {
-    let (mut cluster, leader) = led_cluster();
+    let (mut cluster, leader) = cluster_with_leader();
     for node in 0..cluster.nodes() {
         cluster.delay_commits(node, 2 * LEASE);
     }
@@ -236,17 +236,17 @@
     cluster.run_for(2 * LEASE);
     // Neither does one of a process that has ended meanwhile.
     restart_all(&mut cluster, SECOND / 4);
-    cluster.run_until_led(None, 3 * LEASE);
+    cluster.run_until_elected(None, 3 * LEASE);
     assert_recovers(&mut cluster);
 }
 
 #[test]
 fn a_restarted_leader_campaigns_against_its_own_record() {
-    for away in [SECOND / 20, SECOND / 4] {
-        let (mut cluster, leader) = led_cluster();
+    for downtime in [SECOND / 20, SECOND / 4] {
+        let (mut cluster, leader) = cluster_with_leader();
         let token = cluster.valid_token(leader);
-        cluster.restart(leader, away);
-        cluster.run_for(away + LEASE / 4);
+        cluster.restart(leader, downtime);
+        cluster.run_for(downtime + LEASE / 4);
         assert_eq!(cluster.leader(), Some(leader), "before its lease is over");
         assert!(cluster.valid_token(leader) > token);
     }
@@ -268,9 +268,9 @@
 #[test]
 fn a_raised_token_whose_answer_is_lost_is_noticed() {
     for moment in 0..16 {
-        let (mut cluster, leader) = led_cluster();
+        let (mut cluster, leader) = cluster_with_leader();
         cluster.run_for(moment * LEASE / 32);
-        cluster.lose_answers(leader, 5 * LEASE);
+        cluster.lose_responses(leader, 5 * LEASE);
         assert_raises_token(cluster, leader);
     }
 }
@@ -278,8 +278,8 @@
 #[test]
 fn a_raised_token_that_is_carried_out_late_is_noticed() {
     for seed in 0..300 {
-        let mut cluster = Cluster::new(LEASE, LATEST_END, 0.5, seed);
-        let leader = cluster.run_until_led(None, LEASE);
+        let mut cluster = Cluster::new(LEASE, MAX_EXPIRY_DELAY, 0.5, seed);
+        let leader = cluster.run_until_elected(None, LEASE);
         cluster.delay_commits(leader, 2 * LEASE);
         assert_raises_token(cluster, leader);
     }
@@ -288,9 +288,9 @@
 #[test]
 fn a_raised_token_survives_an_outage_that_hides_its_outcome() {
     for (late, tenths) in (1..10).flat_map(|tenths| [(false, tenths), (true, tenths)]) {
-        let (mut cluster, leader) = led_cluster();
+        let (mut cluster, leader) = cluster_with_leader();
         if !late {
-            cluster.lose_answers(leader, LEASE / 8)
+            cluster.lose_responses(leader, LEASE / 8)
         } else {
             cluster.delay_commits(leader, LEASE / 8)
         }
@@ -307,9 +307,9 @@
 
 #[test]
 fn a_leader_that_stands_still_has_lost_its_lease_when_it_goes_on() {
-    let (mut cluster, leader) = led_cluster();
+    let (mut cluster, leader) = cluster_with_leader();
     cluster.pause(leader, 4 * LEASE);
-    let next = cluster.run_until_led(Some(leader), 2 * LEASE);
+    let next = cluster.run_until_elected(Some(leader), 2 * LEASE);
     cluster.run_for(6 * LEASE);
     assert_eq!(cluster.leader(), Some(next));
 }
@@ -322,7 +322,7 @@
         for node in 1..cluster.nodes() {
             cluster.restart(node, LEASE / 2);
         }
-        cluster.pause(0, LEASE - LATEST_END + moment * SECOND / 100);
+        cluster.pause(0, LEASE - MAX_EXPIRY_DELAY + moment * SECOND / 100);
         cluster.run_for(3 * LEASE);
         assert_recovers(&mut cluster);
     }
@@ -337,7 +337,7 @@
     let elected = cluster.recorded_leader().unwrap();
     cluster.pause(elected, LEASE / 2);
     cluster.refuse(elected, 4 * LEASE);
-    cluster.run_until_led(Some(elected), 3 * LEASE);
+    cluster.run_until_elected(Some(elected), 3 * LEASE);
     assert_recovers(&mut cluster);
 }
 
@@ -346,16 +346,16 @@
     const LONG_LEASE: Micros = 100 * SECOND;
     for seed in 0..20 {
         let mut cluster = Cluster::new(LONG_LEASE, 0, 1.0, seed);
-        let leader = cluster.run_until_led(None, LONG_LEASE);
+        let leader = cluster.run_until_elected(None, LONG_LEASE);
         cluster.refuse(leader, 3 * LONG_LEASE);
-        cluster.run_until_led(Some(leader), 2 * LONG_LEASE);
+        cluster.run_until_elected(Some(leader), 2 * LONG_LEASE);
     }
 }
 
 #[test]
 fn what_a_slow_controller_asks_in_an_earlier_term_has_no_effect() {
     for asks_for_token in [false, true] {
-        let (mut cluster, leader) = led_cluster();
+        let (mut cluster, leader) = cluster_with_leader();
         for node in (0..cluster.nodes()).filter(|node| *node != leader) {
             cluster.restart(node, 20 * LEASE);
         }
