--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -188,7 +188,7 @@
                 events.push(leadership_lease::extended(sent_at, self.lease_duration));
                 self.renew_at = sent_at + interval;
             }
-            Renewal::Over => return Err(TermEnd::LeaseExpired),
+            Renewal::Expired => return Err(TermEnd::LeaseExpired),
             Renewal::Unavailable => self.renew_at = now + interval / 2.0,
         }
         Ok(())
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -93,7 +93,7 @@
             match self.store.renew(lease, patience) {
                 Renewal::Renewed => return self.note_seen(),
                 Renewal::Unavailable => return Err(Unavailable),
-                Renewal::Over => self.lease = None,
+                Renewal::Expired => self.lease = None,
             }
         }
         self.register()
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -209,7 +209,7 @@
         let answer = self.client.post(&path, &json!({}), timeout);
         match self.count(RequestKind::Lease, answer) {
             Answer::Response(OK, _) => Renewal::Renewed,
-            Answer::Response(NOT_FOUND, _) => Renewal::Over,
+            Answer::Response(NOT_FOUND, _) => Renewal::Expired,
             _ => Renewal::Unavailable,
         }
     }
--- a/src/storage/outcome.rs
+++ b/src/storage/outcome.rs
@@ -33,7 +33,7 @@
     /// The lease has its full time again.
     Renewed,
     /// The lease has expired, and the keys attached to it are deleted.
-    Over,
+    Expired,
     /// Nothing is known of the lease: no usable response came.
     Unavailable,
 }
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -116,7 +116,7 @@
 
     pub(crate) fn renew(&mut self, lease: LeaseId, now: Micros) -> Renewal {
         let Some(lease) = self.leases.get_mut(&lease) else {
-            return Renewal::Over;
+            return Renewal::Expired;
         };
         lease.expires_at = now + lease.life + self.random.between(0, self.max_expiry_delay);
         Renewal::Renewed
