--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -33,7 +33,7 @@
     fn add_job(&mut self, record: OpenRecord, version: u64, arrived_at: Time, now: Time) {
         let cancelled = record.cancelled;
         let spec = Arc::new(record.spec);
-        let shards = (spec.tasks as usize).div_ceil(self.shards.tasks);
+        let shards = (spec.tasks as usize).div_ceil(self.shards.tasks_per_shard);
         if !cancelled {
             self.service_arrivals.arrived(&spec, arrived_at);
         }
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -82,7 +82,7 @@
                 job.complete_task(task);
             }
         }
-        match self.shards.position(number) {
+        match self.shards.shard_index(number) {
             Some(shard) => {
                 if let Some(record) = job.completion_records.get_mut(shard) {
                     record.version = version;
--- a/src/coordination/cluster/writes/completions.rs
+++ b/src/coordination/cluster/writes/completions.rs
@@ -83,7 +83,7 @@
             let stored = self.stored_completions(job, id.shard);
             let value = serde_json::to_value(stored).expect("serializing plain data cannot fail");
             batch.bytes += value.to_string().len();
-            let key = completion_key(&id.job, self.shards.number(id.shard));
+            let key = completion_key(&id.job, self.shards.record_number(id.shard));
             let version = record.version;
             batch.transaction = batch.transaction.version(&*key, version).put(key, value);
             batch.records.push(outdated.record);
@@ -94,8 +94,8 @@
 
     fn stored_completions(&self, job: &Job, shard: usize) -> StoredCompletions {
         let mut stored = StoredCompletions::default();
-        let first = shard * self.shards.tasks;
-        let last = (first + self.shards.tasks).min(job.tasks().len());
+        let first = shard * self.shards.tasks_per_shard;
+        let last = (first + self.shards.tasks_per_shard).min(job.tasks().len());
         for task in (first..last).filter(|task| job.tasks()[*task].done) {
             stored.push_done(task as u32);
             // What it does not tell is done again, at worst: a worker keeps the result.
@@ -112,7 +112,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let shard = task as usize / self.shards.tasks;
+        let shard = task as usize / self.shards.tasks_per_shard;
         let record = &mut job.completion_records[shard];
         if record.dirty_since.is_none() {
             record.dirty_since = Some(now);
@@ -140,7 +140,7 @@
         match applied {
             Some(revision) => record.version = revision,
             None => {
-                let first_task = (id.shard * self.shards.tasks) as u32;
+                let first_task = (id.shard * self.shards.tasks_per_shard) as u32;
                 self.mark_completion_outdated(&id.job, first_task, now);
             }
         }
@@ -161,7 +161,7 @@
     task: u32,
 ) -> bool {
     jobs.get(job).is_some_and(|job| {
-        let record = job.completion_records.get(task as usize / shards.tasks);
+        let record = job.completion_records.get(task as usize / shards.tasks_per_shard);
         !job.end_recorded && record.is_some_and(|r| r.dirty_since.is_some() || r.in_flight)
     })
 }
--- a/src/coordination/cluster/writes/ends.rs
+++ b/src/coordination/cluster/writes/ends.rs
@@ -108,7 +108,7 @@
         self.finished_jobs.forget(id);
         let stored = job.completion_records.iter().enumerate();
         let stored = stored.filter(|(_, record)| record.version > 0);
-        let numbers = stored.map(|(shard, _)| self.shards.number(shard));
+        let numbers = stored.map(|(shard, _)| self.shards.record_number(shard));
         let numbers = numbers.chain(job.foreign_shards.iter().copied());
         let keys = numbers.map(|number| completion_key(id, number));
         self.writes.add_stale_keys(keys);
--- a/src/coordination/cluster/writes/reread.rs
+++ b/src/coordination/cluster/writes/reread.rs
@@ -68,7 +68,7 @@
     }
 
     fn completion_record_reread(&mut self, job: &str, number: usize, version: u64) {
-        let Some(shard) = self.shards.position(number) else {
+        let Some(shard) = self.shards.shard_index(number) else {
             return;
         };
         let job = self.jobs.get_mut(job);
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -2,7 +2,7 @@
 
 use super::records;
 use super::SharedWriteFence;
-use crate::protocol::store::Transaction;
+use crate::protocol::store::{LeaseId, Transaction};
 use crate::service::controller::wall_ms;
 use crate::service::messages::Message;
 use crate::service::spawn;
@@ -32,7 +32,7 @@
     store: KeyValueStore,
     clearance: SharedWriteFence,
     controller: Sender<Message>,
-    lease: Option<u64>,
+    lease: Option<LeaseId>,
     lease_life: Duration,
     since_ms: u64,
     told: Option<Plan>,
@@ -93,7 +93,7 @@
             match self.store.renew(lease, patience) {
                 Renewal::Renewed => return self.note_seen(),
                 Renewal::Unavailable => return Err(Unavailable),
-                Renewal::Over => self.lease = None,
+                Renewal::Expired => self.lease = None,
             }
         }
         self.register()
