--- a/src/service/controller/leadership.rs
+++ b/src/service/controller/election_events.rs
@@ -6,7 +6,7 @@
 use crate::coordination::election::{ElectionEvent, ElectionRequest};
 use crate::coordination::manager::ClusterManager;
 use crate::coordination::Time;
-use crate::service::cloud_calls::CloudCall;
+use crate::service::cloud_client::CloudCall;
 use crate::service::messages::PeerReachability;
 use crate::service::peer_queries::{self, PromiseCollector};
 use crate::service::record_reader::RecordReader;
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -1,15 +1,15 @@
 //! The actor that owns the picture of the cluster: a [`ClusterManager`] while this node leads.
 
-mod leadership;
-mod reports;
+mod election_events;
+mod heartbeats;
 
 use super::busy;
-use super::cloud_calls::CloudCall;
+use super::cloud_client::CloudCall;
 use super::gateway::Task;
+use super::io_thread_pool::Pool;
 use super::messages::Message;
 use super::peer_queries::CancellationQueries;
 use super::upgrade::SharedWriteFence;
-use super::workers::Pool;
 use crate::coordination::cluster::cancellation_evidence::CancellationEvidence;
 use crate::coordination::cluster::heartbeat_routing::Redirects;
 use crate::coordination::cluster::Effect;
--- a/src/service/workers.rs
+++ b/src/service/io_thread_pool/mod.rs
@@ -1,13 +1,13 @@
 //! What speaks to the state service and the workers for the controller, and hands calls to the cloud on.
 
-use super::cloud_calls::{self, CloudCall};
-use super::gateway::SharedTypes;
-use super::messages::Message;
-use super::spawn;
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::state::Name;
 use crate::protocol::store::{Change, Transaction, VersionedValue};
 use crate::protocol::worker::{CommandBatch, Heartbeat};
+use crate::service::cloud_client::{self, CloudCall};
+use crate::service::gateway::SharedTypes;
+use crate::service::messages::Message;
+use crate::service::spawn;
 use crate::settings::Settings;
 use crate::storage::key_value_store::{CommitOutcome, KeyValueStore};
 use crate::storage::records::{end_key, EndRecord, LEADER_KEY};
@@ -48,14 +48,14 @@
         let (store, jobs, inbox) = (store.clone(), to_write.clone(), inbox.clone());
         spawn("writer", move || write_all(&store, &jobs, &inbox))?;
     }
-    let cloud = cloud_calls::start(settings, inbox)?;
+    let cloud = cloud_client::start(settings, inbox)?;
     let (finds, to_find) = bounded(1);
     let find_pause = Duration::from_secs_f64(1.0 / (FINDS_SHARE * settings.cluster.state.rps));
     let (find_store, find_inbox) = (store.clone(), inbox.clone());
     spawn("finder", move || {
         find_all(&find_store, &to_find, &find_inbox, find_pause)
     })?;
-    cloud_calls::start_types(settings, store, types, inbox)?;
+    cloud_client::start_types(settings, store, types, inbox)?;
     Ok(Pool {
         inbox: inbox.clone(),
         writes,
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -4,19 +4,19 @@
 //! cloud's callers each work on their own threads and speak to it by messages. Users' requests pass
 //! through the [`gateway`]'s stage, whose buffer is small: what does not fit is answered at once.
 
-pub mod cloud_calls;
+pub mod cloud_client;
 pub mod controller;
 pub mod election;
 pub mod end_notifier;
 pub mod end_watch;
 pub mod gateway;
+pub mod io_thread_pool;
 mod isolation;
 pub mod messages;
 pub mod peer_queries;
 pub mod polls;
 pub mod record_reader;
 pub mod upgrade;
-pub mod workers;
 
 use crate::coordination::election::Election;
 use crate::settings::sockets::GATEWAYS;
@@ -130,7 +130,7 @@
         spawn("gateway", move || gateway.run())?;
     }
 
-    let pool = workers::start(&settings, &runtime, &store, &types, &inbox)?;
+    let pool = io_thread_pool::start(&settings, &runtime, &store, &types, &inbox)?;
     let query_patience = Duration::from_secs_f64(report_s / 2.0);
     let cancellation_queries = CancellationQueries::start(&peers, &inbox, epoch, query_patience)?;
     let links = ControllerHandles {
--- a/src/service/peer_queries.rs
+++ b/src/service/peer_queries/mod.rs
@@ -1,8 +1,8 @@
 //! Questions of a leader to the other controllers, each asked on a thread of its own.
 
-use super::messages::{Message, PeerReachability};
 use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
 use crate::coordination::Time;
+use crate::service::messages::{Message, PeerReachability};
 use crate::storage::cancellation_log::Cursor;
 use crate::transport::peers::Peers;
 use crossbeam::channel::{bounded, Receiver, Sender};
@@ -80,7 +80,7 @@
                 epoch,
                 within,
             };
-            super::spawn("cancellations", move || thread.run(&asked))?;
+            crate::service::spawn("cancellations", move || thread.run(&asked))?;
             questions.insert(name.clone(), question);
         }
         Ok(CancellationQueries { questions })
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -13,7 +13,7 @@
 use stairstage::coordination::cluster::{CommandOutcome, Effect};
 use stairstage::protocol::store::VersionedValue;
 use stairstage::protocol::worker::*;
-use stairstage::service::cloud_calls::Cloud;
+use stairstage::service::cloud_client::Cloud;
 use stairstage::service::messages::Message;
 use stairstage::service::record_reader::RecordReader;
 use stairstage::settings::Settings;
