--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -1,7 +1,7 @@
 //! `stairstage upgrade`: what operators see of an upgrade, and how they finalize or abort it.
 
 use super::{with_settings, EXIT_REFUSED};
-use crate::service::controller::wall_ms;
+use crate::service::clock::wall_ms;
 use crate::service::upgrade::records;
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
--- /dev/null
+++ b/src/service/call_router.rs
@@ -0,0 +1,84 @@
+//! Routes the calls that reach the front and the port for peers: heartbeats and peers' queries to the
+//! controller, users' requests to the gateways.
+
+use super::messages::{Message, ReceivedHeartbeat};
+use super::replies::busy;
+use super::request_queue::{RequestQueue, RequestTask};
+use crate::coordination::cluster::heartbeats::HeartbeatSource;
+use crate::protocol::worker::Heartbeat;
+use crate::transport::front::Call;
+use crate::transport::peers::{Kind, PeerCall};
+use crate::transport::{Reply, Respond};
+use crossbeam::channel::{Sender, TrySendError};
+use tracing::warn;
+
+/// Enqueues calls where they are served, and never waits.
+#[derive(Clone)]
+pub(super) struct CallRouter {
+    /// The controller's inbox.
+    pub(super) inbox: Sender<Message>,
+    /// The gateways' queue.
+    pub(super) requests: RequestQueue,
+}
+
+impl CallRouter {
+    /// Routes a call of a user or a worker.
+    pub(super) fn route_call(&self, call: Call, respond: Respond) {
+        match call {
+            Call::Report(body) => self.enqueue_heartbeat(body, HeartbeatSource::Worker, respond),
+            call => self.requests.enqueue(RequestTask::from_user(call, respond)),
+        }
+    }
+
+    /// Routes a call of another controller.
+    pub(super) fn route_peer_call(&self, call: PeerCall, respond: Respond) {
+        match call {
+            PeerCall::Ask(kind, job, body) => {
+                let call = forwarded_call(kind, job, body);
+                self.requests.enqueue(RequestTask::from_peer(call, respond));
+            }
+            PeerCall::Report(body) => self.enqueue_heartbeat(body, HeartbeatSource::Peer, respond),
+            PeerCall::Hears => {
+                let message = Message::ReceivesHeartbeats { respond };
+                let _ = self.inbox.try_send(message);
+            }
+            PeerCall::Promise(token) => {
+                let message = Message::PromiseRequested { token, respond };
+                let _ = self.inbox.try_send(message);
+            }
+        }
+    }
+
+    /// Enqueues a worker's heartbeat for the controller, or answers at once when its inbox is full.
+    fn enqueue_heartbeat(&self, body: Vec<u8>, source: HeartbeatSource, respond: Respond) {
+        let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                warn!(%error, "heartbeat unreadable");
+                return respond(Reply::error(400, "the report cannot be read"));
+            }
+        };
+        let message = Message::Heartbeat(ReceivedHeartbeat {
+            heartbeat: Box::new(heartbeat),
+            body,
+            source,
+            respond,
+        });
+        if let Err(TrySendError::Full(m) | TrySendError::Disconnected(m)) =
+            self.inbox.try_send(message)
+        {
+            if let Message::Heartbeat(received) = m {
+                (received.respond)(busy());
+            }
+        }
+    }
+}
+
+/// A user's request as another controller has forwarded it.
+fn forwarded_call(kind: Kind, job: String, body: Vec<u8>) -> Call {
+    match kind {
+        Kind::Submit => Call::Submit(body),
+        Kind::Query => Call::Query(job),
+        Kind::Cancel => Call::Cancel(job),
+    }
+}
--- /dev/null
+++ b/src/service/controller/cancellations.rs
@@ -0,0 +1,101 @@
+//! Learns of the cancellations that this process and the other controllers have confirmed.
+
+use super::Controller;
+use crate::coordination::cluster::cancellation_evidence::{CancellationEvidence, PeerAnswer};
+use crate::coordination::Time;
+use crate::protocol::job::JobState;
+use crate::storage::cancellation_log::{CancellationLog, Cursor};
+use crate::transport::peers::Peers;
+use tracing::warn;
+
+/// Queries of each other controller in a heartbeat interval.
+const QUERIES_PER_HEARTBEAT: f64 = 4.0;
+
+/// How far this node knows the cancellations that users were told of.
+pub(super) struct KnownCancellations {
+    /// The evidence by which workers' leases may be renewed.
+    pub(super) evidence: CancellationEvidence,
+    /// Up to where the log of this process has been applied.
+    own_cursor: Cursor,
+    /// When the other controllers were last queried.
+    peers_queried_at: Time,
+}
+
+impl KnownCancellations {
+    /// Without evidence, from the end of the log on.
+    pub(super) fn new(peers: &Peers, log: &CancellationLog) -> KnownCancellations {
+        KnownCancellations {
+            evidence: CancellationEvidence::new(peers.names()),
+            own_cursor: log.page(Cursor::default()).cursor,
+            peers_queried_at: 0.0,
+        }
+    }
+}
+
+impl Controller {
+    /// Applies the cancellations that this process has confirmed meanwhile. While the records are
+    /// being read they are left for the manager to come.
+    pub(super) fn apply_own_cancellations(&mut self) {
+        if self.role.is_recovering() {
+            return;
+        }
+        loop {
+            let cursor = self.cancellations.own_cursor;
+            let page = self.handles.cancellation_log.page(cursor);
+            if !page.continues {
+                warn!("confirmed cancellations dropped from the log before they were applied");
+                self.discard_cancellation_evidence();
+            }
+            for job in &page.jobs {
+                self.apply_job_end(job, JobState::Cancelled);
+            }
+            self.cancellations.own_cursor = page.cursor;
+            if page.complete {
+                return;
+            }
+        }
+    }
+
+    pub(super) fn discard_cancellation_evidence(&mut self) {
+        self.cancellations.evidence = CancellationEvidence::new(self.handles.peers.names());
+    }
+
+    /// A leader queries the other controllers for the cancellations that they have confirmed.
+    pub(super) fn query_peer_cancellations(&mut self, now: Time) {
+        let pause_s = self.settings.cluster.workers.report_s / QUERIES_PER_HEARTBEAT;
+        if !self.role.is_leading() || now - self.cancellations.peers_queried_at < pause_s {
+            return;
+        }
+        self.cancellations.peers_queried_at = now;
+        for peer in self.handles.peers.names() {
+            self.query_cancellations_of(peer);
+        }
+    }
+
+    fn query_cancellations_of(&self, peer: &str) {
+        let cursor = self.cancellations.evidence.cursor(peer);
+        self.handles.cancellation_queries.ask(peer, cursor);
+    }
+
+    /// Applies a peer's answer, and asks for more of it.
+    pub(super) fn apply_peer_cancellations(&mut self, peer: &str, answer: Option<PeerAnswer>) {
+        let Some(answer) = answer else {
+            return;
+        };
+        for job in &answer.page.jobs {
+            self.apply_job_end(job, JobState::Cancelled);
+        }
+        self.cancellations.evidence.peer_answered(&answer);
+        if self.role.is_leading() && !answer.page.complete {
+            self.query_cancellations_of(peer);
+        }
+    }
+
+    /// All changes of open jobs up to some revision have been applied.
+    pub(super) fn apply_records_read(&mut self, token: u64, sent_at: Time) {
+        let manager = self.role.manager_mut();
+        if manager.is_some_and(|manager| manager.first_token() == token) {
+            self.cancellations.evidence.records_read(sent_at);
+        }
+    }
+}
--- /dev/null
+++ b/src/service/controller/effects.rs
@@ -0,0 +1,43 @@
+//! Executes what the cluster's manager decides.
+
+use super::{Controller, Role};
+use crate::coordination::cluster::Effect;
+use crate::coordination::election::ElectionRequest;
+use crate::coordination::state::Name;
+use crate::service::io_thread_pool::CloudCall;
+use std::sync::atomic::Ordering;
+
+impl Controller {
+    pub(super) fn execute(&mut self, effect: Effect) {
+        let io_threads = &self.handles.io_threads;
+        match effect {
+            Effect::Write { id, transaction } => io_threads.write(id, transaction),
+            Effect::SendCommands {
+                machine,
+                endpoint,
+                orders,
+            } => io_threads.send_commands(machine, &endpoint, &orders),
+            Effect::RentMachines(rent) => io_threads.call_cloud(CloudCall::Rent(rent)),
+            Effect::ReturnMachines(names) => io_threads.call_cloud(CloudCall::Return(names)),
+            Effect::RaiseToken => {
+                let term = self.term.load(Ordering::Relaxed);
+                self.request_election(ElectionRequest::RaiseToken { term });
+            }
+            Effect::JobEnded { id, state } => self.recorded_ends.insert(&id, state),
+            Effect::ReadEnds(ids) => self.read_ends(ids),
+        }
+    }
+
+    /// Applies the ends that this node knows at once, and has the others read.
+    fn read_ends(&mut self, ids: Vec<Name>) {
+        let now = self.now();
+        let mut unknown = Vec::new();
+        for id in ids {
+            match (self.recorded_ends.get(&id).copied(), &mut self.role) {
+                (Some(state), Role::Leading(manager)) => manager.job_end_recorded(&id, state, now),
+                _ => unknown.push(id),
+            }
+        }
+        self.handles.io_threads.read_ends(unknown);
+    }
+}
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -1,232 +1,191 @@
-//! The stage of users' requests: carries out what [`requests`] decides.
+//! The threads that serve users' requests: each executes what [`requests`] decides.
+//!
+//! [`requests`]: crate::coordination::requests
 
-use super::busy;
-use super::controller::wall_ms;
+use super::clock::wall_ms;
 use super::end_notifier::EndNotifier;
-use super::messages::Message;
-use super::polls::{Polls, UserPoll};
+use super::messages::{AcceptedJob, Message};
+use super::polls::{PollQueue, UserPoll};
+use super::replies::{busy, reply_to_user};
+use super::request_queue::{RequestTask, RequestWork};
+use super::shared_machine_types::SharedMachineTypes;
+use super::store_calls::execute_store_call;
+use super::unresponsive_peers::UnresponsivePeers;
 use super::upgrade::SharedWriteFence;
 use crate::coordination::requests::polls::Poll;
-use crate::coordination::requests::{
-    self, Context, Effect, Event, Located, PeerAnswer, Request, StoreAnswer, StoreCall,
-};
-use crate::protocol::cloud::MachineType;
+use crate::coordination::requests::{Context, Effect, Event, Located, PeerAnswer, Request};
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
 use crate::transport::front::Call;
 use crate::transport::peers::{Asked, Kind, Peers};
 use crate::transport::{Reply, Respond};
-use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
-use std::cell::RefCell;
-use std::collections::{HashMap, VecDeque};
-use std::sync::{Arc, RwLock};
+use crossbeam::channel::{bounded, Receiver, Sender};
+use std::collections::VecDeque;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// A request in the gateway's stage.
-pub struct Task {
-    work: Work,
-    respond: Respond,
-}
-
-enum Work {
-    /// A user's request; `from_peer` when another controller has handed it on.
-    Call { call: Call, from_peer: bool },
-    /// A poll for which this node can't ask the state service.
-    HandOn { job: String },
-    /// A worker's report that its sender cannot bring to the leader.
-    PassOn { leader: String, body: Vec<u8> },
-}
-
-impl Task {
-    pub fn user(call: Call, respond: Respond) -> Task {
-        let from_peer = false;
-        Task {
-            work: Work::Call { call, from_peer },
-            respond,
-        }
-    }
-
-    pub fn peer(call: Call, respond: Respond) -> Task {
-        let from_peer = true;
-        Task {
-            work: Work::Call { call, from_peer },
-            respond,
-        }
-    }
-
-    pub fn hand_on(job: String, respond: Respond) -> Task {
-        Task {
-            work: Work::HandOn { job },
-            respond,
-        }
-    }
-
-    pub fn pass_on(leader: String, body: Vec<u8>, respond: Respond) -> Task {
-        Task {
-            work: Work::PassOn { leader, body },
-            respond,
-        }
-    }
-}
-
-pub fn call_of(kind: Kind, job: String, body: Vec<u8>) -> Call {
-    match kind {
-        Kind::Submit => Call::Submit(body),
-        Kind::Query => Call::Query(job),
-        Kind::Cancel => Call::Cancel(job),
-    }
-}
-
-/// Puts a request into the stage; when that is full, it is answered at once.
-pub fn offer(stage: &Sender<Task>, task: Task) {
-    if let Err(TrySendError::Full(task) | TrySendError::Disconnected(task)) = stage.try_send(task) {
-        (task.respond)(busy());
-    }
-}
-
-/// The machine types as last heard of: a submission needs nothing else, and so does not wait for
-/// the controller.
-#[derive(Default)]
-pub struct SharedTypes(RwLock<Arc<Vec<MachineType>>>);
-
-impl SharedTypes {
-    pub fn get(&self) -> Arc<Vec<MachineType>> {
-        let types = self.0.read().unwrap_or_else(|e| e.into_inner());
-        types.clone()
-    }
-
-    pub fn set(&self, types: Vec<MachineType>) {
-        *self.0.write().unwrap_or_else(|e| e.into_inner()) = Arc::new(types);
-    }
-}
+/// How long the leader, or this node's controller, may take to answer before a node goes on without
+/// it.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Requests that take longer are logged.
+const SLOW_REQUEST: Duration = Duration::from_millis(200);
 
-pub struct Gateway {
+/// What the gateways' threads work with; each has a copy.
+#[derive(Clone)]
+pub struct GatewayHandles {
+    /// The settings.
     pub settings: Arc<Settings>,
+    /// The state service.
     pub store: KeyValueStore,
+    /// The other controllers.
     pub peers: Peers,
+    /// The controller's inbox.
     pub controller: Sender<Message>,
-    pub tasks: Receiver<Task>,
-    pub types: Arc<SharedTypes>,
-    pub polls: Polls,
-    pub clearance: SharedWriteFence,
-    pub ends: EndNotifier,
-    /// Peers that lately gave no answer, and until when they are not asked.
-    pub unreachable: RefCell<HashMap<String, Instant>>,
+    /// The requests to serve.
+    pub tasks: Receiver<RequestTask>,
+    /// The machine types against which submissions are validated.
+    pub machine_types: Arc<SharedMachineTypes>,
+    /// The driver of the polls that the records answer.
+    pub polls: PollQueue,
+    /// What this controller may write at the active cluster version.
+    pub write_fence: SharedWriteFence,
+    /// Publishes ends before users are told of them.
+    pub end_notifier: EndNotifier,
 }
 
-/// How long the leader may take before a node helps itself.
-const LEADER_PATIENCE: Duration = Duration::from_millis(800);
-const AVOID: Duration = Duration::from_secs(2);
+/// One thread that serves requests.
+pub struct Gateway {
+    handles: GatewayHandles,
+    unresponsive_peers: UnresponsivePeers,
+}
 
-/// How a request has ended here.
-enum Answered {
-    Now(Reply),
+/// How the processing of a request has ended.
+enum Outcome {
+    Reply(Reply),
     /// The records decide.
     LookUp(Poll),
 }
 
 impl Gateway {
+    /// A gateway that has not yet found any peer unresponsive.
+    pub fn new(handles: GatewayHandles) -> Gateway {
+        Gateway {
+            handles,
+            unresponsive_peers: UnresponsivePeers::default(),
+        }
+    }
+
+    /// Serves requests for as long as any can come.
     pub fn run(self) {
-        for task in &self.tasks {
+        for task in &self.handles.tasks {
             match task.work {
-                Work::Call { call, from_peer } => self.answer(&call, from_peer, task.respond),
-                Work::HandOn { job } => (task.respond)(self.hand_on(job)),
-                Work::PassOn { leader, body } => (task.respond)(self.pass_on(&leader, body)),
+                RequestWork::Answer { call, from_peer } => {
+                    self.answer(&call, from_peer, task.respond);
+                }
+                RequestWork::ForwardPoll { job } => (task.respond)(self.forward_poll(job)),
+                RequestWork::ForwardHeartbeat { leader, body } => {
+                    (task.respond)(self.forward_heartbeat(&leader, body));
+                }
             }
         }
     }
 
-    /// Brings a worker's report to the leader. While that cannot be reached, its worker had better
-    /// try another node.
-    fn pass_on(&self, leader: &str, body: Vec<u8>) -> Reply {
-        let not_reached = || Reply::later("the leader is not reached");
-        if self.is_avoided(leader) {
-            return not_reached();
+    /// Forwards a worker's heartbeat to the leader. While the leader cannot be reached, the worker
+    /// had better try another node.
+    fn forward_heartbeat(&self, leader: &str, body: Vec<u8>) -> Reply {
+        let unreachable = || Reply::later("the leader is not reached");
+        if self.unresponsive_peers.contains(leader) {
+            return unreachable();
         }
-        let reply = self.peers.report(leader, body, 2 * LEADER_PATIENCE);
+        let reply = self.handles.peers.report(leader, body, 2 * LEADER_TIMEOUT);
         reply.unwrap_or_else(|| {
-            self.avoid(leader);
-            not_reached()
+            self.unresponsive_peers.insert(leader);
+            unreachable()
         })
     }
 
-    /// Brings a poll to another controller that can ask the state service.
-    fn hand_on(&self, job: String) -> Reply {
+    /// Forwards a poll to another controller that can ask the state service.
+    fn forward_poll(&self, job: String) -> Reply {
         let (request, effects) = Request::refused_query(job, self.context(false));
-        match self.carry_out(request, effects, Kind::Query, &[]) {
-            Answered::Now(reply) => reply,
+        match self.execute(request, effects, Kind::Query, &[]) {
+            Outcome::Reply(reply) => reply,
             // It would be refused again.
-            Answered::LookUp(_) => busy(),
+            Outcome::LookUp(_) => busy(),
         }
     }
 
     fn answer(&self, call: &Call, from_peer: bool, respond: Respond) {
-        if let Some(why) = self.clearance.get().refusal() {
-            return respond(Reply::later(&why.to_string()));
+        if let Some(refusal) = self.handles.write_fence.get().refusal() {
+            return respond(Reply::later(&refusal.to_string()));
         }
-        let begun = Instant::now();
-        let reply = match self.decide(call, from_peer) {
-            Answered::Now(reply) => reply,
-            Answered::LookUp(poll) => {
-                return self.polls.look_up(UserPoll {
+        let started_at = Instant::now();
+        let reply = match self.process(call, from_peer) {
+            Outcome::Reply(reply) => reply,
+            Outcome::LookUp(poll) => {
+                return self.handles.polls.enqueue(UserPoll {
                     poll,
                     from_peer,
                     respond,
                 });
             }
         };
-        if begun.elapsed() > LEADER_PATIENCE / 4 || reply.status >= 500 {
-            let what = call.name();
-            debug!("{what}: {} after {:?}", reply.status, begun.elapsed());
+        let elapsed = started_at.elapsed();
+        if elapsed > SLOW_REQUEST || reply.status >= 500 {
+            debug!(
+                request = call.name(),
+                status = reply.status,
+                ?elapsed,
+                "request slow or failed"
+            );
         }
         respond(reply);
     }
 
-    fn decide(&self, call: &Call, from_peer: bool) -> Answered {
+    fn process(&self, call: &Call, from_peer: bool) -> Outcome {
         let context = self.context(from_peer);
         match call {
             Call::Submit(body) => {
                 let (request, effects) = Request::submission(body, context);
-                self.carry_out(request, effects, Kind::Submit, body)
+                self.execute(request, effects, Kind::Submit, body)
             }
             Call::Query(id) => {
                 let (request, effects) = Request::query(id.clone(), context);
-                self.carry_out(request, effects, Kind::Query, &[])
+                self.execute(request, effects, Kind::Query, &[])
             }
             Call::Cancel(id) => {
                 let (request, effects) = Request::cancellation(id.clone(), context);
-                self.carry_out(request, effects, Kind::Cancel, &[])
+                self.execute(request, effects, Kind::Cancel, &[])
             }
-            Call::Report(_) => Answered::Now(Reply::error(404, "no such path")),
+            Call::Report(_) => Outcome::Reply(Reply::error(404, "no such path")),
         }
     }
 
     fn context(&self, from_peer: bool) -> Context {
         Context {
-            settings: self.settings.clone(),
-            types: self.types.get(),
-            clearance: self.clearance.get(),
-            peers: self.peers.names().cloned().collect(),
+            settings: self.handles.settings.clone(),
+            types: self.handles.machine_types.get(),
+            clearance: self.handles.write_fence.get(),
+            peers: self.handles.peers.names().cloned().collect(),
             from_peer,
             now_ms: wall_ms(),
         }
     }
 
-    /// Carries out what a request asks for until it is answered; `kind` and `body` are what another
-    /// controller is handed.
-    fn carry_out(
+    /// Executes a request's effects until it is answered; `kind` and `body` are what another
+    /// controller is sent when the request is forwarded.
+    fn execute(
         &self,
         mut request: Request,
         effects: Vec<Effect>,
         kind: Kind,
         body: &[u8],
-    ) -> Answered {
+    ) -> Outcome {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             let event = match effect {
                 Effect::Locate => Event::Located(self.locate(request.job())),
-                Effect::Store(call) => Event::Store(store_answer(&self.store, call)),
+                Effect::Store(call) => Event::Store(execute_store_call(&self.handles.store, call)),
                 Effect::Ask(peer) => {
                     let asked = Asked {
                         kind,
@@ -234,43 +193,55 @@
                         body,
                         waits: request.waits(),
                     };
-                    Event::Peer(self.ask(&peer, &asked))
+                    Event::Peer(self.ask_peer(&peer, &asked))
                 }
                 Effect::Opened(record, version) => {
-                    let spec = &record.spec;
-                    self.polls.accepted(spec.id.clone(), spec.waits_on.clone());
-                    let opened = Message::JobsAccepted(vec![(*record, version)]);
-                    let _ = self.controller.try_send(opened);
+                    let record = *record;
+                    self.publish_acceptance(AcceptedJob { record, version });
                     continue;
                 }
                 Effect::Ended(state) => {
-                    self.ends.note(vec![(request.job().to_string(), state)]);
+                    let ends = vec![(request.job().to_string(), state)];
+                    self.handles.end_notifier.publish(ends);
                     continue;
                 }
-                Effect::LookUp(poll) => return Answered::LookUp(poll),
-                Effect::Answer(answer) => return Answered::Now(reply_of(answer)),
+                Effect::LookUp(poll) => return Outcome::LookUp(poll),
+                Effect::Answer(answer) => return Outcome::Reply(reply_to_user(answer)),
             };
             effects.extend(request.on(event));
         }
         // A request goes on until it is answered: only a fault of its own gets here.
-        Answered::Now(busy())
+        Outcome::Reply(busy())
     }
 
+    fn publish_acceptance(&self, job: AcceptedJob) {
+        let spec = &job.record.spec;
+        self.handles
+            .polls
+            .job_accepted(spec.id.clone(), spec.waits_on.clone());
+        let message = Message::JobsAccepted { jobs: vec![job] };
+        let _ = self.handles.controller.try_send(message);
+    }
+
+    /// Asks this node's controller what it knows of a job; `None` when it has no room or takes too
+    /// long.
     fn locate(&self, id: &str) -> Option<Located> {
-        let (tx, rx) = bounded(1);
-        self.controller
-            .try_send(Message::Locate(id.to_string(), tx))
+        let (reply, located) = bounded(1);
+        let id = id.to_string();
+        self.handles
+            .controller
+            .try_send(Message::LocateJob { id, reply })
             .ok()?;
-        rx.recv_timeout(LEADER_PATIENCE).ok()
+        located.recv_timeout(LEADER_TIMEOUT).ok()
     }
 
-    fn ask(&self, peer: &str, asked: &Asked) -> Option<PeerAnswer> {
-        if self.is_avoided(peer) {
+    fn ask_peer(&self, peer: &str, asked: &Asked) -> Option<PeerAnswer> {
+        if self.unresponsive_peers.contains(peer) {
             return None;
         }
-        let Some(reply) = self.peers.ask(peer, asked, LEADER_PATIENCE) else {
-            debug!("{peer}: no answer to a request about {}", asked.job);
-            self.avoid(peer);
+        let Some(reply) = self.handles.peers.ask(peer, asked, LEADER_TIMEOUT) else {
+            debug!(peer, job = asked.job, "forwarded request unanswered");
+            self.unresponsive_peers.insert(peer);
             return None;
         };
         Some(PeerAnswer {
@@ -279,38 +250,4 @@
             retry_after: reply.retry_after,
         })
     }
-
-    fn avoid(&self, peer: &str) {
-        let until = Instant::now() + AVOID;
-        self.unreachable
-            .borrow_mut()
-            .insert(peer.to_string(), until);
-    }
-
-    fn is_avoided(&self, peer: &str) -> bool {
-        let unreachable = self.unreachable.borrow();
-        let until = unreachable.get(peer);
-        until.is_some_and(|until| Instant::now() < *until)
-    }
-}
-
-/// Calls the state service.
-pub(super) fn store_answer(store: &KeyValueStore, call: StoreCall) -> StoreAnswer {
-    match call {
-        StoreCall::Read(key) => StoreAnswer::Read(store.get(&key)),
-        StoreCall::List {
-            under,
-            after,
-            limit,
-        } => StoreAnswer::Listed(store.page(&under, Some(&after), limit)),
-        StoreCall::Commit(transaction) => StoreAnswer::Committed(store.commit(&transaction)),
-    }
-}
-
-pub(super) fn reply_of(answer: requests::Answer) -> Reply {
-    Reply {
-        status: answer.status(),
-        retry_after: answer.retry_after(),
-        body: answer.body().into(),
-    }
 }
--- /dev/null
+++ b/src/service/io_thread_pool/cloud_caller.rs
@@ -0,0 +1,82 @@
+//! Makes the leader's calls to the cloud.
+
+use crate::protocol::cloud::Rent;
+use crate::service::cloud_client::CloudClient;
+use crate::service::messages::{IoOutcome, Message};
+use crate::service::threads::spawn;
+use crate::settings::Settings;
+use crossbeam::channel::{bounded, Receiver, Sender};
+
+/// Threads that call, each one call at a time.
+const CALLERS: usize = 3;
+/// Calls that may wait: a rental for each offer, and a return in each half second.
+const QUEUE: usize = 256;
+
+/// A call to the cloud.
+pub enum CloudCall {
+    /// Rent machines.
+    Rent(Rent),
+    /// Return these machines.
+    Return(Vec<String>),
+    /// List all machines.
+    List,
+}
+
+impl CloudCall {
+    /// The outcome of a call that was not made, or none if nobody waits for it.
+    pub(super) fn into_failure(self) -> Option<IoOutcome> {
+        match self {
+            CloudCall::Rent(rent) => Some(IoOutcome::MachinesRented {
+                request: rent.request,
+                machines: None,
+            }),
+            CloudCall::Return(machines) => Some(IoOutcome::MachinesReturned {
+                machines,
+                confirmed: false,
+            }),
+            CloudCall::List => None,
+        }
+    }
+}
+
+/// Starts the threads; returns their queue.
+pub(super) fn start(
+    settings: &Settings,
+    inbox: &Sender<Message>,
+) -> anyhow::Result<Sender<CloudCall>> {
+    let (sender, receiver) = bounded(QUEUE);
+    for _ in 0..CALLERS {
+        let cloud = CloudClient::new(settings);
+        let (calls, inbox) = (receiver.clone(), inbox.clone());
+        spawn("cloud", move || execute_all(&cloud, &calls, &inbox))?;
+    }
+    Ok(sender)
+}
+
+fn execute_all(cloud: &CloudClient, calls: &Receiver<CloudCall>, inbox: &Sender<Message>) {
+    for call in calls {
+        if let Some(outcome) = execute(cloud, call) {
+            let _ = inbox.send(Message::Io(outcome));
+        }
+    }
+}
+
+fn execute(cloud: &CloudClient, call: CloudCall) -> Option<IoOutcome> {
+    match call {
+        CloudCall::Rent(rent) => {
+            let machines = cloud.rent(&rent);
+            Some(IoOutcome::MachinesRented {
+                request: rent.request,
+                machines,
+            })
+        }
+        CloudCall::Return(machines) => {
+            let confirmed = cloud.return_machines(&machines);
+            Some(IoOutcome::MachinesReturned {
+                machines,
+                confirmed,
+            })
+        }
+        CloudCall::List => cloud.list().map(IoOutcome::MachinesListed),
+    }
+}
--- /dev/null
+++ b/src/service/io_thread_pool/command_dispatcher.rs
@@ -0,0 +1,70 @@
+//! Sends commands directly to workers, and classifies their answers.
+
+use crate::coordination::cluster::CommandOutcome;
+use crate::coordination::state::Name;
+use crate::protocol::worker::{CommandBatch, Heartbeat};
+use crate::service::messages::{IoOutcome, Message};
+use crate::settings::Settings;
+use crate::transport::client::Answer;
+use crate::transport::direct_commands::DirectCommands;
+use crate::transport::runtime::Runtime;
+use crossbeam::channel::Sender;
+use std::time::Duration;
+
+/// A worker answers at once or hangs. What a direct command could not bring, the answer to the
+/// worker's next heartbeat does.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Bytes of the heartbeat in a worker's answer.
+const MAX_HEARTBEAT_BYTES: usize = 1024 * 1024;
+
+/// Sends command batches without waiting for their answers.
+pub(super) struct CommandDispatcher {
+    inbox: Sender<Message>,
+    requests: DirectCommands,
+}
+
+impl CommandDispatcher {
+    pub(super) fn new(
+        settings: &Settings,
+        runtime: &Runtime,
+        inbox: &Sender<Message>,
+    ) -> CommandDispatcher {
+        let connections = settings.command_connections();
+        CommandDispatcher {
+            inbox: inbox.clone(),
+            requests: DirectCommands::new(
+                runtime,
+                connections,
+                COMMAND_TIMEOUT,
+                MAX_HEARTBEAT_BYTES,
+            ),
+        }
+    }
+
+    pub(super) fn send(&self, machine: Name, endpoint: &str, commands: &CommandBatch) {
+        let inbox = self.inbox.clone();
+        let body = serde_json::to_vec(commands).expect("serializing plain data cannot fail");
+        let deliver_answer = move |answer| {
+            let outcome = IoOutcome::CommandsAnswered {
+                machine: machine.clone(),
+                outcome: outcome_of(&answer),
+            };
+            inbox.try_send(Message::Io(outcome)).map_err(|_| answer)
+        };
+        self.requests
+            .post(endpoint, "/orders", body, Box::new(deliver_answer));
+    }
+}
+
+fn outcome_of(answer: &Answer) -> CommandOutcome {
+    match answer {
+        Answer::Response(200, _) => match answer.ok::<Heartbeat>() {
+            Some(heartbeat) => CommandOutcome::Executed(heartbeat),
+            None => CommandOutcome::Unknown,
+        },
+        Answer::Response(409, body) => CommandOutcome::Rejected(serde_json::from_slice(body).ok()),
+        Answer::Response(400, _) => CommandOutcome::Rejected(None),
+        Answer::NotSent => CommandOutcome::NotSent,
+        Answer::Response(..) | Answer::Unknown => CommandOutcome::Unknown,
+    }
+}
--- /dev/null
+++ b/src/service/io_thread_pool/transaction_writer.rs
@@ -0,0 +1,90 @@
+//! Commits the leader's transactions, and finds out what became of those that met a conflict or were
+//! not answered.
+
+use crate::coordination::cluster::WriteOutcome;
+use crate::protocol::store::{Change, Transaction, VersionedValue};
+use crate::service::messages::{IoOutcome, Message};
+use crate::service::threads::spawn;
+use crate::storage::key_value_store::{CommitOutcome, KeyValueStore};
+use crate::storage::records::LEADER_KEY;
+use crossbeam::channel::{bounded, Receiver, Sender};
+use std::time::Duration;
+
+/// Threads that write, each one transaction at a time.
+const WRITERS: usize = 3;
+/// Transactions that may wait.
+const QUEUE: usize = 256;
+/// The pause before a read that failed is tried again.
+const REREAD_PAUSE: Duration = Duration::from_millis(200);
+
+/// A transaction, and the number by which the leader knows it.
+pub(super) struct NumberedTransaction {
+    pub(super) id: u64,
+    pub(super) transaction: Transaction,
+}
+
+/// Starts the threads; returns their queue.
+pub(super) fn start(
+    store: &KeyValueStore,
+    inbox: &Sender<Message>,
+) -> anyhow::Result<Sender<NumberedTransaction>> {
+    let (sender, receiver) = bounded(QUEUE);
+    for _ in 0..WRITERS {
+        let (store, writes, inbox) = (store.clone(), receiver.clone(), inbox.clone());
+        spawn("writer", move || commit_all(&store, &writes, &inbox))?;
+    }
+    Ok(sender)
+}
+
+fn commit_all(
+    store: &KeyValueStore,
+    writes: &Receiver<NumberedTransaction>,
+    inbox: &Sender<Message>,
+) {
+    for NumberedTransaction { id, transaction } in writes {
+        let outcome = commit(store, &transaction);
+        let _ = inbox.send(Message::Io(IoOutcome::WriteFinished { id, outcome }));
+    }
+}
+
+fn commit(store: &KeyValueStore, transaction: &Transaction) -> WriteOutcome {
+    match store.commit(transaction) {
+        CommitOutcome::Applied(revision) => WriteOutcome::Applied(revision),
+        CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::NoLease => {
+            WriteOutcome::Rejected
+        }
+        CommitOutcome::TooLarge => WriteOutcome::TooLarge,
+        CommitOutcome::Conflict(failed) => WriteOutcome::Indeterminate(reread(store, &failed)),
+        CommitOutcome::Unknown => {
+            WriteOutcome::Indeterminate(reread(store, &deciding_keys(transaction)))
+        }
+    }
+}
+
+/// The keys by which it shows whether a transaction was applied: those that it changes, and the
+/// leader's record, on which it depends.
+fn deciding_keys(transaction: &Transaction) -> Vec<String> {
+    let is_changed = |key: &String| {
+        transaction.changes.iter().any(|change| match change {
+            Change::Put { key: k, .. } | Change::Delete { key: k } => k == key,
+        })
+    };
+    let keys = transaction.conditions.iter().map(|c| &c.key);
+    keys.filter(|k| *k == LEADER_KEY || is_changed(k))
+        .cloned()
+        .collect()
+}
+
+/// Reads what keys hold, and retries for as long as that takes.
+fn reread(store: &KeyValueStore, keys: &[String]) -> Vec<(String, Option<VersionedValue>)> {
+    let mut items = Vec::new();
+    for key in keys {
+        loop {
+            match store.get(key) {
+                Ok(item) => break items.push((key.clone(), item)),
+                Err(_) => std::thread::sleep(REREAD_PAUSE),
+            }
+        }
+    }
+    items
+}
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -1,6 +1,7 @@
-//! What the other actors tell the controller.
+//! The messages that the other actors send to the controller.
 
 use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
+use crate::coordination::cluster::heartbeats::HeartbeatSource;
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::election::ElectionEvent;
@@ -17,61 +18,148 @@
 
 /// An event for the controller.
 pub enum Message {
+    /// The election has reached a new state.
     Election(ElectionEvent),
-    Report {
-        report: Box<Heartbeat>,
-        body: Vec<u8>,
-        passed_on: bool,
-        respond: Respond,
-    },
-    /// What this controller may do at the active version.
+    /// A worker's heartbeat.
+    Heartbeat(ReceivedHeartbeat),
+    /// What this controller may write at the active cluster version.
     WriteFence(WriteFence),
-    /// What is known of a job here, and who leads.
-    Locate(String, Sender<Located>),
-    /// Jobs that were accepted or cancelled, as their records say, with the versions of these.
-    JobsAccepted(Vec<(OpenRecord, u64)>),
-    /// How jobs have ended, as the state service or the leader says.
-    JobsEnded(Vec<(String, JobState)>),
-    /// Ends that are on record, as a watch tells.
-    EndsRecorded(Vec<(String, JobState)>),
-    /// How jobs ended that were looked up, if they did.
-    EndsFound(Vec<(Name, Option<EndRecord>)>),
-    /// The records as read for a term, by a request that was sent then.
+    /// A gateway asks what is known of a job here, and who leads.
+    LocateJob {
+        /// The job's id.
+        id: String,
+        /// Where the answer goes.
+        reply: Sender<Located>,
+    },
+    /// The records of jobs that were accepted or cancelled.
+    JobsAccepted {
+        /// The jobs' records and their versions.
+        jobs: Vec<AcceptedJob>,
+    },
+    /// How jobs have ended, as the state service or the leader has answered.
+    JobsEnded {
+        /// Each job's id and final state.
+        ends: Vec<(String, JobState)>,
+    },
+    /// Ends that the watch of end records has seen.
+    EndsRecorded {
+        /// Each job's id and final state.
+        ends: Vec<(String, JobState)>,
+    },
+    /// A new leader's reader has read all records.
     RecordsLoaded {
+        /// The token of the term for which they were read.
         token: u64,
+        /// The records.
         records: Records,
-        sent: Time,
+        /// When the read was sent.
+        sent_at: Time,
     },
-    /// All changes of open jobs that were on record at `sent` have been handed in.
+    /// All changes of open jobs that were on record at `sent_at` have been enqueued before this.
     RecordsRead {
+        /// The token of the term for which they were read.
         token: u64,
-        sent: Time,
+        /// When the request that brought the last of them was sent.
+        sent_at: Time,
     },
-    Written(u64, WriteOutcome),
-    CommandsAnswered(Name, CommandOutcome),
-    MachinesRented(String, Option<Vec<String>>),
-    MachinesReturned(Vec<String>, bool),
-    MachinesListed(Vec<ListedMachine>),
+    /// The outcome of an operation that the leader had requested of its I/O threads.
+    Io(IoOutcome),
+    /// The machine types that the cloud offers now.
     MachineTypes(Vec<MachineType>),
-    /// Whether other controllers are reached by a leader to which no worker reports.
+    /// Whether other controllers are reached by a leader to which no worker sends heartbeats.
     PeersProbed(PeerReachability),
-    /// Another controller asks whether any worker reports here.
-    HearsWorkers(Respond),
-    /// A new leader asks that no report be answered here with a lower token than its own.
-    Promise(u64, Respond),
-    /// All others have given that promise to this term's leader.
-    Promised(u64),
-    /// A peer has told which cancellations it has confirmed; `None` is no answer.
-    PeerCancellations(String, Option<PeerAnswer>),
+    /// Another controller asks whether this one receives heartbeats directly from workers.
+    ReceivesHeartbeats {
+        /// Where the reply goes.
+        respond: Respond,
+    },
+    /// A new leader asks for the promise that no heartbeat is answered here with a lower token.
+    PromiseRequested {
+        /// The new leader's token.
+        token: u64,
+        /// Where the reply goes.
+        respond: Respond,
+    },
+    /// All other controllers have given that promise to the leader of this term.
+    PromisesCollected {
+        /// The term's token.
+        token: u64,
+    },
+    /// The outcome of a query of the cancellations that a peer has confirmed.
+    PeerCancellations {
+        /// The peer's name.
+        peer: String,
+        /// Its answer, unless it gave none.
+        answer: Option<PeerAnswer>,
+    },
+}
+
+/// A worker's heartbeat that awaits a reply.
+pub struct ReceivedHeartbeat {
+    /// The heartbeat, decoded.
+    pub heartbeat: Box<Heartbeat>,
+    /// The heartbeat as received, to be forwarded unchanged.
+    pub body: Vec<u8>,
+    /// Whether the worker or another controller has sent it.
+    pub source: HeartbeatSource,
+    /// Where the reply goes.
+    pub respond: Respond,
+}
+
+/// The outcome of an operation of the [`IoThreadPool`](super::io_thread_pool::IoThreadPool).
+pub enum IoOutcome {
+    /// A transaction's outcome.
+    WriteFinished {
+        /// The number by which the write was requested.
+        id: u64,
+        /// What became of it.
+        outcome: WriteOutcome,
+    },
+    /// How a worker has answered a batch of direct commands.
+    CommandsAnswered {
+        /// The worker's machine.
+        machine: Name,
+        /// What became of the commands.
+        outcome: CommandOutcome,
+    },
+    /// The end records of jobs that were looked up.
+    EndsRead {
+        /// Each job's id and its end record, if there is one and it could be read.
+        ends: Vec<(Name, Option<EndRecord>)>,
+    },
+    /// The outcome of a rental.
+    MachinesRented {
+        /// The rental's request id.
+        request: String,
+        /// The rented machines' names; `None` when the cloud gave no answer.
+        machines: Option<Vec<String>>,
+    },
+    /// The outcome of a return of machines.
+    MachinesReturned {
+        /// The machines' names.
+        machines: Vec<String>,
+        /// Whether the cloud has confirmed the return.
+        confirmed: bool,
+    },
+    /// All machines that the cloud lists.
+    MachinesListed(Vec<ListedMachine>),
+}
+
+/// The record of an accepted job, which also tells whether the job was cancelled.
+pub struct AcceptedJob {
+    /// The record.
+    pub record: OpenRecord,
+    /// The record's version in the state service.
+    pub version: u64,
 }
 
-/// Whether other controllers are reached, and whether workers report to them.
+/// Whether other controllers are reached, and whether workers send heartbeats to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerReachability {
     /// No other controller answers.
     Unreachable,
-    /// Some do, but no worker reports to them.
+    /// Some do, but no worker sends heartbeats to them.
     ReachableWithoutWorkers,
-    /// Workers report to one that answers.
+    /// Workers send heartbeats to one that answers.
     ReachableWithWorkers,
 }
--- /dev/null
+++ b/src/service/peer_queries/reachability.rs
@@ -0,0 +1,23 @@
+//! Whether a leader that receives no heartbeats reaches other controllers.
+
+use crate::service::messages::{Message, PeerReachability};
+use crate::transport::peers::Peers;
+use crossbeam::channel::Sender;
+use std::time::Duration;
+
+/// Finds out whether any other controller can be reached, and whether workers send heartbeats to it.
+/// Each peer may take `timeout` to answer; the result is sent to `inbox`.
+pub fn probe(peers: &Peers, inbox: &Sender<Message>, timeout: Duration) {
+    let mut reachability = PeerReachability::Unreachable;
+    for name in peers.names() {
+        match peers.hears_workers(name, timeout) {
+            Some(true) => {
+                reachability = PeerReachability::ReachableWithWorkers;
+                break;
+            }
+            Some(false) => reachability = PeerReachability::ReachableWithoutWorkers,
+            None => {}
+        }
+    }
+    let _ = inbox.send(Message::PeersProbed(reachability));
+}
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -1,8 +1,10 @@
-//! The stage of users' polls that the records answer: carries out what [`PollBatcher`] decides.
+//! The driver of the users' polls that the records answer: executes what [`PollBatcher`] decides.
 
 use super::end_notifier::EndNotifier;
-use super::gateway::{self, reply_of, store_answer, Task};
-use super::{busy, spawn};
+use super::replies::{busy, reply_to_user};
+use super::request_queue::{RequestQueue, RequestTask};
+use super::store_calls::execute_store_call;
+use super::threads::spawn;
 use crate::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
 use crate::coordination::requests::{Answer, Reason};
 use crate::coordination::Time;
@@ -14,32 +16,38 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// While nothing waits, the stage looks up from its channel so often.
-const IDLE: Duration = Duration::from_secs(1);
+/// How long the driver waits for input while the batcher has nothing to do.
+const IDLE_PAUSE: Duration = Duration::from_secs(1);
 
 /// A poll and who gets its answer.
 pub struct UserPoll {
+    /// What is asked.
     pub poll: Poll,
-    /// Whether another controller has handed it on. It is then handed on no further.
+    /// Whether another controller has forwarded it. It is then forwarded no further.
     pub from_peer: bool,
+    /// Where the reply goes.
     pub respond: Respond,
 }
 
 enum Input {
     Poll(UserPoll),
-    /// A job that was accepted here, and what it waits for.
-    Accepted(String, Vec<String>),
+    /// A job was accepted here.
+    Accepted {
+        job: String,
+        waits_on: Vec<String>,
+    },
     /// Jobs whose ends are on record.
     Ended(Vec<(String, JobState)>),
 }
 
-/// Where polls are handed in, and what helps to answer them.
+/// The sending end of the driver's queue: polls, and events that help to answer them.
 #[derive(Clone)]
-pub struct Polls(Sender<Input>);
+pub struct PollQueue(Sender<Input>);
 
-impl Polls {
-    /// Answers from the records; at once where the stage has no room.
-    pub fn look_up(&self, poll: UserPoll) {
+impl PollQueue {
+    /// Enqueues a poll to be answered from the records; when the queue is full, it is answered at
+    /// once.
+    pub fn enqueue(&self, poll: UserPoll) {
         let sent = self.0.try_send(Input::Poll(poll));
         if let Err(TrySendError::Full(input) | TrySendError::Disconnected(input)) = sent {
             if let Input::Poll(poll) = input {
@@ -48,80 +56,87 @@
         }
     }
 
-    /// Notes that a job was accepted here. What is not noted is read when it is asked for.
-    pub fn accepted(&self, job: String, waits_on: Vec<String>) {
-        let _ = self.0.try_send(Input::Accepted(job, waits_on));
+    /// A job was accepted here. An event that is lost costs a read when the job is polled.
+    pub fn job_accepted(&self, job: String, waits_on: Vec<String>) {
+        let _ = self.0.try_send(Input::Accepted { job, waits_on });
     }
 
-    /// Notes that ends are on record. What is not noted is read when it is asked for.
-    pub fn ended(&self, ends: Vec<(String, JobState)>) {
+    /// Ends are on record. An event that is lost costs a read when the job is polled.
+    pub fn jobs_ended(&self, ends: Vec<(String, JobState)>) {
         let _ = self.0.try_send(Input::Ended(ends));
     }
 }
 
-/// Starts the stage; `gateway` takes the polls that another controller must answer.
+/// Starts the driver's thread. `requests` gets the polls that another controller must answer.
+///
+/// # Errors
+///
+/// When the thread cannot be started.
 pub fn start(
     settings: &Settings,
     store: &KeyValueStore,
-    ends: &EndNotifier,
-    gateway: &Sender<Task>,
-) -> anyhow::Result<Polls> {
-    let (tx, rx) = bounded(settings.waiting_polls());
-    let stage = Stage {
+    end_notifier: &EndNotifier,
+    requests: &RequestQueue,
+) -> anyhow::Result<PollQueue> {
+    let (sender, receiver) = bounded(settings.waiting_polls());
+    let driver = PollDriver {
         batcher: PollBatcher::new(Limits::of(settings)),
-        asked: HashMap::new(),
+        pending: HashMap::new(),
         last_number: 0,
-        begun: Instant::now(),
+        epoch: Instant::now(),
         store: store.clone(),
-        ends: ends.clone(),
-        gateway: gateway.clone(),
+        end_notifier: end_notifier.clone(),
+        requests: requests.clone(),
     };
-    spawn("polls", move || stage.run(&rx))?;
-    Ok(Polls(tx))
+    spawn("polls", move || driver.run(&receiver))?;
+    Ok(PollQueue(sender))
 }
 
-struct Stage {
+struct PollDriver {
     batcher: PollBatcher,
-    /// Who gets the answers to the polls that the batcher has.
-    asked: HashMap<u64, UserPoll>,
+    /// The polls that the batcher has not answered yet, by number.
+    pending: HashMap<u64, UserPoll>,
     last_number: u64,
-    begun: Instant,
+    epoch: Instant,
     store: KeyValueStore,
-    ends: EndNotifier,
-    gateway: Sender<Task>,
+    end_notifier: EndNotifier,
+    requests: RequestQueue,
 }
 
-impl Stage {
+impl PollDriver {
     fn run(mut self, inputs: &Receiver<Input>) {
         loop {
-            let pause = self.batcher.pause_s().map_or(IDLE, Duration::from_secs_f64);
+            let pause = self
+                .batcher
+                .pause_s()
+                .map_or(IDLE_PAUSE, Duration::from_secs_f64);
             match inputs.recv_timeout(pause) {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             for input in inputs.try_iter() {
-                self.take(input);
+                self.handle_input(input);
             }
             let effects = self.batcher.next(self.now());
-            self.carry_out(effects);
+            self.execute(effects);
         }
     }
 
     fn now(&self) -> Time {
-        self.begun.elapsed().as_secs_f64()
+        self.epoch.elapsed().as_secs_f64()
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Poll(asked) => {
+            Input::Poll(user_poll) => {
                 self.last_number += 1;
-                let poll = asked.poll.clone();
-                self.asked.insert(self.last_number, asked);
+                let poll = user_poll.poll.clone();
+                self.pending.insert(self.last_number, user_poll);
                 let effects = self.batcher.ask(self.last_number, poll, self.now());
-                self.carry_out(effects);
+                self.execute(effects);
             }
-            Input::Accepted(job, waits_on) => self.batcher.accepted(&job, &waits_on),
+            Input::Accepted { job, waits_on } => self.batcher.accepted(&job, &waits_on),
             Input::Ended(ends) => {
                 for (job, state) in ends {
                     self.batcher.ended(&job, state);
@@ -130,32 +145,33 @@
         }
     }
 
-    /// Has another controller answer, unless this one was asked by another itself.
-    fn hand_on(&self, asked: UserPoll) {
-        if asked.from_peer {
-            (asked.respond)(reply_of(Answer::Later(Reason::NoStateService)))
+    /// Forwards a poll to another controller, unless another one has forwarded it to this one.
+    fn forward(&self, poll: UserPoll) {
+        if poll.from_peer {
+            (poll.respond)(reply_to_user(Answer::Later(Reason::NoStateService)))
         } else {
-            gateway::offer(&self.gateway, Task::hand_on(asked.poll.job, asked.respond))
+            self.requests
+                .enqueue(RequestTask::forward_poll(poll.poll.job, poll.respond))
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
                 Effect::Store(call) => {
-                    let answer = store_answer(&self.store, call);
+                    let answer = execute_store_call(&self.store, call);
                     effects.extend(self.batcher.on(answer, self.now()));
                 }
-                Effect::Ended(ends) => self.ends.note(ends),
+                Effect::Ended(ends) => self.end_notifier.publish(ends),
                 Effect::Answer(number, answer) => {
-                    if let Some(asked) = self.asked.remove(&number) {
-                        (asked.respond)(reply_of(answer));
+                    if let Some(poll) = self.pending.remove(&number) {
+                        (poll.respond)(reply_to_user(answer));
                     }
                 }
                 Effect::HandOn(number) => {
-                    if let Some(asked) = self.asked.remove(&number) {
-                        self.hand_on(asked);
+                    if let Some(poll) = self.pending.remove(&number) {
+                        self.forward(poll);
                     }
                 }
             }
--- a/src/service/record_reader.rs
+++ b/src/service/record_reader.rs
@@ -1,6 +1,6 @@
 //! Reads the records for a new leader, then follows the open jobs for as long as its term lasts.
 
-use super::messages::Message;
+use super::messages::{AcceptedJob, Message};
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::Time;
 use crate::protocol::store::Events;
@@ -14,20 +14,26 @@
 use tracing::warn;
 
 /// Heartbeat intervals after which all open jobs are read anew, as an event may have been lost.
-const REREAD_INTERVALS: u32 = 8;
-/// Watches in a report interval, at the least. The end of each proves up to when all cancellations
-/// on record are known.
-const WATCHES_AN_INTERVAL: u32 = 2;
+const REREAD_HEARTBEATS: u32 = 8;
+/// Watches in a heartbeat interval, at the least. The end of each proves up to when all
+/// cancellations on record are known.
+const WATCHES_PER_HEARTBEAT: u32 = 2;
+/// The pause before a read that failed is tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The reader of one term.
 pub struct RecordReader {
+    /// The state service.
     pub store: KeyValueStore,
+    /// The controller's inbox.
     pub inbox: Sender<Message>,
     /// The present term; the reader ends with its own.
     pub term: Arc<AtomicU64>,
+    /// The token of the term that it reads for.
     pub token: u64,
+    /// The zero of the controller's clock.
     pub epoch: Instant,
+    /// The time between two heartbeats of a worker.
     pub report_interval: Duration,
 }
 
@@ -47,17 +53,17 @@
         self.epoch.elapsed().as_secs_f64()
     }
 
-    /// Reads all records; the revision from which on changes are to be watched.
+    /// Reads all records; returns the revision from which on changes are to be watched.
     fn load(&self) -> Option<u64> {
         while self.is_current() {
-            let sent = self.now();
+            let sent_at = self.now();
             match self.read_all() {
                 Ok((records, revision)) => {
                     let token = self.token;
                     let _ = self.inbox.send(Message::RecordsLoaded {
                         token,
                         records,
-                        sent,
+                        sent_at,
                     });
                     return Some(revision);
                 }
@@ -80,7 +86,7 @@
     fn follow(&self, mut after: u64) {
         let mut read_at = Instant::now();
         while self.is_current() {
-            if read_at.elapsed() > self.report_interval * REREAD_INTERVALS {
+            if read_at.elapsed() > self.report_interval * REREAD_HEARTBEATS {
                 if let Ok(revision) = self.reread() {
                     read_at = Instant::now();
                     after = revision;
@@ -93,53 +99,56 @@
         }
     }
 
-    /// Waits for changes and hands them in; the revision to go on from.
+    /// Waits for changes and publishes them; returns the revision to go on from.
     fn watch(&self, after: u64) -> Result<u64, Unavailable> {
-        let sent = self.now();
-        let hold = self.report_interval / WATCHES_AN_INTERVAL;
+        let sent_at = self.now();
+        let hold = self.report_interval / WATCHES_PER_HEARTBEAT;
         let Some(events) = self.store.watch(OPEN_PREFIX, after, hold)? else {
             return self.reread();
         };
         let revision = after.max(events.revision);
-        self.hand_in_events(events);
-        self.records_read(sent);
+        self.publish_events(events);
+        self.publish_records_read(sent_at);
         Ok(revision)
     }
 
-    /// Reads all open jobs anew; the revision to go on from.
+    /// Reads all open jobs anew; returns the revision to go on from.
     fn reread(&self) -> Result<u64, Unavailable> {
-        let sent = self.now();
+        let sent_at = self.now();
         let (items, revision) = self.store.list(OPEN_PREFIX)?;
         let records = items.into_iter();
-        self.hand_in(records.map(|item| (item.key, item.value, item.version)));
-        self.records_read(sent);
+        self.publish_jobs(records.map(|item| (item.key, item.value, item.version)));
+        self.publish_records_read(sent_at);
         Ok(revision)
     }
 
-    fn hand_in_events(&self, events: Events) {
+    fn publish_events(&self, events: Events) {
         let written = events.events.into_iter();
-        self.hand_in(written.filter_map(|event| Some((event.put?, event.value, event.version))));
+        self.publish_jobs(
+            written.filter_map(|event| Some((event.put?, event.value, event.version))),
+        );
     }
 
-    /// Hands in open jobs in one message, however many there are: the controller's inbox keeps its
-    /// room for workers' reports.
-    fn hand_in(&self, records: impl Iterator<Item = (String, Value, u64)>) {
-        let opened: Vec<(OpenRecord, u64)> = records
-            .filter_map(|(key, value, version)| Some((decode(&key, value)?, version)))
+    /// Publishes open jobs in one message, however many there are: the controller's inbox keeps its
+    /// room for workers' heartbeats.
+    fn publish_jobs(&self, records: impl Iterator<Item = (String, Value, u64)>) {
+        let jobs: Vec<AcceptedJob> = records
+            .filter_map(|(key, value, version)| decode(&key, value, version))
             .collect();
-        if !opened.is_empty() {
-            let _ = self.inbox.send(Message::JobsAccepted(opened));
+        if !jobs.is_empty() {
+            let _ = self.inbox.send(Message::JobsAccepted { jobs });
         }
     }
 
-    fn records_read(&self, sent: Time) {
+    fn publish_records_read(&self, sent_at: Time) {
         let token = self.token;
-        let _ = self.inbox.send(Message::RecordsRead { token, sent });
+        let _ = self.inbox.send(Message::RecordsRead { token, sent_at });
     }
 }
 
-fn decode(key: &str, value: Value) -> Option<OpenRecord> {
-    serde_json::from_value(value)
-        .map_err(|error| warn!("{key}: cannot be read: {error}"))
-        .ok()
+fn decode(key: &str, value: Value, version: u64) -> Option<AcceptedJob> {
+    let record = serde_json::from_value::<OpenRecord>(value)
+        .map_err(|error| warn!(key, %error, "job record unreadable"))
+        .ok()?;
+    Some(AcceptedJob { record, version })
 }
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -3,7 +3,7 @@
 use super::records;
 use super::SharedWriteFence;
 use crate::protocol::store::Transaction;
-use crate::service::controller::wall_ms;
+use crate::service::clock::wall_ms;
 use crate::service::messages::Message;
 use crate::service::spawn;
 use crate::settings::Settings;
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -13,12 +13,12 @@
 use stairstage::coordination::cluster::{CommandOutcome, Effect};
 use stairstage::protocol::store::VersionedValue;
 use stairstage::protocol::worker::*;
-use stairstage::service::cloud_client::Cloud;
-use stairstage::service::messages::Message;
+use stairstage::service::cloud_client::CloudClient;
+use stairstage::service::messages::{AcceptedJob, Message};
 use stairstage::service::record_reader::RecordReader;
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::KeyValueStore as StoreClient;
-use stairstage::storage::records::{OpenRecord, OPEN_PREFIX};
+use stairstage::storage::records::OPEN_PREFIX;
 use stairstage::transport::front::{self, Bounds, Call};
 use stairstage::transport::runtime::Runtime;
 use stairstage::transport::Reply;
@@ -254,13 +254,13 @@
         report_interval: Duration::from_secs(1),
     };
     let thread = std::thread::spawn(move || reader.run());
-    let mut opened: Option<Vec<(OpenRecord, u64)>> = None;
+    let mut opened: Option<Vec<AcceptedJob>> = None;
     for message in &messages {
         match message {
             Message::RecordsLoaded { records, .. } => {
                 assert_eq!(records.open.len(), LARGEST as usize)
             }
-            Message::JobsAccepted(jobs) => opened = Some(jobs),
+            Message::JobsAccepted { jobs } => opened = Some(jobs),
             Message::RecordsRead { .. } => break,
             _ => panic!("nothing else is read"),
         }
@@ -294,7 +294,7 @@
         .replace("127.0.0.1:3", &address.to_string())
         .replace("rps = 10.0", "rps = 1000.0");
     let settings = Settings::parse("test", &text).unwrap();
-    let listed = Cloud::new(&settings).list().unwrap();
+    let listed = CloudClient::new(&settings).list().unwrap();
     let names: BTreeSet<&str> = listed.iter().map(|m| m.name.as_str()).collect();
     assert_eq!(names.len(), LARGEST as usize);
 }
