--- a/src/coordination/cluster/writes/completions.rs
+++ b/src/coordination/cluster/writes/completions.rs
@@ -161,7 +161,9 @@
     task: u32,
 ) -> bool {
     jobs.get(job).is_some_and(|job| {
-        let record = job.completion_records.get(task as usize / shards.tasks_per_shard);
+        let record = job
+            .completion_records
+            .get(task as usize / shards.tasks_per_shard);
         !job.end_recorded && record.is_some_and(|r| r.dirty_since.is_some() || r.in_flight)
     })
 }
--- /dev/null
+++ b/src/service/controller/heartbeats.rs
@@ -0,0 +1,71 @@
+//! Answers workers' heartbeats, or routes them to the leader.
+
+use super::Controller;
+use crate::coordination::cluster::heartbeat_routing::Route;
+use crate::coordination::cluster::heartbeats::HeartbeatSource;
+use crate::coordination::cluster::HeartbeatOutcome;
+use crate::coordination::Time;
+use crate::protocol::worker::LeaderRedirect;
+use crate::service::messages::ReceivedHeartbeat;
+use crate::service::request_queue::RequestTask;
+use crate::transport::Reply;
+
+impl Controller {
+    /// Answers a worker's heartbeat. An answer renews the worker's lease, so that none is given while
+    /// a confirmed cancellation may be unknown here for too long: see [`CancellationEvidence`].
+    ///
+    /// [`CancellationEvidence`]: crate::coordination::cluster::cancellation_evidence::CancellationEvidence
+    pub(super) fn answer_heartbeat(&mut self, received: ReceivedHeartbeat) {
+        self.apply_own_cancellations();
+        let now = self.now();
+        let workers = &self.settings.cluster.workers;
+        let may_renew = self.cancellations.evidence.may_renew(workers, now);
+        let Some(manager) = self.role.manager_mut().filter(|_| may_renew) else {
+            return self.redirect(received);
+        };
+        let source = received.source;
+        let reply = match manager.heartbeat_from(source, &received.heartbeat, now) {
+            HeartbeatOutcome::Answer(answer) => {
+                self.note_heartbeat(source, now);
+                Reply::json(200, &answer)
+            }
+            HeartbeatOutcome::Stale => Reply::error(503, "an older report"),
+            HeartbeatOutcome::Deposed => Reply::json(421, &LeaderRedirect { leader: None }),
+        };
+        (received.respond)(reply);
+    }
+
+    /// Redirects a worker to the leader, or forwards its heartbeat if it may not reach the leader.
+    fn redirect(&mut self, received: ReceivedHeartbeat) {
+        let ReceivedHeartbeat {
+            heartbeat,
+            body,
+            source,
+            respond,
+        } = received;
+        let now = self.now();
+        self.note_heartbeat(source, now);
+        let leader = self.other_leader();
+        let Some(leader) = leader.filter(|_| source != HeartbeatSource::Peer) else {
+            return respond(Reply::json(421, &LeaderRedirect { leader: None }));
+        };
+        let order = (heartbeat.incarnation, heartbeat.sequence);
+        match self.redirects.route(&heartbeat.machine, order, now) {
+            Route::Redirect => {
+                let leader = Some(leader);
+                respond(Reply::json(421, &LeaderRedirect { leader }));
+            }
+            Route::PassOn => {
+                let task = RequestTask::forward_heartbeat(leader, body, respond);
+                self.handles.requests.enqueue(task);
+            }
+        }
+    }
+
+    /// Remembers when a worker last reached this node itself.
+    fn note_heartbeat(&mut self, source: HeartbeatSource, now: Time) {
+        if source == HeartbeatSource::Worker {
+            self.last_heartbeat_at = now;
+        }
+    }
+}
