--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -1,7 +1,7 @@
 //! Accepting a job by writing its first record.
 
-use super::lookup::Lookup;
-use super::steps::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
+use super::job_lookup::Lookup;
+use super::step::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
 use super::TRIES;
 use crate::protocol::job::JobStatus;
 use crate::protocol::store::Transaction;
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -1,8 +1,8 @@
 //! Cancellations: the end of an open job, which its description tells too until the leader has
 //! cleared the job's places.
 
-use super::lookup::Lookup;
-use super::steps::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
+use super::job_lookup::Lookup;
+use super::step::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
 use super::{Answer, Context, TRIES};
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
--- a/src/coordination/requests/prerequisites.rs
+++ b/src/coordination/requests/dependency_check.rs
@@ -1,7 +1,7 @@
 //! What has become of the jobs that a submission waits for.
 
-use super::lookup::{is_cancelled, Lookup};
-use super::steps::{Progress, Step, Stop, StoreAnswer, StoreCall};
+use super::job_lookup::{is_cancelled, Lookup};
+use super::step::{Progress, Step, Stop, StoreAnswer, StoreCall};
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
--- a/src/coordination/requests/lookup.rs
+++ b/src/coordination/requests/job_lookup.rs
@@ -1,7 +1,7 @@
 //! What the records of the state service say of a job.
 
 use super::answers::without_counts;
-use super::steps::{Progress, Step, Stop, StoreAnswer, StoreCall};
+use super::step::{Progress, Step, Stop, StoreAnswer, StoreCall};
 use crate::protocol::job::{JobState, JobStatus};
 use crate::storage::key_value_store::Unavailable;
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -17,15 +17,15 @@
 mod admission;
 mod answers;
 mod cancellation;
-mod lookup;
+mod dependency_check;
+mod job_lookup;
 pub mod polls;
-mod prerequisites;
-mod steps;
+mod step;
 mod submission;
 
 pub use admission::cannot_run;
 pub use answers::{Answer, PeerAnswer, Reason};
-pub use steps::{StoreAnswer, StoreCall};
+pub use step::{StoreAnswer, StoreCall};
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, JobState, JobStatus};
@@ -35,7 +35,7 @@
 use polls::Poll;
 use stairstage_upgrade::fence::WriteFence;
 use std::sync::Arc;
-use steps::{Progress, Step, Stop};
+use step::{Progress, Step, Stop};
 use submission::Submission;
 
 /// How many times a transaction is committed that is not answered or meets a conflict.
--- a/src/coordination/requests/polls/read_results.rs
+++ b/src/coordination/requests/polls/batcher/read_results.rs
@@ -1,9 +1,9 @@
 //! What the records that were read say to the polls that have waited for them.
 
-use super::reads::{self, is_covered, Found, Read, RecordKind};
+use super::read_queue::{self as reads, is_covered, Found, Read, RecordKind};
 use super::{take_where, Effect, PollBatcher, WaitingPoll};
 use crate::coordination::requests::answers::without_counts;
-use crate::coordination::requests::steps::StoreAnswer;
+use crate::coordination::requests::step::StoreAnswer;
 use crate::coordination::requests::Answer;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
--- a/src/coordination/requests/polls/comparison.rs
+++ b/src/coordination/requests/polls/comparison.rs
@@ -1,7 +1,7 @@
 //! One transaction that changes nothing, and what it says of many jobs.
 
 use super::known_jobs::{KnownJobs, Prerequisites};
-use super::reads::Read;
+use super::read_queue::Read;
 use super::{Poll, WaitingPoll};
 use crate::coordination::requests::answers::without_counts;
 use crate::protocol::job::{JobState, JobStatus};
--- a/src/coordination/requests/polls/mod.rs
+++ b/src/coordination/requests/polls/mod.rs
@@ -11,13 +11,14 @@
 
 mod comparison;
 mod known_jobs;
-mod overload;
+mod poll_queue;
+mod read_queue;
+#[path = "batcher/read_results.rs"]
 mod read_results;
-mod reads;
 mod retries;
 
 use super::answers::without_counts;
-use super::steps::{StoreAnswer, StoreCall};
+use super::step::{StoreAnswer, StoreCall};
 use super::Answer;
 use crate::coordination::Time;
 use crate::protocol::job::{JobState, JobStatus};
@@ -26,7 +27,7 @@
 use crate::storage::token_bucket::TokenBucket;
 use comparison::{Claim, Comparison, Verdict};
 use known_jobs::KnownJobs;
-use reads::{Read, ReadCall, Reads};
+use read_queue::{Read, ReadCall, Reads};
 use retries::Retries;
 
 /// The share of the state service's requests that the polls of all nodes may take together: the
--- a/src/coordination/requests/polls/reads.rs
+++ b/src/coordination/requests/polls/read_queue.rs
@@ -1,6 +1,6 @@
 //! Records that are read for polls, and in which order.
 
-use crate::coordination::requests::steps::{StoreAnswer, StoreCall};
+use crate::coordination::requests::step::{StoreAnswer, StoreCall};
 use crate::protocol::job::JobState;
 use crate::protocol::store::VersionedValue;
 use crate::storage::key_value_store::Unavailable;
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -2,9 +2,9 @@
 
 use super::acceptance::{Acceptance, Accepted};
 use super::admission::refusal;
-use super::lookup::Lookup;
-use super::prerequisites::{Needed, Prerequisites};
-use super::steps::{Progress, Step, StoreAnswer, StoreCall};
+use super::dependency_check::{Needed, Prerequisites};
+use super::job_lookup::Lookup;
+use super::step::{Progress, Step, StoreAnswer, StoreCall};
 use super::{Answer, Context, Decision, Reason};
 use crate::protocol::job::{JobSpec, JobState};
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -3,6 +3,8 @@
 //! test brings one combination of troubles about, and checks that it has come about.
 
 mod common;
+#[path = "requests/coverage.rs"]
+mod coverage;
 #[path = "requests/jobs.rs"]
 mod jobs;
 #[path = "requests/leader.rs"]
@@ -13,10 +15,8 @@
 mod rules;
 #[path = "requests/schedule.rs"]
 mod schedule;
-#[path = "requests/seen.rs"]
-mod seen;
-#[path = "requests/world.rs"]
-mod world;
+#[path = "requests/simulation.rs"]
+mod simulation;
 
 use rules::{Kind, Told};
 use schedule::Troubles;
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::*;
 use crate::parts::{Fate, Leader};
-use crate::world::{name_of, World};
+use crate::simulation::{name_of, World};
 use serde_json::json;
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::Located;
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -1,10 +1,10 @@
 //! Generated schedules, and how one is played.
 
+use crate::coverage::Seen;
 use crate::jobs::{id_of, needs, recorded_end, JOBS};
 use crate::parts::Fate;
 use crate::rules::Kind;
-use crate::seen::Seen;
-use crate::world::{World, NODES};
+use crate::simulation::{World, NODES};
 use proptest::prelude::*;
 use proptest::strategy::Union;
 use proptest::test_runner::{RngSeed, TestRunner};
--- a/tests/requests/world.rs
+++ b/tests/requests/simulation.rs
@@ -1,10 +1,10 @@
 //! Several nodes that take users' requests, the state service, and a leader whose picture lags.
 
 use crate::common::{self, Refusal, Store};
+use crate::coverage::Seen;
 use crate::jobs::*;
 use crate::parts::*;
 use crate::rules::{Kind, Ledger, Question, Told};
-use crate::seen::Seen;
 use stairstage::coordination::requests::polls::{self, Limits, PollBatcher};
 use stairstage::coordination::requests::{
     Answer, Context, Effect, Event, PeerAnswer, Request, StoreAnswer, StoreCall,
