--- a/src/coordination/requests/polls/mod.rs
+++ b/src/coordination/requests/polls/mod.rs
@@ -15,7 +15,7 @@
 mod read_queue;
 #[path = "batcher/read_results.rs"]
 mod read_results;
-mod retries;
+mod retry_schedule;
 
 use super::answers::without_counts;
 use super::step::{StoreAnswer, StoreCall};
@@ -28,7 +28,7 @@
 use comparison::{Claim, Comparison, Verdict};
 use known_jobs::KnownJobs;
 use read_queue::{Read, ReadCall, Reads};
-use retries::Retries;
+use retry_schedule::Retries;
 
 /// The share of the state service's requests that the polls of all nodes may take together: the
 /// leader needs the others for its lease and its records.
