--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -1,8 +1,9 @@
 //! Accepting a job by writing its first record.
 
-use super::job_lookup::Lookup;
-use super::step::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
-use super::TRIES;
+use super::context::MAX_ATTEMPTS;
+use super::job_lookup::JobLookup;
+use super::step::{has_version_changed, Step, StepError, StepResult};
+use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::JobStatus;
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
@@ -10,36 +11,44 @@
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
 
-/// Writes a record of a job while none is there.
+/// Writes a record of a job by compare-and-swap on the absence of all its records. This makes
+/// submissions idempotent: a repeated one meets a conflict, and looks the job up.
 pub(super) struct Acceptance {
     job: String,
     transaction: Transaction,
-    tries: usize,
-    lookup: Option<Lookup>,
+    attempts: usize,
+    /// The lookup of the job after a conflict.
+    lookup: Option<JobLookup>,
 }
 
-pub(super) enum Accepted {
-    /// By this request, with the record's version.
-    Now(u64),
-    /// Before, perhaps by a try of ours whose answer was lost; the state, where it is to be seen.
-    Before(Option<JobStatus>),
+/// What has come of an [`Acceptance`].
+pub(super) enum AcceptanceOutcome {
+    /// This request has accepted the job.
+    Created {
+        /// The version of the record that it wrote.
+        version: u64,
+    },
+    /// The job was accepted before, perhaps by an attempt of this request without a response; its
+    /// state, unless it can't be read yet.
+    Duplicate(Option<JobStatus>),
 }
 
 impl Acceptance {
+    /// Starts to write the record `value` at `key`.
     pub(super) fn begin(
         job: &str,
         key: String,
         value: Value,
-        clearance: &WriteFence,
+        write_fence: &WriteFence,
     ) -> (Acceptance, StoreCall) {
-        let transaction = Transaction::at_version(clearance)
+        let transaction = Transaction::at_version(write_fence)
             .absent(open_key(job))
             .absent(end_key(job))
             .put(key, value);
         let acceptance = Acceptance {
             job: job.to_string(),
             transaction,
-            tries: 1,
+            attempts: 1,
             lookup: None,
         };
         let call = acceptance.commit();
@@ -50,29 +59,31 @@
         StoreCall::Commit(self.transaction.clone())
     }
 
-    pub(super) fn on(&mut self, answer: StoreAnswer) -> Progress<Accepted> {
+    pub(super) fn on_answer(&mut self, answer: StoreAnswer) -> StepResult<AcceptanceOutcome> {
         if let Some(lookup) = &mut self.lookup {
-            return Ok(lookup.on(answer)?.map(Accepted::Before));
+            return Ok(lookup.on_answer(answer)?.map(AcceptanceOutcome::Duplicate));
         }
-        match answer.outcome() {
-            CommitOutcome::Applied(version) => Ok(Step::Finished(Accepted::Now(version))),
-            CommitOutcome::Conflict(failed) if is_version_raised(&failed) => {
-                Err(Stop::VersionRaised)
+        match answer.commit_outcome() {
+            CommitOutcome::Applied(version) => {
+                Ok(Step::Finished(AcceptanceOutcome::Created { version }))
+            }
+            CommitOutcome::Conflict(failed) if has_version_changed(&failed) => {
+                Err(StepError::VersionChanged)
             }
             CommitOutcome::Conflict(_) => {
-                let (lookup, call) = Lookup::begin(&self.job);
+                let (lookup, call) = JobLookup::begin(&self.job);
                 self.lookup = Some(lookup);
                 Ok(Step::Call(call))
             }
-            CommitOutcome::Unknown if self.tries < TRIES => {
-                self.tries += 1;
+            CommitOutcome::Unknown if self.attempts < MAX_ATTEMPTS => {
+                self.attempts += 1;
                 Ok(Step::Call(self.commit()))
             }
-            CommitOutcome::Limited => Err(Stop::Limited),
+            CommitOutcome::Limited => Err(StepError::RateLimited),
             CommitOutcome::Unknown
             | CommitOutcome::Refused
             | CommitOutcome::TooLarge
-            | CommitOutcome::NoLease => Err(Stop::Unavailable),
+            | CommitOutcome::NoLease => Err(StepError::Unavailable),
         }
     }
 }
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -1,58 +1,72 @@
-//! Why a submission is not taken, as far as that shows without asking the state service.
+//! Admission control: whether a submission is rejected on the strength of the settings alone.
 
-use super::{Answer, Context, Reason};
+use super::answers::{Answer, RetryReason};
+use super::context::Context;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::settings::Settings;
 use crate::storage::records::OpenRecord;
 use stairstage_upgrade::Gate;
 
-/// The answer to a submission that is not taken, unless the job was accepted before.
-pub(super) fn refusal(record: &OpenRecord, context: &Context) -> Option<Answer> {
-    if context.types.is_empty() {
-        return Some(Answer::Later(Reason::NoMachineTypes));
+/// Tolerance for the rounding of sums of cpus or gpus.
+const LIMIT_TOLERANCE: f64 = 1e-9;
+
+/// The answer that rejects a submission, if any; it holds unless the job was accepted before.
+pub(super) fn rejection(record: &OpenRecord, context: &Context) -> Option<Answer> {
+    if context.machine_types.is_empty() {
+        return Some(Answer::RetryLater(RetryReason::NoMachineTypes));
     }
-    let waits = !record.spec.waits_on.is_empty();
-    if waits && !context.clearance.gates().is_open(Gate::Pipelines) {
-        return Some(Answer::Later(Reason::NotFinalized));
+    let has_dependencies = !record.spec.waits_on.is_empty();
+    if has_dependencies && !context.write_fence.gates().is_open(Gate::Pipelines) {
+        return Some(Answer::RetryLater(RetryReason::NotFinalized));
     }
-    if let Some(why) = cannot_run(&record.spec, &context.settings, &context.types) {
-        return Some(Answer::CannotRun(why));
+    if let Some(reason) = cannot_run(&record.spec, &context.settings, &context.machine_types) {
+        return Some(Answer::CannotRun(reason));
     }
-    let (bytes, most) = (
-        record.bytes(),
-        context.settings.cluster.state.record_bytes(),
-    );
-    (bytes > most).then(|| {
-        let why = format!("the description takes {bytes} bytes in the records, of at most {most}");
-        Answer::Malformed(why)
+    let bytes = record.bytes();
+    let max_bytes = context.settings.cluster.state.record_bytes();
+    (bytes > max_bytes).then(|| {
+        let reason =
+            format!("the description takes {bytes} bytes in the records, of at most {max_bytes}");
+        Answer::Malformed(reason)
     })
 }
 
-/// Why a job can never run, if so.
-pub fn cannot_run(spec: &JobSpec, settings: &Settings, types: &[MachineType]) -> Option<String> {
+/// The reason why a job can never run with these settings and machine types, if there is one.
+pub fn cannot_run(
+    spec: &JobSpec,
+    settings: &Settings,
+    machine_types: &[MachineType],
+) -> Option<String> {
     let Some(team) = settings.team(&spec.team) else {
         return Some(format!("team {} is not known", spec.team));
     };
-    let fits = types.iter().any(|t| {
-        let allowed = spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-        let zone = spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
-        allowed
-            && zone
-            && t.cpus >= spec.cpus
-            && t.gpus >= spec.gpus
-            && t.memory_gb >= spec.memory_gb
-    });
-    if !fits {
+    if !machine_types.iter().any(|t| fits_task(t, spec)) {
         return Some("no machine type that the job allows fits a task".into());
     }
-    let at_once = match spec.kind {
+    let min_running_tasks = match spec.kind {
         JobKind::Array => 1.0,
         JobKind::Gang | JobKind::Service => f64::from(spec.tasks),
     };
-    let exceeds = |need: f64, most: f64| most > 0.0 && need * at_once > most + 1e-9;
+    // A limit of zero means that there is none.
+    let exceeds = |request: f64, limit: f64| {
+        limit > 0.0 && request * min_running_tasks > limit + LIMIT_TOLERANCE
+    };
     if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
         return Some(format!("more than the limit of team {}", spec.team));
     }
     None
 }
+
+/// Whether the job allows the machine type, and one machine of it fits a task.
+fn fits_task(machine_type: &MachineType, spec: &JobSpec) -> bool {
+    let types = spec.types.as_ref();
+    let is_allowed = types.is_none_or(|names| names.contains(&machine_type.name));
+    let zone = spec.zone.as_ref();
+    let has_zone = zone.is_none_or(|zone| machine_type.zones.contains(zone));
+    is_allowed
+        && has_zone
+        && machine_type.cpus >= spec.cpus
+        && machine_type.gpus >= spec.gpus
+        && machine_type.memory_gb >= spec.memory_gb
+}
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -1,119 +1,122 @@
-//! Cancellations: the end of an open job, which its description tells too until the leader has
-//! cleared the job's places.
+//! Cancellations: the end record of an open job is written. The open record is marked as well, and
+//! stays until the leader has released the job's allocations.
 
-use super::job_lookup::Lookup;
-use super::step::{is_version_raised, Progress, Step, Stop, StoreAnswer, StoreCall};
-use super::{Answer, Context, TRIES};
+use super::answers::Answer;
+use super::context::{Context, MAX_ATTEMPTS};
+use super::job_lookup::JobLookup;
+use super::step::{has_version_changed, Step, StepError, StepResult};
+use super::store_call::{StoreAnswer, StoreCall, VersionedRecord};
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
-/// Records that a job's user has taken it back, unless it has ended.
+/// Records that a job is cancelled, unless it has ended.
 pub(super) struct Cancellation {
     job: String,
     now_ms: u64,
-    /// The most bytes that a record may have.
-    record_bytes: usize,
-    clearance: WriteFence,
-    tries: usize,
-    stage: Stage,
+    max_record_bytes: usize,
+    write_fence: WriteFence,
+    attempts: usize,
+    state: State,
 }
 
-enum Stage {
+enum State {
     ReadingOpen,
-    /// There is no description.
-    LookingUp(Lookup),
+    /// There is no open record.
+    LookingUp(JobLookup),
     Committing,
 }
 
 impl Cancellation {
+    /// Starts the cancellation of a job.
     pub(super) fn begin(job: &str, context: &Context) -> (Cancellation, StoreCall) {
         let cancellation = Cancellation {
             job: job.to_string(),
             now_ms: context.now_ms,
-            record_bytes: context.settings.cluster.state.record_bytes(),
-            clearance: context.clearance,
-            tries: 1,
-            stage: Stage::ReadingOpen,
+            max_record_bytes: context.settings.cluster.state.record_bytes(),
+            write_fence: context.write_fence,
+            attempts: 1,
+            state: State::ReadingOpen,
         };
-        let call = cancellation.read();
+        let call = cancellation.read_open_record();
         (cancellation, call)
     }
 
-    fn read(&self) -> StoreCall {
+    fn read_open_record(&self) -> StoreCall {
         StoreCall::Read(open_key(&self.job))
     }
 
-    pub(super) fn on(&mut self, answer: StoreAnswer) -> Progress<Answer> {
-        match &mut self.stage {
-            Stage::ReadingOpen => self.open_read(answer),
-            Stage::LookingUp(lookup) => {
-                let step = lookup.on(answer)?;
-                self.looked_up(step)
+    pub(super) fn on_answer(&mut self, answer: StoreAnswer) -> StepResult<Answer> {
+        match &mut self.state {
+            State::ReadingOpen => self.on_open_record(answer),
+            State::LookingUp(lookup) => {
+                let step = lookup.on_answer(answer)?;
+                self.on_lookup_step(step)
             }
-            Stage::Committing => self.committed(answer.outcome()),
+            State::Committing => self.on_commit_outcome(answer.commit_outcome()),
         }
     }
 
-    fn open_read(&mut self, answer: StoreAnswer) -> Progress<Answer> {
-        match answer.value::<OpenRecord>()? {
-            Some((record, _)) if record.cancelled => Ok(self.cancelled()),
-            Some((record, version)) => Ok(Step::Call(self.commit(record, version))),
+    fn on_open_record(&mut self, answer: StoreAnswer) -> StepResult<Answer> {
+        match answer.decode::<OpenRecord>()? {
+            Some(open) if open.record.cancelled => Ok(self.cancelled()),
+            Some(open) => Ok(Step::Call(self.commit(open))),
             None => {
-                let (lookup, call) = Lookup::begin(&self.job);
-                self.stage = Stage::LookingUp(lookup);
+                let (lookup, call) = JobLookup::begin(&self.job);
+                self.state = State::LookingUp(lookup);
                 Ok(Step::Call(call))
             }
         }
     }
 
-    fn looked_up(&mut self, step: Step<Option<JobStatus>>) -> Progress<Answer> {
+    fn on_lookup_step(&mut self, step: Step<Option<JobStatus>>) -> StepResult<Answer> {
         match step {
             Step::Call(call) => Ok(Step::Call(call)),
             Step::Finished(None) => Ok(Step::Finished(Answer::NotFound)),
-            // Accepted between the two readings.
+            // Accepted between the two reads of the open record.
             Step::Finished(Some(status)) if status.state == JobState::Pending => self.retry(),
             Step::Finished(Some(status)) => Ok(Step::Finished(Answer::Known(status))),
         }
     }
 
-    fn commit(&mut self, record: OpenRecord, version: u64) -> StoreCall {
-        let record = record.taken_back(self.record_bytes);
-        let (open, end) = (open_key(&self.job), end_key(&self.job));
-        let value = serde_json::to_value(&record).expect("plain data");
-        let transaction = Transaction::at_version(&self.clearance)
-            .absent(end.clone())
-            .version(open.clone(), version)
-            .put(end, EndRecord::cancelled(self.now_ms).to_value())
-            .put(open, value);
-        self.stage = Stage::Committing;
+    fn commit(&mut self, open: VersionedRecord<OpenRecord>) -> StoreCall {
+        let cancelled_record = open.record.taken_back(self.max_record_bytes);
+        let value =
+            serde_json::to_value(&cancelled_record).expect("serializing plain data cannot fail");
+        let (open_key, end_key) = (open_key(&self.job), end_key(&self.job));
+        let transaction = Transaction::at_version(&self.write_fence)
+            .absent(end_key.clone())
+            .version(open_key.clone(), open.version)
+            .put(end_key, EndRecord::cancelled(self.now_ms).to_value())
+            .put(open_key, value);
+        self.state = State::Committing;
         StoreCall::Commit(transaction)
     }
 
-    fn committed(&mut self, outcome: CommitOutcome) -> Progress<Answer> {
+    fn on_commit_outcome(&mut self, outcome: CommitOutcome) -> StepResult<Answer> {
         match outcome {
             CommitOutcome::Applied(_) => Ok(self.cancelled()),
-            CommitOutcome::Conflict(failed) if is_version_raised(&failed) => {
-                Err(Stop::VersionRaised)
+            CommitOutcome::Conflict(failed) if has_version_changed(&failed) => {
+                Err(StepError::VersionChanged)
             }
-            // Ended meanwhile, or cancelled by a try whose answer was lost.
+            // Ended in the meantime, or cancelled by an attempt without a response.
             CommitOutcome::Conflict(_) | CommitOutcome::Unknown => self.retry(),
-            CommitOutcome::Limited => Err(Stop::Limited),
+            CommitOutcome::Limited => Err(StepError::RateLimited),
             CommitOutcome::Refused | CommitOutcome::TooLarge | CommitOutcome::NoLease => {
-                Err(Stop::Unavailable)
+                Err(StepError::Unavailable)
             }
         }
     }
 
-    fn retry(&mut self) -> Progress<Answer> {
-        if self.tries == TRIES {
-            return Err(Stop::Unavailable);
+    fn retry(&mut self) -> StepResult<Answer> {
+        if self.attempts == MAX_ATTEMPTS {
+            return Err(StepError::Unavailable);
         }
-        self.tries += 1;
-        self.stage = Stage::ReadingOpen;
-        Ok(Step::Call(self.read()))
+        self.attempts += 1;
+        self.state = State::ReadingOpen;
+        Ok(Step::Call(self.read_open_record()))
     }
 
     fn cancelled(&self) -> Step<Answer> {
--- a/src/coordination/requests/dependency_check.rs
+++ b/src/coordination/requests/dependency_check.rs
@@ -1,116 +1,138 @@
-//! What has become of the jobs that a submission waits for.
+//! Checking the dependencies of a submitted job in the DAG of jobs.
 
-use super::job_lookup::{is_cancelled, Lookup};
-use super::step::{Progress, Step, Stop, StoreAnswer, StoreCall};
+use super::dependency_search::is_end_cancelled;
+use super::job_lookup::JobLookup;
+use super::step::{Step, StepError, StepResult};
+use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
 use crate::storage::records::{end_key, open_key};
 use std::collections::VecDeque;
 
-/// Compares the records of all jobs that a submission names: one request tells for several, since a
-/// description goes in the same transaction as the end comes.
-pub(super) struct Prerequisites {
-    /// Those not compared yet, as many together as a transaction takes.
+/// Checks that all jobs that a submission depends on were accepted. One transaction compares the
+/// records of several of them: an open record is deleted by the transaction that writes the end
+/// record, so that a job without either was never accepted.
+pub(super) struct DependencyCheck {
+    /// Dependencies that are not compared yet, in chunks that fit a transaction.
     chunks: VecDeque<Vec<String>>,
-    /// Those compared that are still to be looked at, and the keys that were there.
+    /// Dependencies that are compared, but not evaluated yet.
     compared: VecDeque<String>,
-    present: Vec<String>,
-    /// All are looked at: one that was never accepted weighs more than a cancelled one.
-    cancelled: bool,
-    stage: Stage,
+    /// The keys that the last comparison found to be present.
+    present_keys: Vec<String>,
+    /// Whether a cancelled dependency was found. All others are evaluated nevertheless: one that was
+    /// never accepted takes precedence.
+    has_cancelled: bool,
+    state: State,
 }
 
-enum Stage {
+enum State {
     Comparing,
     ReadingEnd,
-    /// Neither record was there.
-    LookingUp(String, Lookup),
+    /// Neither record was present.
+    LookingUp {
+        job: String,
+        lookup: JobLookup,
+    },
 }
 
-/// What a submission names to wait for.
+/// The result of a [`DependencyCheck`].
 #[derive(Debug)]
-pub(super) enum Needed {
-    /// All of it was accepted, and none cancelled as far as is on record.
+pub(super) enum DependencyStatus {
+    /// All dependencies were accepted, and none is recorded as cancelled.
     Accepted,
-    /// Some of it never was, or can't be waited for: why.
-    Never(String),
+    /// A dependency was never accepted, or is the job itself; with the reason for the user.
+    Invalid(String),
+    /// A dependency is cancelled, and so will be the job.
     Cancelled,
 }
 
-impl Prerequisites {
-    pub(super) fn begin(spec: &JobSpec, conditions: usize) -> (Prerequisites, Step<Needed>) {
-        let at_once = (conditions / 2).max(1);
-        let chunks = spec.waits_on.chunks(at_once);
-        let mut prerequisites = Prerequisites {
+impl DependencyCheck {
+    /// Starts the check of a job; a transaction takes at most `max_compares` compares.
+    pub(super) fn begin(
+        spec: &JobSpec,
+        max_compares: usize,
+    ) -> (DependencyCheck, Step<DependencyStatus>) {
+        // Two compares a job: its open record and its end record.
+        let chunk_len = (max_compares / 2).max(1);
+        let chunks = spec.waits_on.chunks(chunk_len);
+        let mut check = DependencyCheck {
             chunks: chunks.map(<[String]>::to_vec).collect(),
             compared: VecDeque::new(),
-            present: Vec::new(),
-            cancelled: false,
-            stage: Stage::Comparing,
+            present_keys: Vec::new(),
+            has_cancelled: false,
+            state: State::Comparing,
         };
         let step = if spec.waits_on.contains(&spec.id) {
-            Step::Finished(Needed::Never("waits_on: names the job itself".into()))
+            let reason = "waits_on: names the job itself".to_string();
+            Step::Finished(DependencyStatus::Invalid(reason))
         } else {
-            prerequisites.next()
+            check.evaluate_next()
         };
-        (prerequisites, step)
+        (check, step)
     }
 
-    /// Goes on with the next job that was compared, or compares more.
-    fn next(&mut self) -> Step<Needed> {
+    pub(super) fn on_answer(&mut self, answer: StoreAnswer) -> StepResult<DependencyStatus> {
+        match &mut self.state {
+            State::Comparing => self.present_keys = present_keys(answer.commit_outcome())?,
+            State::ReadingEnd => self.has_cancelled |= is_end_cancelled(answer)?,
+            State::LookingUp { job, lookup } => match lookup.on_answer(answer)? {
+                Step::Call(call) => return Ok(Step::Call(call)),
+                Step::Finished(None) => {
+                    let reason = format!("waits_on: {job} was never accepted");
+                    return Ok(Step::Finished(DependencyStatus::Invalid(reason)));
+                }
+                Step::Finished(Some(_)) => {}
+            },
+        }
+        Ok(self.evaluate_next())
+    }
+
+    /// Evaluates the compared dependencies up to the next one that needs a call.
+    fn evaluate_next(&mut self) -> Step<DependencyStatus> {
         while let Some(job) = self.compared.pop_front() {
             let end = end_key(&job);
-            if self.present.contains(&end) {
-                self.stage = Stage::ReadingEnd;
+            if self.present_keys.contains(&end) {
+                self.state = State::ReadingEnd;
                 return Step::Call(StoreCall::Read(end));
             }
-            if !self.present.contains(&open_key(&job)) {
-                let (lookup, call) = Lookup::begin(&job);
-                self.stage = Stage::LookingUp(job, lookup);
+            if !self.present_keys.contains(&open_key(&job)) {
+                let (lookup, call) = JobLookup::begin(&job);
+                self.state = State::LookingUp { job, lookup };
                 return Step::Call(call);
             }
         }
-        self.compare()
+        self.compare_next_chunk()
     }
 
-    fn compare(&mut self) -> Step<Needed> {
+    fn compare_next_chunk(&mut self) -> Step<DependencyStatus> {
         let Some(jobs) = self.chunks.pop_front() else {
-            return Step::Finished(if self.cancelled {
-                Needed::Cancelled
+            return Step::Finished(if self.has_cancelled {
+                DependencyStatus::Cancelled
             } else {
-                Needed::Accepted
+                DependencyStatus::Accepted
             });
         };
-        let none = Transaction::default();
-        let transaction = jobs.iter().fold(none, |transaction, job| {
-            transaction.absent(open_key(job)).absent(end_key(job))
-        });
+        let transaction = jobs
+            .iter()
+            .fold(Transaction::default(), |transaction, job| {
+                transaction.absent(open_key(job)).absent(end_key(job))
+            });
         self.compared = jobs.into();
-        self.stage = Stage::Comparing;
+        self.state = State::Comparing;
         Step::Call(StoreCall::Commit(transaction))
     }
+}
 
-    pub(super) fn on(&mut self, answer: StoreAnswer) -> Progress<Needed> {
-        match &mut self.stage {
-            Stage::Comparing => {
-                self.present = match answer.outcome() {
-                    CommitOutcome::Conflict(present) => present,
-                    CommitOutcome::Applied(_) => Vec::new(),
-                    CommitOutcome::Limited => return Err(Stop::Limited),
-                    _ => return Err(Stop::Unavailable),
-                };
-            }
-            Stage::ReadingEnd => self.cancelled |= is_cancelled(answer)?,
-            Stage::LookingUp(job, lookup) => match lookup.on(answer)? {
-                Step::Call(call) => return Ok(Step::Call(call)),
-                Step::Finished(None) => {
-                    let why = format!("waits_on: {job} was never accepted");
-                    return Ok(Step::Finished(Needed::Never(why)));
-                }
-                Step::Finished(Some(_)) => {}
-            },
-        }
-        Ok(self.next())
+/// The keys that a comparison found although it expected them to be absent.
+fn present_keys(outcome: CommitOutcome) -> Result<Vec<String>, StepError> {
+    match outcome {
+        CommitOutcome::Conflict(present) => Ok(present),
+        CommitOutcome::Applied(_) => Ok(Vec::new()),
+        CommitOutcome::Limited => Err(StepError::RateLimited),
+        CommitOutcome::Unknown
+        | CommitOutcome::Refused
+        | CommitOutcome::TooLarge
+        | CommitOutcome::NoLease => Err(StepError::Unavailable),
     }
 }
--- /dev/null
+++ b/src/coordination/requests/polls/batcher/mod.rs
@@ -0,0 +1,242 @@
+//! The state machine that answers the polls of one node.
+
+mod read_results;
+
+use super::comparison::{ComparedPoll, Comparison, DecisionPlan, Verdict};
+use super::known_jobs::KnownJobs;
+use super::limits::{Limits, COMPARISONS_SHARE, POLL_TIMEOUT_S};
+use super::poll_queue::PollQueue;
+use super::read_queue::{NextRead, ReadCall, ReadQueue};
+use super::record_keys::RecordKey;
+use super::retry_schedule::RetrySchedule;
+use super::types::{PendingPoll, Poll, PollEffect, PollId};
+use crate::coordination::requests::answers::{status_without_counts, Answer};
+use crate::coordination::requests::store_call::{StoreAnswer, StoreCall};
+use crate::coordination::Time;
+use crate::protocol::job::JobState;
+use crate::storage::key_value_store::CommitOutcome;
+use crate::storage::token_bucket::TokenBucket;
+
+/// While fewer polls are pending than a comparison takes, one starts at every other request that the
+/// rate limit allows, so that further polls can join it.
+const BATCHING_REQUESTS: f64 = 2.0;
+/// Of a node's rate limit per second, this share may be used in a burst; the rest is spread evenly.
+/// So no second sees more requests than the limit.
+const BURST_SHARE: f64 = 0.2;
+/// How long polls are forwarded at once after the state service has refused a request.
+const FORWARDING_S: f64 = 1.0;
+
+/// Answers the polls of one node.
+///
+/// A driver enqueues polls, calls [`PollBatcher::tick`] at the interval of
+/// [`PollBatcher::tick_interval_s`], carries out the effects, and passes every response of the state
+/// service to [`PollBatcher::on_answer`]. At most one call is in flight.
+pub struct PollBatcher {
+    limits: Limits,
+    rate_limit: TokenBucket,
+    queue: PollQueue,
+    reads: ReadQueue,
+    known_jobs: KnownJobs,
+    in_flight: Option<InFlightCall>,
+    last_comparison_at: Time,
+    /// Whether the last call was a comparison: reads and comparisons alternate.
+    was_comparison_last: bool,
+    /// The state service has refused this node: polls are forwarded until then.
+    forward_until: Time,
+}
+
+/// A call to the state service without a response yet.
+enum InFlightCall {
+    Compare(Comparison),
+    Read(ReadCall),
+}
+
+impl PollBatcher {
+    /// A batcher without polls.
+    pub fn new(limits: Limits) -> PollBatcher {
+        let burst = (BURST_SHARE * limits.requests_per_s).max(1.0);
+        let steady_per_s = (1.0 - BURST_SHARE) * limits.requests_per_s;
+        let retries = RetrySchedule::new(limits.max_jobs, limits.polls_per_s());
+        PollBatcher {
+            limits,
+            rate_limit: TokenBucket::new(steady_per_s, burst),
+            queue: PollQueue::new(retries),
+            reads: ReadQueue::new(limits.max_jobs),
+            known_jobs: KnownJobs::new(limits.max_jobs),
+            in_flight: None,
+            last_comparison_at: Time::NEG_INFINITY,
+            was_comparison_last: false,
+            forward_until: Time::NEG_INFINITY,
+        }
+    }
+
+    /// Notes that a job was accepted by this node, with its dependencies.
+    pub fn job_accepted(&mut self, job: &str, waits_on: &[String]) {
+        self.known_jobs.insert_accepted(job, waits_on);
+    }
+
+    /// Notes that a job's end is on record.
+    pub fn job_end_recorded(&mut self, job: &str, state: JobState) {
+        self.known_jobs.insert_end(job, state);
+    }
+
+    /// Takes a poll; it is answered at once where the job's end is known.
+    pub fn enqueue(&mut self, id: PollId, poll: Poll, now: Time) -> Vec<PollEffect> {
+        if let Some(state) = self.known_jobs.end(&poll.job) {
+            self.queue.forget_rejections(&poll.job);
+            return report_end(id, &poll.job, state);
+        }
+        if now < self.forward_until {
+            return vec![PollEffect::Forward(id)];
+        }
+        self.queue.push(PendingPoll {
+            id,
+            poll,
+            enqueued_at: now,
+        });
+        Vec::new()
+    }
+
+    /// Seconds until [`PollBatcher::tick`] is to be called again, if there is anything left to do.
+    pub fn tick_interval_s(&self) -> Option<f64> {
+        let is_idle = self.queue.is_empty() && self.reads.is_empty();
+        (!is_idle).then_some(1.0 / self.limits.requests_per_s)
+    }
+
+    /// Starts the next call, if one is due, and rejects the polls that can't be answered in time.
+    pub fn tick(&mut self, now: Time) -> Vec<PollEffect> {
+        let mut effects = self.queue.reject_expired(now);
+        if self.in_flight.is_some() {
+            return effects;
+        }
+        let is_comparison_due = self.is_comparison_due(now);
+        let has_reads = !self.reads.is_empty();
+        if (is_comparison_due || has_reads) && self.rate_limit.take(now, 1.0) {
+            let read_first = has_reads && (!is_comparison_due || self.was_comparison_last);
+            let call = if read_first {
+                self.begin_read()
+            } else {
+                self.begin_comparison(now).or_else(|| self.begin_read())
+            };
+            effects.extend(call.map(PollEffect::Store));
+        }
+        let max_len = self.max_compared_in_time(now);
+        effects.extend(self.queue.reject_excess(max_len, now));
+        effects
+    }
+
+    /// Handles the response to the call in flight.
+    pub fn on_answer(&mut self, answer: StoreAnswer, now: Time) -> Vec<PollEffect> {
+        match self.in_flight.take() {
+            Some(InFlightCall::Compare(comparison)) => {
+                self.on_compared(comparison, answer.commit_outcome(), now)
+            }
+            Some(InFlightCall::Read(ReadCall::Single(key))) => {
+                self.on_single_read(&key, answer, now)
+            }
+            Some(InFlightCall::Read(ReadCall::Page { first })) => {
+                self.on_page_read(&first, answer, now)
+            }
+            None => Vec::new(),
+        }
+    }
+
+    fn is_comparison_due(&self, now: Time) -> bool {
+        let batching_s = BATCHING_REQUESTS / self.limits.requests_per_s;
+        let batching_s = batching_s.min(POLL_TIMEOUT_S / 2.0);
+        let pending = self.queue.len_to_compare();
+        let is_full = pending >= self.limits.max_compares;
+        pending > 0 && (is_full || now >= self.last_comparison_at + batching_s)
+    }
+
+    /// The number of polls that can be compared within the timeout of a poll.
+    fn max_compared_in_time(&mut self, now: Time) -> usize {
+        let to_come = self.limits.requests_per_s * POLL_TIMEOUT_S;
+        let requests = self.rate_limit.level(now) + to_come;
+        let comparisons = (COMPARISONS_SHARE * requests).ceil() as usize;
+        comparisons * self.limits.polls_per_comparison()
+    }
+
+    fn begin_comparison(&mut self, now: Time) -> Option<StoreCall> {
+        let mut comparison = Comparison::new(self.limits.max_compares);
+        let max_dependencies = self.limits.polls_per_comparison();
+        for pending in self.queue.take_ordered() {
+            match DecisionPlan::of(&pending.poll, &self.known_jobs, max_dependencies) {
+                DecisionPlan::Read(key) => self.await_read(pending, key),
+                DecisionPlan::Compare(keys) => {
+                    if let Some(pending) = comparison.add(pending, keys) {
+                        self.queue.push(pending);
+                    }
+                }
+            }
+        }
+        let transaction = comparison.transaction()?;
+        self.last_comparison_at = now;
+        self.was_comparison_last = true;
+        self.in_flight = Some(InFlightCall::Compare(comparison));
+        Some(StoreCall::Commit(transaction))
+    }
+
+    fn on_compared(
+        &mut self,
+        comparison: Comparison,
+        outcome: CommitOutcome,
+        now: Time,
+    ) -> Vec<PollEffect> {
+        let present_keys = match outcome {
+            CommitOutcome::Applied(_) => Vec::new(),
+            CommitOutcome::Conflict(present_keys) => present_keys,
+            // Only this request exceeded the rate limit: the next one may be served.
+            CommitOutcome::Limited => {
+                let polls = comparison.into_polls().into_iter();
+                polls.for_each(|poll| self.queue.push(poll));
+                return Vec::new();
+            }
+            CommitOutcome::Refused
+            | CommitOutcome::TooLarge
+            | CommitOutcome::NoLease
+            | CommitOutcome::Unknown => {
+                return self.forward_all(comparison.into_polls(), now);
+            }
+        };
+        let mut effects = Vec::new();
+        for ComparedPoll { poll, verdict } in comparison.into_verdicts(&present_keys) {
+            match verdict {
+                Verdict::Known(status) => {
+                    effects.push(self.queue.answer(&poll, Answer::Known(status)));
+                }
+                Verdict::NeverAccepted => effects.push(self.queue.answer(&poll, Answer::NotFound)),
+                Verdict::Read(key) => self.await_read(poll, key),
+                Verdict::Undecided => effects.push(self.queue.reject(&poll, now)),
+            }
+        }
+        effects
+    }
+
+    fn await_read(&mut self, poll: PendingPoll, key: RecordKey) {
+        self.reads.push(&key);
+        self.queue.push_awaiting(poll, key);
+    }
+
+    fn begin_read(&mut self) -> Option<StoreCall> {
+        self.was_comparison_last = false;
+        let NextRead { read, store_call } = self.reads.pop()?;
+        self.in_flight = Some(InFlightCall::Read(read));
+        Some(store_call)
+    }
+
+    /// The state service refuses this node: all pending polls are forwarded.
+    fn forward_all(&mut self, compared: Vec<PendingPoll>, now: Time) -> Vec<PollEffect> {
+        self.forward_until = now + FORWARDING_S;
+        let polls = compared.into_iter().chain(self.queue.take_all());
+        polls.map(|poll| PollEffect::Forward(poll.id)).collect()
+    }
+}
+
+fn report_end(id: PollId, job: &str, state: JobState) -> Vec<PollEffect> {
+    let status = status_without_counts(job, state);
+    vec![
+        PollEffect::JobEndsRecorded(vec![(job.to_string(), state)]),
+        PollEffect::Answer(id, Answer::Known(status)),
+    ]
+}
--- a/src/coordination/requests/polls/batcher/read_results.rs
+++ b/src/coordination/requests/polls/batcher/read_results.rs
@@ -1,122 +1,132 @@
-//! What the records that were read say to the polls that have waited for them.
+//! Answering the polls that have awaited a record, once it is read.
 
-use super::read_queue::{self as reads, is_covered, Found, Read, RecordKind};
-use super::{take_where, Effect, PollBatcher, WaitingPoll};
-use crate::coordination::requests::answers::without_counts;
-use crate::coordination::requests::step::StoreAnswer;
-use crate::coordination::requests::Answer;
+use super::PollBatcher;
+use crate::coordination::requests::answers::{status_without_counts, Answer};
+use crate::coordination::requests::polls::decoded_records::{self, JobRecord, RecordContent};
+use crate::coordination::requests::polls::record_keys::{PageRange, RecordKey, RecordKind};
+use crate::coordination::requests::polls::types::{PendingPoll, PollEffect};
+use crate::coordination::requests::store_call::StoreAnswer;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::storage::key_value_store::Unavailable;
 use std::collections::HashSet;
 
 impl PollBatcher {
-    pub(super) fn one_read(&mut self, read: &Read, answer: StoreAnswer, now: Time) -> Vec<Effect> {
-        match reads::found_one(read.kind, answer) {
-            Ok(Some(found)) => {
-                let mut effects = self.learn(vec![(read.job.clone(), found)]);
-                effects.extend(self.answer_readers(|r| r == read));
+    /// Handles the response to the read of one record.
+    pub(super) fn on_single_read(
+        &mut self,
+        key: &RecordKey,
+        answer: StoreAnswer,
+        now: Time,
+    ) -> Vec<PollEffect> {
+        match decoded_records::decode_single(key.kind, answer) {
+            Ok(Some(content)) => {
+                let job = key.job.clone();
+                let mut effects = self.cache_records(vec![JobRecord { job, content }]);
+                effects.extend(self.answer_awaiting(|awaited| awaited == key));
                 effects
             }
-            Ok(None) => self.not_found(read.kind, |r| r == read, now),
-            Err(Unavailable) => self.read_failed(read, now),
+            Ok(None) => self.on_missing(key.kind, |awaited| awaited == key, now),
+            Err(Unavailable) => self.on_read_failed(key, now),
         }
     }
 
-    pub(super) fn page_read(
+    /// Handles the response to the read of a page.
+    pub(super) fn on_page_read(
         &mut self,
-        first: &Read,
+        first: &RecordKey,
         answer: StoreAnswer,
         now: Time,
-    ) -> Vec<Effect> {
-        let Ok(page) = reads::found_page(first.kind, answer) else {
-            return self.read_failed(first, now);
+    ) -> Vec<PollEffect> {
+        let Ok(page) = decoded_records::decode_page(first.kind, answer) else {
+            return self.on_read_failed(first, now);
         };
-        let last = page.last.as_deref();
-        self.reads.covered(first, last);
-        let is_told =
-            |read: &Read| read.kind == first.kind && is_covered(&read.job, &first.job, last);
-        let found: HashSet<String> = page.found.iter().map(|(job, _)| job.clone()).collect();
-        let mut effects = self.learn(page.found);
-        effects.extend(self.answer_readers(|r| is_told(r) && found.contains(&r.job)));
-        effects.extend(self.not_found(first.kind, is_told, now));
+        let range = PageRange {
+            kind: first.kind,
+            first: &first.job,
+            last: page.last.as_deref(),
+        };
+        self.reads.remove_range(&range);
+        let records = page.records.iter();
+        let found: HashSet<String> = records.map(|record| record.job.clone()).collect();
+        let mut effects = self.cache_records(page.records);
+        let is_found = |key: &RecordKey| range.contains(key) && found.contains(&key.job);
+        effects.extend(self.answer_awaiting(is_found));
+        effects.extend(self.on_missing(first.kind, |key| range.contains(key), now));
         effects
     }
 
-    /// Remembers what records say; the ends that they tell of, together.
-    fn learn(&mut self, records: Vec<(String, Found)>) -> Vec<Effect> {
+    /// Caches what the records say; reports the ends that are among them, together.
+    fn cache_records(&mut self, records: Vec<JobRecord>) -> Vec<PollEffect> {
         let mut ends = Vec::new();
-        for (job, found) in records {
-            let end = match found {
-                Found::Ended(state) => Some(state),
-                Found::Open {
+        for JobRecord { job, content } in records {
+            let end = match content {
+                RecordContent::Ended(state) => Some(state),
+                RecordContent::Open {
                     waits_on,
                     cancelled,
                 } => {
-                    self.known.accepted(&job, &waits_on);
+                    self.known_jobs.insert_accepted(&job, &waits_on);
                     cancelled.then_some(JobState::Cancelled)
                 }
             };
             if let Some(state) = end {
-                self.known.ended(&job, state);
+                self.known_jobs.insert_end(&job, state);
                 ends.push((job, state));
             }
         }
         if ends.is_empty() {
             Vec::new()
         } else {
-            vec![Effect::Ended(ends)]
+            vec![PollEffect::JobEndsRecorded(ends)]
         }
     }
 
-    /// Answers the polls whose records are known now. An open job was open when it was compared;
-    /// what it waits for is compared next.
-    fn answer_readers(&mut self, is_known: impl Fn(&Read) -> bool) -> Vec<Effect> {
+    /// Answers the polls whose records are cached now. A job with an open record was open when it was
+    /// compared; its dependencies are compared next.
+    fn answer_awaiting(&mut self, is_cached: impl Fn(&RecordKey) -> bool) -> Vec<PollEffect> {
         let mut effects = Vec::new();
-        for poll in self.take_reading(is_known) {
+        for awaiting in self.queue.take_awaiting(is_cached) {
+            let poll = awaiting.poll;
             let job = &poll.poll.job;
-            let state = match self.known.end(job) {
+            let state = match self.known_jobs.end(job) {
                 Some(state) => state,
-                None if self.known.waits_for_nothing(job) => JobState::Pending,
+                None if self.known_jobs.is_independent(job) => JobState::Pending,
                 None => {
-                    self.wait(poll);
+                    self.queue.push(poll);
                     continue;
                 }
             };
-            let status = without_counts(job, state);
-            effects.push(self.answer(&poll, Answer::Known(status)));
+            let status = status_without_counts(job, state);
+            effects.push(self.queue.answer(&poll, Answer::Known(status)));
         }
         effects
     }
 
-    /// A description that was there when it was compared has gone with the job's end. An end never
-    /// goes: it can't be read.
-    fn not_found(
+    /// An open record that was present in the comparison has been replaced by the end record. An end
+    /// record is never deleted: one that is missing can't be decoded.
+    fn on_missing(
         &mut self,
         kind: RecordKind,
-        is_missing: impl Fn(&Read) -> bool,
+        is_missing: impl Fn(&RecordKey) -> bool,
         now: Time,
-    ) -> Vec<Effect> {
-        let missing = take_where(&mut self.reading, |(_, read)| is_missing(read));
+    ) -> Vec<PollEffect> {
+        let missing = self.queue.take_awaiting(is_missing).into_iter();
         if kind == RecordKind::End {
-            let polls = missing.into_iter().map(|(poll, _)| poll).collect();
-            return self.turn_all_away(polls, now);
+            let polls: Vec<PendingPoll> = missing.map(|awaiting| awaiting.poll).collect();
+            return self.queue.reject_all(&polls, now);
         }
-        for (poll, read) in missing {
-            self.read_for(poll, Read::end(&read.job));
+        for awaiting in missing {
+            self.await_read(awaiting.poll, RecordKey::end(&awaiting.key.job));
         }
         Vec::new()
     }
 
-    /// It is read again for those that ask again.
-    fn read_failed(&mut self, read: &Read, now: Time) -> Vec<Effect> {
-        self.reads.add(read);
-        let polls = self.take_reading(|r| r == read);
-        self.turn_all_away(polls, now)
-    }
-
-    fn take_reading(&mut self, is_read: impl Fn(&Read) -> bool) -> Vec<WaitingPoll> {
-        let taken = take_where(&mut self.reading, |(_, read)| is_read(read));
-        taken.into_iter().map(|(poll, _)| poll).collect()
+    /// The record is read again for those that retry.
+    fn on_read_failed(&mut self, key: &RecordKey, now: Time) -> Vec<PollEffect> {
+        self.reads.push(key);
+        let failed = self.queue.take_awaiting(|awaited| awaited == key);
+        let polls: Vec<PendingPoll> = failed.into_iter().map(|f| f.poll).collect();
+        self.queue.reject_all(&polls, now)
     }
 }
--- a/src/coordination/requests/polls/comparison.rs
+++ b/src/coordination/requests/polls/comparison.rs
@@ -1,31 +1,31 @@
-//! One transaction that changes nothing, and what it says of many jobs.
+//! One read-only transaction whose compares decide many polls.
 
-use super::known_jobs::{KnownJobs, Prerequisites};
-use super::read_queue::Read;
-use super::{Poll, WaitingPoll};
-use crate::coordination::requests::answers::without_counts;
+use super::known_jobs::{KnownDependencies, KnownJobs};
+use super::record_keys::RecordKey;
+use super::types::{PendingPoll, Poll};
+use crate::coordination::requests::answers::status_without_counts;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
 use crate::storage::records::{end_key, open_key};
 use std::collections::{BTreeSet, HashSet};
 
-/// How a poll is decided.
-pub(super) enum Claim {
+/// How a poll can be decided with what is known.
+pub(super) enum DecisionPlan {
     /// By comparing whether these keys are absent.
-    Absent(Keys),
-    /// Something has to be read first.
-    ToRead(Read),
+    Compare(ComparedKeys),
+    /// By reading this record first.
+    Read(RecordKey),
 }
 
-/// The keys whose absence a poll hangs on.
-pub(super) struct Keys {
+/// The keys whose absence decides a poll.
+pub(super) struct ComparedKeys {
     end: String,
-    /// The description, where the job is not known to be accepted.
+    /// The open record, where the job is not known to be accepted.
     open: Option<String>,
-    /// The jobs that it waits for, without a known end.
-    prerequisites: Vec<String>,
-    /// Whether nothing can be said of the job before its own end is on record: one that it waits for
-    /// is cancelled, or there are too many of them.
+    /// The ids of the dependencies without a known end.
+    dependencies: Vec<String>,
+    /// Whether the status is not known before the job's own end is on record: a dependency is
+    /// cancelled, or there are too many of them.
     awaits_end: bool,
 }
 
@@ -33,87 +33,107 @@
 pub(super) enum Verdict {
     Known(JobStatus),
     NeverAccepted,
-    ToRead(Read),
+    /// This record has to be read.
+    Read(RecordKey),
     /// This node can't tell yet.
     Undecided,
 }
 
-impl Claim {
-    /// How a poll is decided with what is known; `most` jobs are followed that it waits for.
-    pub(super) fn of(poll: &Poll, known: &KnownJobs, most: usize) -> Claim {
-        let mut keys = Keys {
+/// A poll with what a comparison says of it.
+pub(super) struct ComparedPoll {
+    pub(super) poll: PendingPoll,
+    pub(super) verdict: Verdict,
+}
+
+impl DecisionPlan {
+    /// The plan for a poll; at most `max_dependencies` are compared.
+    pub(super) fn of(poll: &Poll, known: &KnownJobs, max_dependencies: usize) -> DecisionPlan {
+        let mut keys = ComparedKeys {
             end: end_key(&poll.job),
             open: None,
-            prerequisites: Vec::new(),
+            dependencies: Vec::new(),
             awaits_end: false,
         };
-        // The leader has already seen to what the job waits for.
-        if poll.shown.is_some() {
-            return Claim::Absent(keys);
+        // The leader's status takes the dependencies into account.
+        if poll.leader_status.is_some() {
+            return DecisionPlan::Compare(keys);
         }
-        match known.prerequisites(&poll.job, most) {
+        match known.dependencies(&poll.job, max_dependencies) {
             None => keys.open = Some(open_key(&poll.job)),
-            Some(Prerequisites::Open(prerequisites)) => keys.prerequisites = prerequisites,
-            Some(Prerequisites::Unread(job)) => return Claim::ToRead(Read::open(&job)),
-            Some(Prerequisites::Cancelled | Prerequisites::TooMany) => keys.awaits_end = true,
+            Some(KnownDependencies::Open(dependencies)) => keys.dependencies = dependencies,
+            Some(KnownDependencies::Unread(job)) => {
+                return DecisionPlan::Read(RecordKey::open(&job));
+            }
+            Some(KnownDependencies::Cancelled | KnownDependencies::TooMany) => {
+                keys.awaits_end = true;
+            }
         }
-        Claim::Absent(keys)
+        DecisionPlan::Compare(keys)
     }
 }
 
-impl Keys {
-    fn all(&self) -> impl Iterator<Item = String> + '_ {
-        let prerequisites = self.prerequisites.iter().map(|job| end_key(job));
+impl ComparedKeys {
+    fn iter(&self) -> impl Iterator<Item = String> + '_ {
+        let dependencies = self.dependencies.iter().map(|job| end_key(job));
         let own = self.open.iter().cloned().chain([self.end.clone()]);
-        own.chain(prerequisites)
+        own.chain(dependencies)
     }
 
-    fn verdict(&self, poll: &Poll, present: &HashSet<&str>) -> Verdict {
-        let is_present = |key: &str| present.contains(key);
+    fn verdict(&self, poll: &Poll, present_keys: &HashSet<&str>) -> Verdict {
+        let is_present = |key: &str| present_keys.contains(key);
         if is_present(&self.end) {
-            return Verdict::ToRead(Read::end(&poll.job));
+            return Verdict::Read(RecordKey::end(&poll.job));
         }
         match &self.open {
-            Some(open) if is_present(open) => return Verdict::ToRead(Read::open(&poll.job)),
+            Some(open) if is_present(open) => return Verdict::Read(RecordKey::open(&poll.job)),
             Some(_) => return Verdict::NeverAccepted,
             None => {}
         }
         if self.awaits_end {
             return Verdict::Undecided;
         }
-        let mut prerequisites = self.prerequisites.iter();
-        if let Some(ended) = prerequisites.find(|job| is_present(&end_key(job))) {
-            return Verdict::ToRead(Read::end(ended));
+        let mut dependencies = self.dependencies.iter();
+        if let Some(ended) = dependencies.find(|job| is_present(&end_key(job))) {
+            return Verdict::Read(RecordKey::end(ended));
         }
-        let shown = poll.shown.clone();
-        Verdict::Known(shown.unwrap_or_else(|| without_counts(&poll.job, JobState::Pending)))
+        let status = poll.leader_status.clone();
+        Verdict::Known(
+            status.unwrap_or_else(|| status_without_counts(&poll.job, JobState::Pending)),
+        )
     }
 }
 
+/// A poll with its keys in a comparison.
+struct PlannedPoll {
+    poll: PendingPoll,
+    keys: ComparedKeys,
+}
+
 /// Polls that are decided by one transaction.
 pub(super) struct Comparison {
-    conditions: usize,
+    max_compares: usize,
     keys: BTreeSet<String>,
-    polls: Vec<(WaitingPoll, Keys)>,
+    polls: Vec<PlannedPoll>,
 }
 
 impl Comparison {
-    pub(super) fn new(conditions: usize) -> Comparison {
+    /// An empty comparison, which takes at most `max_compares` keys.
+    pub(super) fn new(max_compares: usize) -> Comparison {
         Comparison {
-            conditions,
+            max_compares,
             keys: BTreeSet::new(),
             polls: Vec::new(),
         }
     }
 
-    /// Adds a poll, or gives it back if there is no room.
-    pub(super) fn add(&mut self, poll: WaitingPoll, keys: Keys) -> Option<WaitingPoll> {
-        let new = keys.all().filter(|key| !self.keys.contains(key)).count();
-        if self.keys.len() + new > self.conditions {
+    /// Adds a poll, or returns it if its keys do not fit.
+    pub(super) fn add(&mut self, poll: PendingPoll, keys: ComparedKeys) -> Option<PendingPoll> {
+        let new = keys.iter().filter(|key| !self.keys.contains(key)).count();
+        if self.keys.len() + new > self.max_compares {
             return Some(poll);
         }
-        self.keys.extend(keys.all());
-        self.polls.push((poll, keys));
+        self.keys.extend(keys.iter());
+        self.polls.push(PlannedPoll { poll, keys });
         None
     }
 
@@ -124,18 +144,19 @@
         (!self.polls.is_empty()).then_some(transaction)
     }
 
-    pub(super) fn into_polls(self) -> Vec<WaitingPoll> {
-        self.polls.into_iter().map(|(poll, _)| poll).collect()
+    /// The polls, undecided.
+    pub(super) fn into_polls(self) -> Vec<PendingPoll> {
+        self.polls.into_iter().map(|planned| planned.poll).collect()
     }
 
-    /// What the keys that are there say of each poll.
-    pub(super) fn verdicts(self, present: &[String]) -> Vec<(WaitingPoll, Verdict)> {
-        let present: HashSet<&str> = present.iter().map(String::as_str).collect();
+    /// What the keys that are present say of each poll.
+    pub(super) fn into_verdicts(self, present_keys: &[String]) -> Vec<ComparedPoll> {
+        let present_keys: HashSet<&str> = present_keys.iter().map(String::as_str).collect();
         let polls = self.polls.into_iter();
         polls
-            .map(|(poll, keys)| {
-                let verdict = keys.verdict(&poll.poll, &present);
-                (poll, verdict)
+            .map(|PlannedPoll { poll, keys }| {
+                let verdict = keys.verdict(&poll.poll, &present_keys);
+                ComparedPoll { poll, verdict }
             })
             .collect()
     }
--- a/src/coordination/requests/polls/known_jobs.rs
+++ b/src/coordination/requests/polls/known_jobs.rs
@@ -1,72 +1,77 @@
-//! What a node remembers of jobs, none of which ever changes: that they were accepted, what they
-//! wait for, and how they ended.
+//! The cache of immutable facts about jobs: that they were accepted, their dependencies, and how
+//! they ended.
 
 use crate::protocol::job::JobState;
 use crate::storage::recent_jobs::{EndIndex, RecentJobs};
 
-/// The most recent jobs.
+/// The most recent jobs that the node knows of.
 pub(super) struct KnownJobs {
-    /// For each accepted job, those that it waits for.
-    accepted: RecentJobs<Vec<String>>,
+    /// The direct dependencies of each accepted job.
+    dependencies: RecentJobs<Vec<String>>,
     ends: EndIndex,
 }
 
-/// What is known of the jobs that a job waits for, directly or through others.
+/// What is known of the dependencies of a job, direct and transitive.
 #[derive(Debug, PartialEq)]
-pub(super) enum Prerequisites {
+pub(super) enum KnownDependencies {
     /// None is known to be cancelled, and these have no known end.
     Open(Vec<String>),
-    /// One of them is cancelled, and so will the job be.
+    /// One of them is cancelled, and so will be the job.
     Cancelled,
-    /// What this one waits for is not known.
+    /// The dependencies of this one are not known.
     Unread(String),
-    /// More than are followed.
+    /// There are more than one comparison takes.
     TooMany,
 }
 
 impl KnownJobs {
-    /// Remembers as many accepted jobs as ends.
-    pub(super) fn new(most: usize) -> KnownJobs {
+    /// Caches at most `max_jobs` accepted jobs, and as many ends.
+    pub(super) fn new(max_jobs: usize) -> KnownJobs {
         KnownJobs {
-            accepted: RecentJobs::new(most),
-            ends: RecentJobs::new(most),
+            dependencies: RecentJobs::new(max_jobs),
+            ends: RecentJobs::new(max_jobs),
         }
     }
 
-    pub(super) fn accepted(&mut self, job: &str, waits_on: &[String]) {
-        self.accepted.insert(job, waits_on.to_vec());
+    /// Caches that a job was accepted.
+    pub(super) fn insert_accepted(&mut self, job: &str, waits_on: &[String]) {
+        self.dependencies.insert(job, waits_on.to_vec());
     }
 
-    pub(super) fn ended(&mut self, job: &str, state: JobState) {
+    /// Caches how a job ended.
+    pub(super) fn insert_end(&mut self, job: &str, state: JobState) {
         self.ends.insert(job, state);
     }
 
+    /// How a job ended, if that is known.
     pub(super) fn end(&self, job: &str) -> Option<JobState> {
         self.ends.get(job).copied()
     }
 
-    pub(super) fn waits_for_nothing(&self, job: &str) -> bool {
-        self.accepted.get(job).is_some_and(Vec::is_empty)
+    /// Whether a job is known to be accepted, and to have no dependencies.
+    pub(super) fn is_independent(&self, job: &str) -> bool {
+        self.dependencies.get(job).is_some_and(Vec::is_empty)
     }
 
-    /// `None` for a job that is not known to be accepted.
-    pub(super) fn prerequisites(&self, job: &str, most: usize) -> Option<Prerequisites> {
-        let mut left: Vec<&String> = self.accepted.get(job)?.iter().collect();
+    /// The dependencies of a job, of which at most `max_open` are followed; `None` for a job that is
+    /// not known to be accepted.
+    pub(super) fn dependencies(&self, job: &str, max_open: usize) -> Option<KnownDependencies> {
+        let mut unvisited: Vec<&String> = self.dependencies.get(job)?.iter().collect();
         let mut open: Vec<String> = Vec::new();
-        while let Some(needed) = left.pop() {
-            match self.ends.get(needed) {
-                Some(JobState::Cancelled) => return Some(Prerequisites::Cancelled),
+        while let Some(dependency) = unvisited.pop() {
+            match self.ends.get(dependency) {
+                Some(JobState::Cancelled) => return Some(KnownDependencies::Cancelled),
                 Some(_) => continue,
-                None if open.contains(needed) => continue,
-                None if open.len() == most => return Some(Prerequisites::TooMany),
+                None if open.contains(dependency) => continue,
+                None if open.len() == max_open => return Some(KnownDependencies::TooMany),
                 None => {}
             }
-            match self.accepted.get(needed) {
-                Some(further) => left.extend(further),
-                None => return Some(Prerequisites::Unread(needed.clone())),
+            match self.dependencies.get(dependency) {
+                Some(transitive) => unvisited.extend(transitive),
+                None => return Some(KnownDependencies::Unread(dependency.clone())),
             }
-            open.push(needed.clone());
+            open.push(dependency.clone());
         }
-        Some(Prerequisites::Open(open))
+        Some(KnownDependencies::Open(open))
     }
 }
--- /dev/null
+++ b/src/coordination/requests/polls/limits.rs
@@ -0,0 +1,51 @@
+//! The limits of a poll batcher.
+
+use crate::settings::Settings;
+
+/// The share of the state service's rate limit that the polls of all nodes may take together: the
+/// leader needs the rest for its lease and its records.
+const REQUESTS_SHARE: f64 = 0.4;
+/// How long a poll may stay pending here; its client waits for two seconds, most of which the
+/// request to the leader may have taken.
+pub(super) const POLL_TIMEOUT_S: f64 = 0.5;
+/// Of the requests within the timeout of a poll, half may go to reads.
+pub(super) const COMPARISONS_SHARE: f64 = 0.5;
+/// The share of memory for the cache of immutable facts about jobs.
+const MEMORY_SHARE: f64 = 0.1;
+/// The memory that the cache needs for a job.
+const BYTES_PER_JOB: f64 = 400.0;
+
+/// How many requests and jobs a batcher may deal with.
+#[derive(Clone, Copy, Debug)]
+pub struct Limits {
+    /// Requests to the state service per second.
+    pub requests_per_s: f64,
+    /// Compares in a transaction.
+    pub max_compares: usize,
+    /// Jobs that are cached.
+    pub max_jobs: usize,
+}
+
+impl Limits {
+    /// The limits of one of the controllers that the settings name.
+    pub fn of(settings: &Settings) -> Limits {
+        let state = &settings.cluster.state;
+        let controllers = 1 + settings.peers.len();
+        let memory_bytes = settings.cluster.limits.ram_mb * 1e6;
+        Limits {
+            requests_per_s: REQUESTS_SHARE * state.rps / controllers as f64,
+            max_compares: state.conditions(),
+            max_jobs: (MEMORY_SHARE * memory_bytes / BYTES_PER_JOB) as usize,
+        }
+    }
+
+    /// Polls that one comparison takes if each has two compares.
+    pub(super) fn polls_per_comparison(&self) -> usize {
+        (self.max_compares / 2).max(1)
+    }
+
+    /// Polls that are compared per second.
+    pub(super) fn polls_per_s(&self) -> f64 {
+        COMPARISONS_SHARE * self.requests_per_s * self.polls_per_comparison() as f64
+    }
+}
--- a/src/coordination/requests/polls/retry_schedule.rs
+++ b/src/coordination/requests/polls/retry_schedule.rs
@@ -1,67 +1,78 @@
-//! Polls that were turned away: when they are worth repeating, and that they then come first.
+//! When rejected polls are to be retried, and that they take precedence then.
 
 use crate::coordination::Time;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// The longest time that a poll is told to stay away: as long as users stay away by themselves. Who
-/// comes back later, at another node, waits longer than it need.
+/// The longest delay before a retry: the interval at which clients poll by themselves. Who retries
+/// later, at another node, waits longer than necessary.
 const MAX_RETRY_AFTER_S: f64 = 5.0;
 const MIN_RETRY_AFTER_S: f64 = 1.0;
 
-/// Since when jobs wait for an answer, bounded in number.
-pub(super) struct Retries {
-    most: usize,
-    since: HashMap<Arc<str>, Time>,
-    /// In the order of their times; with some that were answered since.
-    order: VecDeque<(Arc<str>, Time)>,
+/// Since when the polls of jobs have been rejected, bounded in number, and the slots of their
+/// retries.
+pub(super) struct RetrySchedule {
+    max_jobs: usize,
+    first_rejected_at: HashMap<Arc<str>, Time>,
+    /// In the order of rejection; includes some that were answered since.
+    rejections: VecDeque<Rejection>,
     /// Seconds between two polls that can be answered.
-    spacing_s: f64,
+    slot_interval_s: f64,
     next_slot: Time,
 }
 
-impl Retries {
-    pub(super) fn new(most: usize, polls_per_s: f64) -> Retries {
-        Retries {
-            most: most.max(1),
-            since: HashMap::new(),
-            order: VecDeque::new(),
-            spacing_s: 1.0 / polls_per_s.max(1.0),
+/// The first rejection of a job's polls.
+struct Rejection {
+    job: Arc<str>,
+    at: Time,
+}
+
+impl RetrySchedule {
+    /// Remembers at most `max_jobs` jobs, and spreads retries over time so that `polls_per_s` come.
+    pub(super) fn new(max_jobs: usize, polls_per_s: f64) -> RetrySchedule {
+        RetrySchedule {
+            max_jobs: max_jobs.max(1),
+            first_rejected_at: HashMap::new(),
+            rejections: VecDeque::new(),
+            slot_interval_s: 1.0 / polls_per_s.max(1.0),
             next_slot: 0.0,
         }
     }
 
-    /// Polls are answered in the order of this: when the job was first turned away, or else came.
-    pub(super) fn rank(&self, job: &str, came: Time) -> Time {
-        self.since.get(job).copied().unwrap_or(came)
+    /// The time by which polls are ordered: when the job was first rejected, or else when the poll
+    /// was enqueued.
+    pub(super) fn pending_since(&self, job: &str, enqueued_at: Time) -> Time {
+        let rejected_at = self.first_rejected_at.get(job);
+        rejected_at.copied().unwrap_or(enqueued_at)
     }
 
-    pub(super) fn answered(&mut self, job: &str) {
-        self.since.remove(job);
+    /// A poll of the job is answered.
+    pub(super) fn remove(&mut self, job: &str) {
+        self.first_rejected_at.remove(job);
     }
 
-    /// Notes that a poll of the job is turned away; seconds after which it will be answered. Each
-    /// gets a slot of its own, so that they do not come together.
-    pub(super) fn turn_away(&mut self, job: &str, now: Time) -> u32 {
-        if !self.since.contains_key(job) {
+    /// Records that a poll of the job is rejected; returns the seconds after which to retry. Each
+    /// retry gets a slot of its own, so that they do not come together.
+    pub(super) fn reject(&mut self, job: &str, now: Time) -> u32 {
+        if !self.first_rejected_at.contains_key(job) {
             let job: Arc<str> = job.into();
-            self.since.insert(job.clone(), now);
-            self.order.push_back((job, now));
+            self.first_rejected_at.insert(job.clone(), now);
+            self.rejections.push_back(Rejection { job, at: now });
             self.forget_oldest();
         }
         let slot = self.next_slot.max(now + MIN_RETRY_AFTER_S);
         let slot = slot.min(now + MAX_RETRY_AFTER_S);
-        self.next_slot = slot + self.spacing_s;
+        self.next_slot = slot + self.slot_interval_s;
         (slot - now).ceil().min(MAX_RETRY_AFTER_S) as u32
     }
 
     fn forget_oldest(&mut self) {
-        while self.order.len() > self.most {
-            let Some((job, since)) = self.order.pop_front() else {
+        while self.rejections.len() > self.max_jobs {
+            let Some(Rejection { job, at }) = self.rejections.pop_front() else {
                 return;
             };
-            if self.since.get(&job) == Some(&since) {
-                self.since.remove(&job);
+            if self.first_rejected_at.get(&job) == Some(&at) {
+                self.first_rejected_at.remove(&job);
             }
         }
     }
--- a/src/coordination/requests/step.rs
+++ b/src/coordination/requests/step.rs
@@ -1,91 +1,65 @@
-//! Calls to the state service, one at a time, and what a part of a request makes of the answers.
+//! How the parts of a request proceed: each is a state machine that makes one call to the state
+//! service at a time.
+//!
+//! ```text
+//!            begin                on_answer
+//!   (input) -------> Step::Call ------------> Step::Call -> ... -> Step::Finished(result)
+//!                        |                        |
+//!                        +------------------------+--------------> StepError
+//! ```
+//!
+//! `begin` returns the state machine with its first call. For every response the driver calls
+//! `on_answer`, which consumes it and returns a [`StepResult`]: the next call, the result, or the
+//! reason why the part can't continue at this node. After the latter two it is not called again.
 
-use crate::protocol::store::{Page, Transaction, VersionedValue};
-use crate::storage::key_value_store::{CommitOutcome, Unavailable};
-use serde::de::DeserializeOwned;
+use super::store_call::StoreCall;
+use crate::storage::key_value_store::Unavailable;
 use stairstage_upgrade::records::VERSION;
+use thiserror::Error;
 
-/// What the state service is asked.
-#[derive(Clone, Debug, PartialEq)]
-pub enum StoreCall {
-    /// The value of a key: [`StoreAnswer::Read`].
-    Read(String),
-    /// The first keys under a prefix that come after another one: [`StoreAnswer::Listed`].
-    List {
-        under: String,
-        after: String,
-        limit: usize,
-    },
-    /// [`StoreAnswer::Committed`].
-    Commit(Transaction),
-}
-
-/// What has come of a call.
-#[derive(Debug)]
-pub enum StoreAnswer {
-    Read(Result<Option<VersionedValue>, Unavailable>),
-    Listed(Result<Page, Unavailable>),
-    Committed(CommitOutcome),
-}
-
-impl StoreAnswer {
-    /// The value that was read, with its version; what cannot be read as `T` counts as absent.
-    pub(super) fn value<T: DeserializeOwned>(self) -> Result<Option<(T, u64)>, Unavailable> {
-        let StoreAnswer::Read(read) = self else {
-            return Err(Unavailable);
-        };
-        Ok(read?.and_then(|item| {
-            let value = serde_json::from_value(item.value).ok()?;
-            Some((value, item.version))
-        }))
-    }
-
-    /// What became of the transaction that was committed.
-    pub(super) fn outcome(self) -> CommitOutcome {
-        match self {
-            StoreAnswer::Committed(outcome) => outcome,
-            StoreAnswer::Read(_) | StoreAnswer::Listed(_) => CommitOutcome::Refused,
-        }
-    }
-}
-
-/// The next call, or the result.
+/// The next transition of a part of a request.
 #[derive(Debug)]
 pub(super) enum Step<T> {
+    /// Make this call, and continue with its response.
     Call(StoreCall),
+    /// The final state.
     Finished(T),
 }
 
-/// Why a part of a request can't go on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Stop {
-    /// The state service does not let this node do it; another may.
+/// Why a part of a request can't continue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum StepError {
+    /// The state service refuses or does not reach this node; it may serve another.
+    #[error("the state service does not serve this node")]
     Unavailable,
-    /// The state service has been asked for more than it does, by whichever node.
-    Limited,
-    /// The active cluster version is another one than this node knows.
-    VersionRaised,
+    /// All nodes together exceed the rate limit of the state service.
+    #[error("the rate limit of the state service is exceeded")]
+    RateLimited,
+    /// The active cluster version is not the one that this node knows.
+    #[error("the cluster version has changed since this node read it")]
+    VersionChanged,
 }
 
-/// Whether a transaction failed for the cluster version.
-pub(super) fn is_version_raised(failed: &[String]) -> bool {
-    failed.iter().any(|key| key == VERSION)
+/// The outcome of one transition.
+pub(super) type StepResult<T> = Result<Step<T>, StepError>;
+
+/// Whether a transaction failed on its compare of the cluster version.
+pub(super) fn has_version_changed(failed_keys: &[String]) -> bool {
+    failed_keys.iter().any(|key| key == VERSION)
 }
 
-impl From<Unavailable> for Stop {
-    fn from(Unavailable: Unavailable) -> Stop {
-        Stop::Unavailable
+impl From<Unavailable> for StepError {
+    fn from(Unavailable: Unavailable) -> StepError {
+        StepError::Unavailable
     }
 }
 
-/// How a part of a request goes on.
-pub(super) type Progress<T> = Result<Step<T>, Stop>;
-
 impl<T> Step<T> {
-    pub(super) fn map<U>(self, of: impl FnOnce(T) -> U) -> Step<U> {
+    /// Converts the result, if this is the final state.
+    pub(super) fn map<U>(self, convert: impl FnOnce(T) -> U) -> Step<U> {
         match self {
             Step::Call(call) => Step::Call(call),
-            Step::Finished(result) => Step::Finished(of(result)),
+            Step::Finished(result) => Step::Finished(convert(result)),
         }
     }
 }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -1,86 +1,93 @@
-//! Submissions. Any node records one itself; the leader hears of it by its watch.
+//! Submissions. Any node records an accepted job itself; the leader learns of it by its watch.
 
-use super::acceptance::{Acceptance, Accepted};
-use super::admission::refusal;
-use super::dependency_check::{Needed, Prerequisites};
-use super::job_lookup::Lookup;
-use super::step::{Progress, Step, StoreAnswer, StoreCall};
-use super::{Answer, Context, Decision, Reason};
+use super::acceptance::{Acceptance, AcceptanceOutcome};
+use super::admission::rejection;
+use super::answers::{Answer, RetryReason};
+use super::context::Context;
+use super::decision::{AcceptedJob, Decision};
+use super::dependency_check::{DependencyCheck, DependencyStatus};
+use super::job_lookup::JobLookup;
+use super::step::{Step, StepResult};
+use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::{JobSpec, JobState};
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
-/// Accepts a job, unless it is known or can't be taken.
+/// Accepts a job, unless it was accepted before or is rejected.
 pub(super) struct Submission {
     record: OpenRecord,
-    clearance: WriteFence,
-    stage: Stage,
+    write_fence: WriteFence,
+    state: State,
 }
 
-enum Stage {
-    /// What was accepted once stays accepted, by whatever version: only an unknown job is refused.
-    Refusing(Lookup, Answer),
-    Checking(Prerequisites),
+enum State {
+    /// The job is to be rejected, unless it was accepted before: that holds whatever the settings
+    /// and the release of this node.
+    Rejecting {
+        lookup: JobLookup,
+        answer: Answer,
+    },
+    CheckingDependencies(DependencyCheck),
     Accepting(Acceptance),
-    /// It needs a cancelled job: its end is all that there is to record of it.
+    /// A dependency is cancelled: only the end of the job is recorded.
     AcceptingCancelled(Acceptance),
 }
 
 impl Submission {
+    /// Starts the submission of a job.
     pub(super) fn begin(spec: JobSpec, context: &Context) -> (Submission, Step<Decision>) {
         let record = OpenRecord::accepted(spec, context.now_ms);
-        let clearance = context.clearance;
-        if let Some(refusal) = refusal(&record, context) {
-            let (lookup, call) = Lookup::begin(&record.spec.id);
-            let stage = Stage::Refusing(lookup, refusal);
+        let write_fence = context.write_fence;
+        if let Some(answer) = rejection(&record, context) {
+            let (lookup, call) = JobLookup::begin(&record.spec.id);
             let submission = Submission {
                 record,
-                clearance,
-                stage,
+                write_fence,
+                state: State::Rejecting { lookup, answer },
             };
             return (submission, Step::Call(call));
         }
-        let conditions = context.settings.cluster.state.conditions();
-        let (prerequisites, step) = Prerequisites::begin(&record.spec, conditions);
-        let stage = Stage::Checking(prerequisites);
+        let max_compares = context.settings.cluster.state.conditions();
+        let (check, step) = DependencyCheck::begin(&record.spec, max_compares);
         let mut submission = Submission {
             record,
-            clearance,
-            stage,
+            write_fence,
+            state: State::CheckingDependencies(check),
         };
-        let step = submission.checked(step);
+        let step = submission.on_dependency_step(step);
         (submission, step)
     }
 
-    pub(super) fn on(&mut self, answer: StoreAnswer) -> Progress<Decision> {
-        Ok(match &mut self.stage {
-            Stage::Refusing(lookup, refusal) => {
-                let step = lookup.on(answer)?;
-                step.map(|known| known.map_or(refusal.clone(), Answer::Known).into())
+    pub(super) fn on_answer(&mut self, store_answer: StoreAnswer) -> StepResult<Decision> {
+        Ok(match &mut self.state {
+            State::Rejecting { lookup, answer } => {
+                let step = lookup.on_answer(store_answer)?;
+                step.map(|known| known.map_or(answer.clone(), Answer::Known).into())
             }
-            Stage::Checking(prerequisites) => {
-                let step = prerequisites.on(answer)?;
-                self.checked(step)
+            State::CheckingDependencies(check) => {
+                let step = check.on_answer(store_answer)?;
+                self.on_dependency_step(step)
             }
-            Stage::Accepting(acceptance) => {
-                let step = acceptance.on(answer)?;
-                step.map(|accepted| self.accepted(accepted, JobState::Pending))
+            State::Accepting(acceptance) => {
+                let step = acceptance.on_answer(store_answer)?;
+                step.map(|outcome| self.decision_of(outcome, JobState::Pending))
             }
-            Stage::AcceptingCancelled(acceptance) => {
-                let step = acceptance.on(answer)?;
-                step.map(|accepted| self.accepted(accepted, JobState::Cancelled))
+            State::AcceptingCancelled(acceptance) => {
+                let step = acceptance.on_answer(store_answer)?;
+                step.map(|outcome| self.decision_of(outcome, JobState::Cancelled))
             }
         })
     }
 
-    fn checked(&mut self, step: Step<Needed>) -> Step<Decision> {
+    fn on_dependency_step(&mut self, step: Step<DependencyStatus>) -> Step<Decision> {
         match step {
             Step::Call(call) => Step::Call(call),
-            Step::Finished(Needed::Accepted) => Step::Call(self.accept()),
-            Step::Finished(Needed::Cancelled) => Step::Call(self.accept_cancelled()),
-            Step::Finished(Needed::Never(why)) => {
-                let (lookup, call) = Lookup::begin(&self.record.spec.id);
-                self.stage = Stage::Refusing(lookup, Answer::CannotRun(why));
+            Step::Finished(DependencyStatus::Accepted) => Step::Call(self.accept()),
+            Step::Finished(DependencyStatus::Cancelled) => Step::Call(self.accept_cancelled()),
+            Step::Finished(DependencyStatus::Invalid(reason)) => {
+                let (lookup, call) = JobLookup::begin(&self.record.spec.id);
+                let answer = Answer::CannotRun(reason);
+                self.state = State::Rejecting { lookup, answer };
                 Step::Call(call)
             }
         }
@@ -88,31 +95,38 @@
 
     fn accept(&mut self) -> StoreCall {
         let id = &self.record.spec.id;
-        let value = serde_json::to_value(&self.record).expect("plain data");
-        let (acceptance, call) = Acceptance::begin(id, open_key(id), value, &self.clearance);
-        self.stage = Stage::Accepting(acceptance);
+        let value = serde_json::to_value(&self.record).expect("serializing plain data cannot fail");
+        let (acceptance, call) = Acceptance::begin(id, open_key(id), value, &self.write_fence);
+        self.state = State::Accepting(acceptance);
         call
     }
 
     fn accept_cancelled(&mut self) -> StoreCall {
         let id = &self.record.spec.id;
         let value = EndRecord::cancelled(self.record.at_ms).to_value();
-        let (acceptance, call) = Acceptance::begin(id, end_key(id), value, &self.clearance);
-        self.stage = Stage::AcceptingCancelled(acceptance);
+        let (acceptance, call) = Acceptance::begin(id, end_key(id), value, &self.write_fence);
+        self.state = State::AcceptingCancelled(acceptance);
         call
     }
 
-    fn accepted(&self, accepted: Accepted, state: JobState) -> Decision {
-        let version = match accepted {
-            Accepted::Now(version) => version,
-            Accepted::Before(Some(status)) => return Answer::Known(status).into(),
-            Accepted::Before(None) => return Answer::Later(Reason::JustAccepted).into(),
+    fn decision_of(&self, outcome: AcceptanceOutcome, state: JobState) -> Decision {
+        let version = match outcome {
+            AcceptanceOutcome::Created { version } => version,
+            AcceptanceOutcome::Duplicate(Some(status)) => return Answer::Known(status).into(),
+            AcceptanceOutcome::Duplicate(None) => {
+                return Answer::RetryLater(RetryReason::JustAccepted).into();
+            }
+        };
+        let accepted = || AcceptedJob {
+            record: Box::new(self.record.clone()),
+            version,
         };
-        let job = self.record.spec.id.clone();
-        let opened = || (Box::new(self.record.clone()), version);
         Decision {
-            opened: (!state.is_end()).then(opened),
-            answer: Answer::Accepted { job, state },
+            accepted: (!state.is_end()).then(accepted),
+            answer: Answer::Accepted {
+                job: self.record.spec.id.clone(),
+                state,
+            },
         }
     }
 }
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -15,7 +15,7 @@
 use crate::coordination::cluster::Effect;
 use crate::coordination::election::ElectionRequest;
 use crate::coordination::manager::ClusterManager;
-use crate::coordination::requests::Located;
+use crate::coordination::requests::LocalJobView;
 use crate::coordination::state::Name;
 use crate::coordination::Time;
 use crate::protocol::cloud::{MachineType, LIST_PAGE};
@@ -351,7 +351,7 @@
         }
     }
 
-    fn locate(&mut self, id: &str) -> Located {
+    fn locate(&mut self, id: &str) -> LocalJobView {
         let now = self.now();
         let mut status = self.ends.get(id).map(|&state| JobStatus {
             id: id.to_string(),
@@ -373,9 +373,9 @@
         {
             self.links.cancellations.record(id);
         }
-        Located {
+        LocalJobView {
             status,
-            leads,
+            is_leader: leads,
             leader: self.leader.clone().filter(|l| *l != self.settings.name),
         }
     }
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -8,7 +8,8 @@
 use super::upgrade::SharedWriteFence;
 use crate::coordination::requests::polls::Poll;
 use crate::coordination::requests::{
-    self, Context, Effect, Event, Located, PeerAnswer, Request, StoreAnswer, StoreCall,
+    self, Context, LocalJobView, PeerAnswer, Request, RequestEffect, RequestEvent, StoreAnswer,
+    StoreCall,
 };
 use crate::protocol::cloud::MachineType;
 use crate::settings::Settings;
@@ -205,8 +206,8 @@
     fn context(&self, from_peer: bool) -> Context {
         Context {
             settings: self.settings.clone(),
-            types: self.types.get(),
-            clearance: self.clearance.get(),
+            machine_types: self.types.get(),
+            write_fence: self.clearance.get(),
             peers: self.peers.names().cloned().collect(),
             from_peer,
             now_ms: wall_ms(),
@@ -218,45 +219,45 @@
     fn carry_out(
         &self,
         mut request: Request,
-        effects: Vec<Effect>,
+        effects: Vec<RequestEffect>,
         kind: Kind,
         body: &[u8],
     ) -> Answered {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             let event = match effect {
-                Effect::Locate => Event::Located(self.locate(request.job())),
-                Effect::Store(call) => Event::Store(store_answer(&self.store, call)),
-                Effect::Ask(peer) => {
+                RequestEffect::ReadLocalView => RequestEvent::LocalView(self.locate(request.job())),
+                RequestEffect::Store(call) => RequestEvent::Store(store_answer(&self.store, call)),
+                RequestEffect::Forward(peer) => {
                     let asked = Asked {
                         kind,
                         job: request.job(),
                         body,
-                        waits: request.waits(),
+                        waits: request.has_dependencies(),
                     };
-                    Event::Peer(self.ask(&peer, &asked))
+                    RequestEvent::Peer(self.ask(&peer, &asked))
                 }
-                Effect::Opened(record, version) => {
+                RequestEffect::JobAccepted { record, version } => {
                     let spec = &record.spec;
                     self.polls.accepted(spec.id.clone(), spec.waits_on.clone());
                     let opened = Message::JobsAccepted(vec![(*record, version)]);
                     let _ = self.controller.try_send(opened);
                     continue;
                 }
-                Effect::Ended(state) => {
+                RequestEffect::JobEndRecorded(state) => {
                     self.ends.note(vec![(request.job().to_string(), state)]);
                     continue;
                 }
-                Effect::LookUp(poll) => return Answered::LookUp(poll),
-                Effect::Answer(answer) => return Answered::Now(reply_of(answer)),
+                RequestEffect::ReadRecords(poll) => return Answered::LookUp(poll),
+                RequestEffect::Answer(answer) => return Answered::Now(reply_of(answer)),
             };
-            effects.extend(request.on(event));
+            effects.extend(request.on_event(event));
         }
         // A request goes on until it is answered: only a fault of its own gets here.
         Answered::Now(busy())
     }
 
-    fn locate(&self, id: &str) -> Option<Located> {
+    fn locate(&self, id: &str) -> Option<LocalJobView> {
         let (tx, rx) = bounded(1);
         self.controller
             .try_send(Message::Locate(id.to_string(), tx))
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -4,7 +4,7 @@
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::election::ElectionEvent;
-use crate::coordination::requests::Located;
+use crate::coordination::requests::LocalJobView;
 use crate::coordination::state::Name;
 use crate::coordination::Time;
 use crate::protocol::cloud::{ListedMachine, MachineType};
@@ -27,7 +27,7 @@
     /// What this controller may do at the active version.
     WriteFence(WriteFence),
     /// What is known of a job here, and who leads.
-    Locate(String, Sender<Located>),
+    Locate(String, Sender<LocalJobView>),
     /// Jobs that were accepted or cancelled, as their records say, with the versions of these.
     JobsAccepted(Vec<(OpenRecord, u64)>),
     /// How jobs have ended, as the state service or the leader says.
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -3,8 +3,8 @@
 use super::end_notifier::EndNotifier;
 use super::gateway::{self, reply_of, store_answer, Task};
 use super::{busy, spawn};
-use crate::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
-use crate::coordination::requests::{Answer, Reason};
+use crate::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
+use crate::coordination::requests::{Answer, RetryReason};
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::settings::Settings;
@@ -94,7 +94,10 @@
 impl Stage {
     fn run(mut self, inputs: &Receiver<Input>) {
         loop {
-            let pause = self.batcher.pause_s().map_or(IDLE, Duration::from_secs_f64);
+            let pause = self
+                .batcher
+                .tick_interval_s()
+                .map_or(IDLE, Duration::from_secs_f64);
             match inputs.recv_timeout(pause) {
                 Ok(input) => self.take(input),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -103,7 +106,7 @@
             for input in inputs.try_iter() {
                 self.take(input);
             }
-            let effects = self.batcher.next(self.now());
+            let effects = self.batcher.tick(self.now());
             self.carry_out(effects);
         }
     }
@@ -118,13 +121,13 @@
                 self.last_number += 1;
                 let poll = asked.poll.clone();
                 self.asked.insert(self.last_number, asked);
-                let effects = self.batcher.ask(self.last_number, poll, self.now());
+                let effects = self.batcher.enqueue(self.last_number, poll, self.now());
                 self.carry_out(effects);
             }
-            Input::Accepted(job, waits_on) => self.batcher.accepted(&job, &waits_on),
+            Input::Accepted(job, waits_on) => self.batcher.job_accepted(&job, &waits_on),
             Input::Ended(ends) => {
                 for (job, state) in ends {
-                    self.batcher.ended(&job, state);
+                    self.batcher.job_end_recorded(&job, state);
                 }
             }
         }
@@ -133,27 +136,27 @@
     /// Has another controller answer, unless this one was asked by another itself.
     fn hand_on(&self, asked: UserPoll) {
         if asked.from_peer {
-            (asked.respond)(reply_of(Answer::Later(Reason::NoStateService)))
+            (asked.respond)(reply_of(Answer::RetryLater(RetryReason::NoStateService)))
         } else {
             gateway::offer(&self.gateway, Task::hand_on(asked.poll.job, asked.respond))
         }
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn carry_out(&mut self, effects: Vec<PollEffect>) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
-                Effect::Store(call) => {
+                PollEffect::Store(call) => {
                     let answer = store_answer(&self.store, call);
-                    effects.extend(self.batcher.on(answer, self.now()));
+                    effects.extend(self.batcher.on_answer(answer, self.now()));
                 }
-                Effect::Ended(ends) => self.ends.note(ends),
-                Effect::Answer(number, answer) => {
+                PollEffect::JobEndsRecorded(ends) => self.ends.note(ends),
+                PollEffect::Answer(number, answer) => {
                     if let Some(asked) = self.asked.remove(&number) {
                         (asked.respond)(reply_of(answer));
                     }
                 }
-                Effect::HandOn(number) => {
+                PollEffect::Forward(number) => {
                     if let Some(asked) = self.asked.remove(&number) {
                         self.hand_on(asked);
                     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -70,8 +70,8 @@
 pub(crate) fn request_context(clearance: WriteFence) -> Context {
     Context {
         settings: Arc::new(Settings::parse("test", SETTINGS).unwrap()),
-        types: Arc::new(vec![machine_type()]),
-        clearance,
+        machine_types: Arc::new(vec![machine_type()]),
+        write_fence: clearance,
         peers: vec!["b".into(), "c".into()],
         from_peer: false,
         now_ms: 0,
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -6,7 +6,9 @@
 use serde_json::json;
 use stairstage::coordination::cluster::{Effect as CoreEffect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::coordination::requests::{Effect, Event, Request, StoreAnswer, StoreCall};
+use stairstage::coordination::requests::{
+    Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
+};
 use stairstage::protocol::store::{Transaction, VersionedValue};
 use stairstage::settings::{Settings, CONDITIONS_A_CHANGE};
 use stairstage::storage::key_value_store::CommitOutcome;
@@ -130,20 +132,20 @@
     assert_eq!(transaction.conditions.len(), most);
 }
 
-fn committed(effects: &[Effect]) -> &Transaction {
+fn committed(effects: &[RequestEffect]) -> &Transaction {
     match effects {
-        [Effect::Store(StoreCall::Commit(transaction))] => transaction,
+        [RequestEffect::Store(StoreCall::Commit(transaction))] => transaction,
         other => panic!("{other:?}"),
     }
 }
 
-fn version_raised() -> Event {
+fn version_raised() -> RequestEvent {
     let failed = vec![VERSION.to_string()];
-    Event::Store(StoreAnswer::Committed(CommitOutcome::Conflict(failed)))
+    RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::Conflict(failed)))
 }
 
-fn is_turned_away(effects: &[Effect]) -> bool {
-    matches!(effects, [Effect::Answer(answer)]
+fn is_turned_away(effects: &[RequestEffect]) -> bool {
+    matches!(effects, [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some())
 }
 
@@ -153,7 +155,7 @@
     let (mut request, effects) =
         Request::submission(body.as_bytes(), request_context(clearance(1)));
     assert_eq!(stamp_in(committed(&effects)), Some(STAMP));
-    let answer = request.on(version_raised());
+    let answer = request.on_event(version_raised());
     assert!(is_turned_away(&answer), "{answer:?}");
 }
 
@@ -165,9 +167,9 @@
     let open = json!({"spec": serde_json::to_value(parsed(&body)).unwrap(), "at_ms": 0});
     store.values.insert(open_key("req-1"), (open, 3));
     let read = StoreAnswer::Read(Ok(store.item(&open_key("req-1"))));
-    let effects = request.on(Event::Store(read));
+    let effects = request.on_event(RequestEvent::Store(read));
     assert_eq!(stamp_in(committed(&effects)), Some(STAMP));
-    let answer = request.on(version_raised());
+    let answer = request.on_event(version_raised());
     assert!(is_turned_away(&answer), "{answer:?}");
 }
 
@@ -182,7 +184,7 @@
     let body = waiting_submission();
     let (_, closed) = Request::submission(body.as_bytes(), request_context(clearance(1)));
     assert!(
-        matches!(closed[..], [Effect::Store(StoreCall::Read(_))]),
+        matches!(closed[..], [RequestEffect::Store(StoreCall::Read(_))]),
         "{closed:?}"
     );
     for open in [clearance(2), WriteFence::Unstaged] {
@@ -197,12 +199,13 @@
 fn a_job_that_waits_and_was_accepted_before_is_known_at_any_version() {
     let body = waiting_submission();
     let (mut request, _) = Request::submission(body.as_bytes(), request_context(clearance(1)));
-    request.on(Event::Store(StoreAnswer::Read(Ok(None))));
+    request.on_event(RequestEvent::Store(StoreAnswer::Read(Ok(None))));
     let mut store = Store::default();
     let end = json!({"state": "done"});
     store.values.insert(end_key("req-2"), (end, 3));
     let read = StoreAnswer::Read(Ok(store.item(&end_key("req-2"))));
-    let effects = request.on(Event::Store(read));
-    let known = matches!(effects.last(), Some(Effect::Answer(answer)) if answer.status() == 200);
+    let effects = request.on_event(RequestEvent::Store(read));
+    let known =
+        matches!(effects.last(), Some(RequestEffect::Answer(answer)) if answer.status() == 200);
     assert!(known, "{effects:?}");
 }
--- a/tests/lookups.rs
+++ b/tests/lookups.rs
@@ -4,8 +4,10 @@
 
 use common::*;
 use serde_json::json;
-use stairstage::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
-use stairstage::coordination::requests::{self, Event, Request, StoreAnswer, StoreCall};
+use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
+use stairstage::coordination::requests::{
+    Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
+};
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::CommitOutcome;
@@ -23,33 +25,35 @@
 fn poll(job: &str) -> Poll {
     Poll {
         job: job.into(),
-        shown: None,
+        leader_status: None,
     }
 }
 
 /// Lets a batcher work against these records until nothing waits; the answers, as statuses with the
 /// numbers of their polls.
-fn answers(batcher: &mut PollBatcher, store: &Store, first: Vec<Effect>) -> Vec<(u64, u16)> {
+fn answers(batcher: &mut PollBatcher, store: &Store, first: Vec<PollEffect>) -> Vec<(u64, u16)> {
     let mut now = 0.0;
     let mut effects = first;
     let mut told = Vec::new();
     loop {
         for effect in std::mem::take(&mut effects) {
             match effect {
-                Effect::Store(call) => effects.extend(batcher.on(answer_of(store, call), now)),
-                Effect::Answer(number, answer) => told.push((number, answer.status())),
-                Effect::Ended(..) => {}
-                Effect::HandOn(number) => panic!("{number} is handed on"),
+                PollEffect::Store(call) => {
+                    effects.extend(batcher.on_answer(answer_of(store, call), now))
+                }
+                PollEffect::Answer(number, answer) => told.push((number, answer.status())),
+                PollEffect::JobEndsRecorded(..) => {}
+                PollEffect::Forward(number) => panic!("{number} is handed on"),
             }
         }
         if !effects.is_empty() {
             continue;
         }
-        let Some(pause_s) = batcher.pause_s().filter(|_| now < 2.0) else {
+        let Some(pause_s) = batcher.tick_interval_s().filter(|_| now < 2.0) else {
             return told;
         };
         now += pause_s;
-        effects.extend(batcher.next(now));
+        effects.extend(batcher.tick(now));
     }
 }
 
@@ -84,7 +88,7 @@
 
 fn told_of_pipeline(needed_end: Option<&str>) -> Vec<(u64, u16)> {
     let mut batcher = batcher();
-    let first = batcher.ask(1, poll("req-2"), 0.0);
+    let first = batcher.enqueue(1, poll("req-2"), 0.0);
     answers(&mut batcher, &pipeline(needed_end), first)
 }
 
@@ -98,16 +102,16 @@
 #[test]
 fn a_cancellation_that_is_known_already_counts_for_what_waits_for_it() {
     let mut batcher = batcher();
-    batcher.accepted("req-2", &["req-1".to_string()]);
-    batcher.ended("req-1", JobState::Cancelled);
-    let first = batcher.ask(1, poll("req-2"), 0.0);
+    batcher.job_accepted("req-2", &["req-1".to_string()]);
+    batcher.job_end_recorded("req-1", JobState::Cancelled);
+    let first = batcher.enqueue(1, poll("req-2"), 0.0);
     let mut store = pipeline(Some("cancelled"));
     assert_eq!(answers(&mut batcher, &store, first), [(1, 503)]);
     // Once its own end is on record, that is told.
     store.values.remove(&open_key("req-2"));
     let end = json!({"state": "cancelled"});
     store.values.insert(end_key("req-2"), (end, 3));
-    let first = batcher.ask(2, poll("req-2"), 10.0);
+    let first = batcher.enqueue(2, poll("req-2"), 10.0);
     assert_eq!(answers(&mut batcher, &store, first), [(2, 200)]);
 }
 
@@ -115,11 +119,11 @@
 fn polls_beyond_what_can_be_compared_in_time_are_turned_away_at_once_and_come_back_apart() {
     let mut batcher = batcher();
     for number in 0..4000 {
-        batcher.ask(number, poll(&format!("req-{number}")), 0.0);
+        batcher.enqueue(number, poll(&format!("req-{number}")), 0.0);
     }
     let mut retries: Vec<u32> = Vec::new();
-    for effect in batcher.next(0.0) {
-        if let Effect::Answer(_, answer) = effect {
+    for effect in batcher.tick(0.0) {
+        if let PollEffect::Answer(_, answer) = effect {
             assert_eq!(answer.status(), 503);
             retries.push(answer.retry_after().expect("when to come back"));
         }
@@ -140,13 +144,15 @@
         store.values.insert(end_key(job), (end, 1));
     }
     let mut batcher = batcher();
-    batcher.ask(1, poll("req-1"), 0.0);
-    batcher.ask(2, poll("req-2"), 0.0);
-    batcher.next(0.0);
+    batcher.enqueue(1, poll("req-1"), 0.0);
+    batcher.enqueue(2, poll("req-2"), 0.0);
+    batcher.tick(0.0);
     let present = CommitOutcome::Conflict(vec![end_key("req-1"), end_key("req-2")]);
-    assert!(batcher.on(StoreAnswer::Committed(present), 0.0).is_empty());
-    let lists = batcher.next(0.1);
-    let [Effect::Store(StoreCall::List {
+    assert!(batcher
+        .on_answer(StoreAnswer::Committed(present), 0.0)
+        .is_empty());
+    let lists = batcher.tick(0.1);
+    let [PollEffect::Store(StoreCall::List {
         under,
         after,
         limit,
@@ -155,38 +161,40 @@
         panic!("{lists:?}");
     };
     let page = store.page(under, after, *limit);
-    let told = batcher.on(StoreAnswer::Listed(Ok(page)), 0.1);
-    let [Effect::Ended(ends), Effect::Answer(1, _), Effect::Answer(2, _)] = &told[..] else {
+    let told = batcher.on_answer(StoreAnswer::Listed(Ok(page)), 0.1);
+    let [PollEffect::JobEndsRecorded(ends), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
+        &told[..]
+    else {
         panic!("{told:?}");
     };
     let done = |job: &str| (job.to_string(), JobState::Done);
     assert_eq!(*ends, ["req-1", "req-2", "req-3"].map(done));
 }
 
-fn is_handed_on(effects: &[Effect], number: u64) -> bool {
-    matches!(effects, [Effect::HandOn(n)] if *n == number)
+fn is_handed_on(effects: &[PollEffect], number: u64) -> bool {
+    matches!(effects, [PollEffect::Forward(n)] if *n == number)
 }
 
 #[test]
 fn while_the_state_service_refuses_polls_are_handed_on_at_once_and_asked_again_after_a_moment() {
     let mut batcher = batcher();
-    assert!(batcher.ask(1, poll("req-1"), 0.0).is_empty());
-    assert!(matches!(batcher.next(0.0)[..], [Effect::Store(_)]));
+    assert!(batcher.enqueue(1, poll("req-1"), 0.0).is_empty());
+    assert!(matches!(batcher.tick(0.0)[..], [PollEffect::Store(_)]));
     let refused = StoreAnswer::Committed(CommitOutcome::Refused);
-    assert!(is_handed_on(&batcher.on(refused, 0.01), 1));
-    assert!(is_handed_on(&batcher.ask(2, poll("req-2"), 0.5), 2));
-    assert!(batcher.ask(3, poll("req-3"), 1.5).is_empty());
-    assert!(matches!(batcher.next(1.5)[..], [Effect::Store(_)]));
+    assert!(is_handed_on(&batcher.on_answer(refused, 0.01), 1));
+    assert!(is_handed_on(&batcher.enqueue(2, poll("req-2"), 0.5), 2));
+    assert!(batcher.enqueue(3, poll("req-3"), 1.5).is_empty());
+    assert!(matches!(batcher.tick(1.5)[..], [PollEffect::Store(_)]));
 }
 
 #[test]
 fn a_poll_that_is_one_too_many_is_compared_again_and_not_handed_on() {
     let mut batcher = batcher();
-    batcher.ask(1, poll("req-1"), 0.0);
-    batcher.next(0.0);
+    batcher.enqueue(1, poll("req-1"), 0.0);
+    batcher.tick(0.0);
     let limited = StoreAnswer::Committed(CommitOutcome::Limited);
-    assert!(batcher.on(limited, 0.01).is_empty());
-    assert!(matches!(batcher.next(0.2)[..], [Effect::Store(_)]));
+    assert!(batcher.on_answer(limited, 0.01).is_empty());
+    assert!(matches!(batcher.tick(0.2)[..], [PollEffect::Store(_)]));
 }
 
 #[test]
@@ -194,9 +202,9 @@
     let body = submission("req-1", "sweep", "normal", 4).to_string();
     let (mut request, _) =
         Request::submission(body.as_bytes(), request_context(WriteFence::Unstaged));
-    let limited = Event::Store(StoreAnswer::Committed(CommitOutcome::Limited));
-    let told = request.on(limited);
-    let turned_away = matches!(&told[..], [requests::Effect::Answer(answer)]
+    let limited = RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::Limited));
+    let told = request.on_event(limited);
+    let turned_away = matches!(&told[..], [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some());
     assert!(turned_away, "{told:?}");
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
-use stairstage::coordination::requests::polls::{self, Limits, Poll, PollBatcher};
+use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
-    Context, Effect, Event, Located, Request, StoreAnswer, StoreCall,
+    Context, LocalJobView, Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
 };
 use stairstage::settings::{Peer, Settings};
 use stairstage::storage::key_value_store::CommitOutcome;
@@ -40,16 +40,16 @@
     let mut effects = VecDeque::from(effects);
     while let Some(effect) = effects.pop_front() {
         let event = match effect {
-            Effect::Locate => Event::Located(Some(Located {
+            RequestEffect::ReadLocalView => RequestEvent::LocalView(Some(LocalJobView {
                 status: None,
-                leads: false,
+                is_leader: false,
                 leader: Some("b".into()),
             })),
-            Effect::Ask(_) => Event::Peer(None),
-            Effect::LookUp(poll) => return poll,
+            RequestEffect::Forward(_) => RequestEvent::Peer(None),
+            RequestEffect::ReadRecords(poll) => return poll,
             other => panic!("a question costs nothing else: {other:?}"),
         };
-        effects.extend(request.on(event));
+        effects.extend(request.on_event(event));
     }
     panic!("a question goes on until it is answered");
 }
@@ -62,17 +62,17 @@
 }
 
 impl Seen {
-    fn carry_out(&mut self, batcher: &mut PollBatcher, effects: Vec<polls::Effect>, now: f64) {
+    fn carry_out(&mut self, batcher: &mut PollBatcher, effects: Vec<PollEffect>, now: f64) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
-                polls::Effect::Store(StoreCall::Commit(transaction)) => {
+                PollEffect::Store(StoreCall::Commit(transaction)) => {
                     assert!(transaction.changes.is_empty(), "a question writes nothing");
                     self.calls += 1;
                     let answer = StoreAnswer::Committed(CommitOutcome::Applied(1));
-                    effects.extend(batcher.on(answer, now));
+                    effects.extend(batcher.on_answer(answer, now));
                 }
-                polls::Effect::Answer(_, answer) => {
+                PollEffect::Answer(_, answer) => {
                     *self.answers.entry(answer.status()).or_default() += 1;
                 }
                 other => panic!("no job is known to the state service: {other:?}"),
@@ -89,15 +89,15 @@
     for i in 0..QUESTIONS {
         let now = i as f64 / QUESTIONS as f64;
         let poll = poll_of_question(&format!("req-{i}"));
-        let effects = batcher.ask(i as u64, poll, now);
+        let effects = batcher.enqueue(i as u64, poll, now);
         seen.carry_out(&mut batcher, effects, now);
-        let effects = batcher.next(now);
+        let effects = batcher.tick(now);
         seen.carry_out(&mut batcher, effects, now);
     }
     let mut now = 1.0;
-    while let Some(pause_s) = batcher.pause_s() {
+    while let Some(pause_s) = batcher.tick_interval_s() {
         now += pause_s;
-        let effects = batcher.next(now);
+        let effects = batcher.tick(now);
         seen.carry_out(&mut batcher, effects, now);
     }
     let calls = seen.calls;
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -2,8 +2,8 @@
 
 use crate::jobs;
 use crate::state_service::StateService;
-use stairstage::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
-use stairstage::coordination::requests::{Answer, Reason, StoreAnswer, StoreCall};
+use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
+use stairstage::coordination::requests::{Answer, RetryReason, StoreAnswer, StoreCall};
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use std::collections::{BTreeMap, VecDeque};
@@ -80,8 +80,8 @@
     pub(crate) fn new(seed: u64, jobs: usize, leadership: Leadership, cut_off: bool) -> Cluster {
         let limits = Limits {
             requests_per_s: 0.4 * RPS / NODES as f64,
-            conditions: CONDITIONS,
-            jobs: 10_000,
+            max_compares: CONDITIONS,
+            max_jobs: 10_000,
         };
         let node = |_| Node {
             batcher: PollBatcher::new(limits),
@@ -163,15 +163,21 @@
         })
     }
 
-    fn ask_batcher(&mut self, node: usize, job: usize, shown: Option<JobStatus>, asker: Asker) {
+    fn ask_batcher(
+        &mut self,
+        node: usize,
+        job: usize,
+        leader_status: Option<JobStatus>,
+        asker: Asker,
+    ) {
         self.counter += 1;
         let poll = Poll {
             job: jobs::id_of(job),
-            shown,
+            leader_status,
         };
         let number = self.counter;
         self.nodes[node].asked.insert(number, asker);
-        let effects = self.nodes[node].batcher.ask(number, poll, self.now);
+        let effects = self.nodes[node].batcher.enqueue(number, poll, self.now);
         self.carry_out(node, effects);
     }
 
@@ -185,7 +191,7 @@
         self.service.pass(STEP_S, self.now);
         for node in 0..NODES {
             self.receive(node);
-            let effects = self.nodes[node].batcher.next(self.now);
+            let effects = self.nodes[node].batcher.tick(self.now);
             self.carry_out(node, effects);
         }
     }
@@ -201,20 +207,20 @@
             (true, StoreCall::Read(_)) => StoreAnswer::Read(Err(Unavailable)),
             (true, StoreCall::List { .. }) => StoreAnswer::Listed(Err(Unavailable)),
         };
-        let effects = self.nodes[node].batcher.on(answer, self.now);
+        let effects = self.nodes[node].batcher.on_answer(answer, self.now);
         self.carry_out(node, effects);
     }
 
-    fn carry_out(&mut self, node: usize, effects: Vec<Effect>) {
+    fn carry_out(&mut self, node: usize, effects: Vec<PollEffect>) {
         for effect in effects {
             match effect {
-                Effect::Store(call) => self.send(node, call),
-                Effect::Ended(..) => {}
-                Effect::Answer(number, answer) => {
+                PollEffect::Store(call) => self.send(node, call),
+                PollEffect::JobEndsRecorded(..) => {}
+                PollEffect::Answer(number, answer) => {
                     let asker = self.nodes[node].asked.remove(&number).expect("was asked");
                     self.answer(asker, answer);
                 }
-                Effect::HandOn(number) => self.hand_on(node, number),
+                PollEffect::Forward(number) => self.hand_on(node, number),
             }
         }
     }
@@ -240,7 +246,7 @@
             }
             asker @ (Asker::Node { .. } | Asker::Follower { .. }) => {
                 self.nodes[node].asked.remove(&number);
-                self.answer(asker, Answer::Later(Reason::NoStateService));
+                self.answer(asker, Answer::RetryLater(RetryReason::NoStateService));
             }
         }
     }
--- a/tests/polls/users.rs
+++ b/tests/polls/users.rs
@@ -94,7 +94,7 @@
                 assert!(!jobs::is_submitted(told.job), "forgotten: {}", told.job);
                 user.since = cluster.now;
             }
-            Answer::Later(_) => assert!(retry_after >= 1.0),
+            Answer::RetryLater(_) => assert!(retry_after >= 1.0),
             other => panic!("{other:?}"),
         }
     }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -20,9 +20,10 @@
 
 use rules::{Kind, Told};
 use schedule::Troubles;
-use stairstage::coordination::requests::polls::{self, Limits, Poll, PollBatcher};
+use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
-    Answer, Context, Effect, Event, Located, PeerAnswer, Request, StoreAnswer, StoreCall,
+    Answer, Context, LocalJobView, PeerAnswer, Request, RequestEffect, RequestEvent, StoreAnswer,
+    StoreCall,
 };
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Change;
@@ -147,30 +148,30 @@
     }
 }
 
-fn committed(outcome: CommitOutcome) -> Event {
-    Event::Store(StoreAnswer::Committed(outcome))
+fn committed(outcome: CommitOutcome) -> RequestEvent {
+    RequestEvent::Store(StoreAnswer::Committed(outcome))
 }
 
-fn unanswered() -> Event {
+fn unanswered() -> RequestEvent {
     committed(CommitOutcome::Unknown)
 }
 
-fn unavailable() -> Event {
-    Event::Store(StoreAnswer::Read(Err(Unavailable)))
+fn unavailable() -> RequestEvent {
+    RequestEvent::Store(StoreAnswer::Read(Err(Unavailable)))
 }
 
 /// The state service answers that the job is cancelled.
-fn cancellation_read(job: &str) -> Event {
+fn cancellation_read(job: &str) -> RequestEvent {
     let mut store = common::Store::default();
     let key = end_key(job);
     let end = EndRecord::cancelled(0).to_value();
     store.values.insert(key.clone(), (end, 1));
-    Event::Store(StoreAnswer::Read(Ok(store.item(&key))))
+    RequestEvent::Store(StoreAnswer::Read(Ok(store.item(&key))))
 }
 
 /// What a peer answers that can't take a request now.
-fn not_now() -> Event {
-    Event::Peer(Some(PeerAnswer {
+fn not_now() -> RequestEvent {
+    RequestEvent::Peer(Some(PeerAnswer {
         status: 503,
         body: b"{}".to_vec(),
         retry_after: Some(1),
@@ -178,75 +179,81 @@
 }
 
 /// This node knows nothing of the job, and another leads.
-fn located_elsewhere() -> Event {
-    Event::Located(Some(Located {
+fn located_elsewhere() -> RequestEvent {
+    RequestEvent::LocalView(Some(LocalJobView {
         status: None,
-        leads: false,
+        is_leader: false,
         leader: Some("n1".into()),
     }))
 }
 
-fn reads_store(effects: &[Effect]) -> bool {
-    matches!(effects, [Effect::Store(StoreCall::Read(_))])
+fn reads_store(effects: &[RequestEffect]) -> bool {
+    matches!(effects, [RequestEffect::Store(StoreCall::Read(_))])
 }
 
 fn batcher() -> PollBatcher {
     PollBatcher::new(Limits::of(&context(false).settings))
 }
 
-fn look_up_of(effects: Vec<Effect>) -> Poll {
+fn look_up_of(effects: Vec<RequestEffect>) -> Poll {
     match effects.into_iter().next() {
-        Some(Effect::LookUp(poll)) => poll,
+        Some(RequestEffect::ReadRecords(poll)) => poll,
         other => panic!("{other:?}"),
     }
 }
 
-fn compares(effects: &[polls::Effect]) -> bool {
-    matches!(effects, [polls::Effect::Store(StoreCall::Commit(transaction))]
+fn compares(effects: &[PollEffect]) -> bool {
+    matches!(effects, [PollEffect::Store(StoreCall::Commit(transaction))]
         if transaction.changes.is_empty())
 }
 
 /// The status, where the request is answered.
-fn status_of(effects: &[Effect]) -> Option<u16> {
+fn status_of(effects: &[RequestEffect]) -> Option<u16> {
     match effects {
-        [.., Effect::Answer(answer)] => Some(answer.status()),
+        [.., RequestEffect::Answer(answer)] => Some(answer.status()),
         _ => None,
     }
 }
 
-fn asks(effects: &[Effect], peer: &str) -> bool {
-    matches!(effects, [Effect::Ask(asked)] if asked == peer)
+fn asks(effects: &[RequestEffect], peer: &str) -> bool {
+    matches!(effects, [RequestEffect::Forward(asked)] if asked == peer)
 }
 
 #[test]
 fn a_submission_without_answers_is_tried_three_times_then_handed_to_each_other_node() {
     let body = jobs::body_of(0);
     let (mut request, first) = Request::submission(&body, context(false));
-    let [Effect::Store(StoreCall::Commit(transaction))] = &first[..] else {
+    let [RequestEffect::Store(StoreCall::Commit(transaction))] = &first[..] else {
         panic!("{first:?}");
     };
     for _ in 0..2 {
-        let again = request.on(unanswered());
+        let again = request.on_event(unanswered());
         let same = matches!(&again[..],
-            [Effect::Store(StoreCall::Commit(repeated))] if repeated == transaction);
+            [RequestEffect::Store(StoreCall::Commit(repeated))] if repeated == transaction);
         assert!(same, "{again:?}");
     }
-    assert!(asks(&request.on(unanswered()), "n1"));
-    assert!(asks(&request.on(not_now()), "n2"));
-    assert_eq!(status_of(&request.on(Event::Peer(None))), Some(503));
+    assert!(asks(&request.on_event(unanswered()), "n1"));
+    assert!(asks(&request.on_event(not_now()), "n2"));
+    assert_eq!(
+        status_of(&request.on_event(RequestEvent::Peer(None))),
+        Some(503)
+    );
 }
 
 #[test]
 fn what_another_node_has_handed_on_is_handed_on_no_further() {
     let body = jobs::body_of(0);
     let (mut request, _) = Request::submission(&body, context(true));
-    (0..2).for_each(|_| drop(request.on(unanswered())));
-    assert_eq!(status_of(&request.on(unanswered())), Some(503));
+    (0..2).for_each(|_| drop(request.on_event(unanswered())));
+    assert_eq!(status_of(&request.on_event(unanswered())), Some(503));
     let (mut request, _) = Request::cancellation(jobs::id_of(0), context(true));
-    assert_eq!(status_of(&request.on(unavailable())), Some(503));
+    assert_eq!(status_of(&request.on_event(unavailable())), Some(503));
     let (mut request, _) = Request::query(jobs::id_of(0), context(true));
-    let looks_up = request.on(located_elsewhere());
-    assert!(matches!(looks_up[..], [Effect::LookUp(_)]), "{looks_up:?}");
+    let looks_up = request.on_event(located_elsewhere());
+    assert!(
+        matches!(looks_up[..], [RequestEffect::ReadRecords(_)]),
+        "{looks_up:?}"
+    );
     let (_, refused) = Request::refused_query(jobs::id_of(0), context(true));
     assert_eq!(status_of(&refused), Some(503));
 }
@@ -254,51 +261,51 @@
 #[test]
 fn a_leader_that_cannot_answer_now_is_no_answer() {
     let (mut request, _) = Request::query(jobs::id_of(0), context(false));
-    assert!(asks(&request.on(located_elsewhere()), "n1"));
-    let poll = look_up_of(request.on(not_now()));
-    assert_eq!(poll.shown, None);
+    assert!(asks(&request.on_event(located_elsewhere()), "n1"));
+    let poll = look_up_of(request.on_event(not_now()));
+    assert_eq!(poll.leader_status, None);
     let mut batcher = batcher();
-    assert!(batcher.ask(1, poll, 0.0).is_empty());
-    assert!(compares(&batcher.next(0.0)));
-    let refused = batcher.on(StoreAnswer::Committed(CommitOutcome::Refused), 0.0);
+    assert!(batcher.enqueue(1, poll, 0.0).is_empty());
+    assert!(compares(&batcher.tick(0.0)));
+    let refused = batcher.on_answer(StoreAnswer::Committed(CommitOutcome::Refused), 0.0);
     assert!(
-        matches!(refused[..], [polls::Effect::HandOn(1)]),
+        matches!(refused[..], [PollEffect::Forward(1)]),
         "{refused:?}"
     );
     let (mut request, asked) = Request::refused_query(jobs::id_of(0), context(false));
     assert!(asks(&asked, "n1"));
-    assert!(asks(&request.on(not_now()), "n2"));
-    assert_eq!(status_of(&request.on(not_now())), Some(503));
+    assert!(asks(&request.on_event(not_now()), "n2"));
+    assert_eq!(status_of(&request.on_event(not_now())), Some(503));
 }
 
 #[test]
 fn an_end_on_record_is_told_to_the_controller_before_the_user() {
     let (mut request, _) = Request::query(jobs::id_of(0), context(true));
-    let located = Located {
+    let located = LocalJobView {
         status: None,
-        leads: true,
+        is_leader: true,
         leader: None,
     };
     let job = jobs::id_of(0);
-    let poll = look_up_of(request.on(Event::Located(Some(located))));
+    let poll = look_up_of(request.on_event(RequestEvent::LocalView(Some(located))));
     let mut batcher = batcher();
-    assert!(batcher.ask(1, poll, 0.0).is_empty());
-    assert!(compares(&batcher.next(0.0)));
+    assert!(batcher.enqueue(1, poll, 0.0).is_empty());
+    assert!(compares(&batcher.tick(0.0)));
     let present = CommitOutcome::Conflict(vec![end_key(&job)]);
-    let nothing_yet = batcher.on(StoreAnswer::Committed(present), 0.0);
+    let nothing_yet = batcher.on_answer(StoreAnswer::Committed(present), 0.0);
     assert!(nothing_yet.is_empty(), "{nothing_yet:?}");
-    let reads = batcher.next(0.0);
+    let reads = batcher.tick(0.0);
     assert!(matches!(&reads[..],
-        [polls::Effect::Store(StoreCall::Read(key))] if *key == end_key(&job)));
-    let Event::Store(answer) = cancellation_read(&job) else {
+        [PollEffect::Store(StoreCall::Read(key))] if *key == end_key(&job)));
+    let RequestEvent::Store(answer) = cancellation_read(&job) else {
         unreachable!();
     };
-    let told = batcher.on(answer, 0.0);
+    let told = batcher.on_answer(answer, 0.0);
     let in_order = matches!(
         &told[..],
         [
-            polls::Effect::Ended(ends),
-            polls::Effect::Answer(1, Answer::Known(_))
+            PollEffect::JobEndsRecorded(ends),
+            PollEffect::Answer(1, Answer::Known(_))
         ] if *ends == [(job.clone(), JobState::Cancelled)]
     );
     assert!(in_order, "{told:?}");
@@ -314,12 +321,15 @@
 fn a_name_that_cannot_be_read_is_no_name_that_was_never_accepted() {
     let (waiting, _) = waiting_job();
     let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
-    let reads = request.on(committed(CommitOutcome::Applied(1)));
+    let reads = request.on_event(committed(CommitOutcome::Applied(1)));
     assert!(reads_store(&reads), "{reads:?}");
-    let handed_on = request.on(unavailable());
+    let handed_on = request.on_event(unavailable());
     assert!(asks(&handed_on, "n1"), "{handed_on:?}");
-    assert!(asks(&request.on(not_now()), "n2"));
-    assert_eq!(status_of(&request.on(Event::Peer(None))), Some(503));
+    assert!(asks(&request.on_event(not_now()), "n2"));
+    assert_eq!(
+        status_of(&request.on_event(RequestEvent::Peer(None))),
+        Some(503)
+    );
 }
 
 #[test]
@@ -327,18 +337,18 @@
     let (waiting, needed) = waiting_job();
     let needed = jobs::id_of(needed);
     let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
-    let reads = request.on(committed(CommitOutcome::Conflict(vec![end_key(&needed)])));
+    let reads = request.on_event(committed(CommitOutcome::Conflict(vec![end_key(&needed)])));
     assert!(reads_store(&reads), "{reads:?}");
-    let commits = request.on(cancellation_read(&needed));
-    let [Effect::Store(StoreCall::Commit(transaction))] = &commits[..] else {
+    let commits = request.on_event(cancellation_read(&needed));
+    let [RequestEffect::Store(StoreCall::Commit(transaction))] = &commits[..] else {
         panic!("{commits:?}");
     };
     let own_end = end_key(&jobs::id_of(waiting));
     let writes_end = matches!(&transaction.changes[..],
         [Change::Put { key, .. }] if *key == own_end);
     assert!(writes_end, "{transaction:?}");
-    let told = request.on(committed(CommitOutcome::Applied(2)));
+    let told = request.on_event(committed(CommitOutcome::Applied(2)));
     let cancelled = matches!(&told[..],
-        [.., Effect::Answer(Answer::Accepted { state, .. })] if *state == JobState::Cancelled);
+        [.., RequestEffect::Answer(Answer::Accepted { state, .. })] if *state == JobState::Cancelled);
     assert!(cancelled, "{told:?}");
 }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -5,7 +5,7 @@
 use crate::simulation::{name_of, World};
 use serde_json::json;
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::coordination::requests::Located;
+use stairstage::coordination::requests::LocalJobView;
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::protocol::store::Transaction;
 use stairstage::storage::key_value_store::CommitOutcome;
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(crate) fn locate(&mut self, node: usize, job: u8) -> Located {
+    pub(crate) fn locate(&mut self, node: usize, job: u8) -> LocalJobView {
         let id = id_of(job);
         let end = self.nodes[node].ends.get(&id).map(|&state| JobStatus {
             id: id.clone(),
@@ -46,9 +46,9 @@
         let picture = self.leads(node);
         let leads = picture.is_some();
         let status = end.or_else(|| picture.and_then(|manager| manager.status(&id)));
-        Located {
+        LocalJobView {
             status,
-            leads,
+            is_leader: leads,
             leader,
         }
     }
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -5,9 +5,9 @@
 use crate::jobs::*;
 use crate::parts::*;
 use crate::rules::{Kind, Ledger, Question, Told};
-use stairstage::coordination::requests::polls::{self, Limits, PollBatcher};
+use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
-    Answer, Context, Effect, Event, PeerAnswer, Request, StoreAnswer, StoreCall,
+    Answer, Context, PeerAnswer, Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
 };
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
@@ -92,8 +92,8 @@
         }
         Context {
             settings: self.settings.clone(),
-            types: Arc::new(vec![machine_type]),
-            clearance: WriteFence::Unstaged,
+            machine_types: Arc::new(vec![machine_type]),
+            write_fence: WriteFence::Unstaged,
             peers: (0..NODES).filter(|i| *i != node).map(name_of).collect(),
             from_peer,
             now_ms: 0,
@@ -144,23 +144,25 @@
     }
 
     /// Carries out what a request asks for, up to what it waits for.
-    fn request_effects(&mut self, key: u64, effects: Vec<Effect>) {
+    fn request_effects(&mut self, key: u64, effects: Vec<RequestEffect>) {
         for effect in effects {
             let node = self.running[&key].node;
             match effect {
-                Effect::Locate => self.wait(key, Waiting::Located),
-                Effect::Store(call) => self.wait(key, Waiting::Store(call)),
-                Effect::Ask(peer) => self.wait(key, Waiting::Peer(number_of(&peer))),
-                Effect::Opened(record, version) => self.opened(node, *record, version),
-                Effect::Ended(state) => {
+                RequestEffect::ReadLocalView => self.wait(key, Waiting::Located),
+                RequestEffect::Store(call) => self.wait(key, Waiting::Store(call)),
+                RequestEffect::Forward(peer) => self.wait(key, Waiting::Peer(number_of(&peer))),
+                RequestEffect::JobAccepted { record, version } => {
+                    self.opened(node, *record, version)
+                }
+                RequestEffect::JobEndRecorded(state) => {
                     let job = self.running[&key].job.unwrap();
                     self.ended(node, job, state);
                 }
-                Effect::LookUp(poll) => {
+                RequestEffect::ReadRecords(poll) => {
                     let origin = self.finish(key);
                     self.look_up(node, poll, origin);
                 }
-                Effect::Answer(answer) => {
+                RequestEffect::Answer(answer) => {
                     let origin = self.finish(key);
                     self.answer(origin, answer);
                 }
@@ -168,34 +170,34 @@
         }
     }
 
-    fn look_up(&mut self, node: usize, poll: polls::Poll, origin: Origin) {
+    fn look_up(&mut self, node: usize, poll: Poll, origin: Origin) {
         self.counter += 1;
         let (number, now) = (self.counter, self.now);
         let job = job_of(&poll.job).unwrap();
         let node_parts = &mut self.nodes[node];
         node_parts.polls.insert(number, (job, origin));
-        let effects = node_parts.batcher.ask(number, poll, now);
+        let effects = node_parts.batcher.enqueue(number, poll, now);
         self.batcher_effects(node, effects);
     }
 
-    fn batcher_effects(&mut self, node: usize, effects: Vec<polls::Effect>) {
+    fn batcher_effects(&mut self, node: usize, effects: Vec<PollEffect>) {
         for effect in effects {
             match effect {
-                polls::Effect::Store(call) => {
+                PollEffect::Store(call) => {
                     self.run(node, None, Machine::Batch, |world, key| {
                         world.wait(key, Waiting::Store(call));
                     });
                 }
-                polls::Effect::Ended(ends) => {
+                PollEffect::JobEndsRecorded(ends) => {
                     for (id, state) in ends {
                         self.ended(node, job_of(&id).unwrap(), state);
                     }
                 }
-                polls::Effect::Answer(number, answer) => {
+                PollEffect::Answer(number, answer) => {
                     let (_, origin) = self.nodes[node].polls.remove(&number).unwrap();
                     self.answer(origin, answer);
                 }
-                polls::Effect::HandOn(number) => {
+                PollEffect::Forward(number) => {
                     let (job, origin) = self.nodes[node].polls.remove(&number).unwrap();
                     self.hand_poll_on(node, job, origin);
                 }
@@ -249,23 +251,23 @@
     }
 
     fn peer_answered(&mut self, key: u64, answer: Option<PeerAnswer>) {
-        self.on(key, Event::Peer(answer));
+        self.on(key, RequestEvent::Peer(answer));
     }
 
-    fn on(&mut self, key: u64, event: Event) {
+    fn on(&mut self, key: u64, event: RequestEvent) {
         match (&mut self.running.get_mut(&key).unwrap().machine, event) {
             (Machine::Request(request, ..), event) => {
-                let effects = request.on(event);
+                let effects = request.on_event(event);
                 assert!(
                     !effects.is_empty(),
                     "a request goes on until it is answered"
                 );
                 self.request_effects(key, effects);
             }
-            (Machine::Batch, Event::Store(answer)) => {
+            (Machine::Batch, RequestEvent::Store(answer)) => {
                 let node = self.running[&key].node;
                 self.finish(key);
-                let effects = self.nodes[node].batcher.on(answer, self.now);
+                let effects = self.nodes[node].batcher.on_answer(answer, self.now);
                 self.batcher_effects(node, effects);
             }
             (Machine::Batch, event) => panic!("{event:?} for a batcher"),
@@ -287,11 +289,11 @@
         match std::mem::replace(&mut running.waiting, Waiting::Child) {
             Waiting::Located => {
                 let located = (fate != Fate::Refused).then(|| self.locate(node, job.unwrap()));
-                self.on(key, Event::Located(located));
+                self.on(key, RequestEvent::LocalView(located));
             }
             Waiting::Store(call) => {
                 let answer = self.store_answer(key, node, call, fate);
-                self.on(key, Event::Store(answer));
+                self.on(key, RequestEvent::Store(answer));
             }
             Waiting::Peer(peer) => self.hand_on(key, peer, job.unwrap(), fate),
             Waiting::Child => {}
@@ -401,7 +403,7 @@
     /// The polls that wait at a node are looked up, a while later.
     pub(crate) fn confirm(&mut self, node: usize) {
         self.now += TICK_S;
-        let effects = self.nodes[node].batcher.next(self.now);
+        let effects = self.nodes[node].batcher.tick(self.now);
         self.batcher_effects(node, effects);
     }
 
@@ -435,7 +437,8 @@
             (0..NODES).for_each(|node| self.confirm(node));
             let waits = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Child);
             let keys: VecDeque<u64> = self.running.keys().filter(waits).copied().collect();
-            let idle = |node: &Node| node.polls.is_empty() && node.batcher.pause_s().is_none();
+            let idle =
+                |node: &Node| node.polls.is_empty() && node.batcher.tick_interval_s().is_none();
             if keys.is_empty() && self.nodes.iter().all(idle) {
                 return;
             }
