--- a/tests/lookups.rs
+++ b/tests/lookups.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::*;
+use common::{parsed, request_context, submission, Store, SETTINGS};
 use serde_json::json;
 use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
@@ -29,19 +29,19 @@
     }
 }
 
-/// Lets a batcher work against these records until nothing waits; the answers, as statuses with the
-/// numbers of their polls.
+/// Runs a batcher against these records until it is idle; returns the statuses of its answers with the
+/// ids of their polls.
 fn answers(batcher: &mut PollBatcher, store: &Store, first: Vec<PollEffect>) -> Vec<(u64, u16)> {
     let mut now = 0.0;
     let mut effects = first;
-    let mut told = Vec::new();
+    let mut answers = Vec::new();
     loop {
         for effect in std::mem::take(&mut effects) {
             match effect {
                 PollEffect::Store(call) => {
                     effects.extend(batcher.on_answer(answer_of(store, call), now))
                 }
-                PollEffect::Answer(number, answer) => told.push((number, answer.status())),
+                PollEffect::Answer(number, answer) => answers.push((number, answer.status())),
                 PollEffect::JobEndsRecorded(..) => {}
                 PollEffect::Forward(number) => panic!("{number} is handed on"),
             }
@@ -49,10 +49,10 @@
         if !effects.is_empty() {
             continue;
         }
-        let Some(pause_s) = batcher.tick_interval_s().filter(|_| now < 2.0) else {
-            return told;
+        let Some(interval_s) = batcher.tick_interval_s().filter(|_| now < 2.0) else {
+            return answers;
         };
-        now += pause_s;
+        now += interval_s;
         effects.extend(batcher.tick(now));
     }
 }
@@ -86,7 +86,7 @@
     store
 }
 
-fn told_of_pipeline(needed_end: Option<&str>) -> Vec<(u64, u16)> {
+fn answers_of_pipeline(needed_end: Option<&str>) -> Vec<(u64, u16)> {
     let mut batcher = batcher();
     let first = batcher.enqueue(1, poll("req-2"), 0.0);
     answers(&mut batcher, &pipeline(needed_end), first)
@@ -94,9 +94,9 @@
 
 #[test]
 fn a_job_is_called_pending_only_while_what_it_waits_for_is_not_cancelled() {
-    assert_eq!(told_of_pipeline(None), [(1, 200)]);
-    assert_eq!(told_of_pipeline(Some("done")), [(1, 200)]);
-    assert_eq!(told_of_pipeline(Some("cancelled")), [(1, 503)]);
+    assert_eq!(answers_of_pipeline(None), [(1, 200)]);
+    assert_eq!(answers_of_pipeline(Some("done")), [(1, 200)]);
+    assert_eq!(answers_of_pipeline(Some("cancelled")), [(1, 503)]);
 }
 
 #[test]
@@ -107,7 +107,7 @@
     let first = batcher.enqueue(1, poll("req-2"), 0.0);
     let mut store = pipeline(Some("cancelled"));
     assert_eq!(answers(&mut batcher, &store, first), [(1, 503)]);
-    // Once its own end is on record, that is told.
+    // Once its own end is on record, that is reported.
     store.values.remove(&open_key("req-2"));
     let end = json!({"state": "cancelled"});
     store.values.insert(end_key("req-2"), (end, 3));
@@ -161,17 +161,17 @@
         panic!("{lists:?}");
     };
     let page = store.page(under, after, *limit);
-    let told = batcher.on_answer(StoreAnswer::Listed(Ok(page)), 0.1);
+    let effects = batcher.on_answer(StoreAnswer::Listed(Ok(page)), 0.1);
     let [PollEffect::JobEndsRecorded(ends), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
-        &told[..]
+        &effects[..]
     else {
-        panic!("{told:?}");
+        panic!("{effects:?}");
     };
     let done = |job: &str| (job.to_string(), JobState::Done);
     assert_eq!(*ends, ["req-1", "req-2", "req-3"].map(done));
 }
 
-fn is_handed_on(effects: &[PollEffect], number: u64) -> bool {
+fn is_forwarded(effects: &[PollEffect], number: u64) -> bool {
     matches!(effects, [PollEffect::Forward(n)] if *n == number)
 }
 
@@ -181,8 +181,8 @@
     assert!(batcher.enqueue(1, poll("req-1"), 0.0).is_empty());
     assert!(matches!(batcher.tick(0.0)[..], [PollEffect::Store(_)]));
     let refused = StoreAnswer::Committed(CommitOutcome::Refused);
-    assert!(is_handed_on(&batcher.on_answer(refused, 0.01), 1));
-    assert!(is_handed_on(&batcher.enqueue(2, poll("req-2"), 0.5), 2));
+    assert!(is_forwarded(&batcher.on_answer(refused, 0.01), 1));
+    assert!(is_forwarded(&batcher.enqueue(2, poll("req-2"), 0.5), 2));
     assert!(batcher.enqueue(3, poll("req-3"), 1.5).is_empty());
     assert!(matches!(batcher.tick(1.5)[..], [PollEffect::Store(_)]));
 }
@@ -203,8 +203,8 @@
     let (mut request, _) =
         Request::submission(body.as_bytes(), request_context(WriteFence::Unstaged));
     let limited = RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::Limited));
-    let told = request.on_event(limited);
-    let turned_away = matches!(&told[..], [RequestEffect::Answer(answer)]
+    let effects = request.on_event(limited);
+    let turned_away = matches!(&effects[..], [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some());
-    assert!(turned_away, "{told:?}");
+    assert!(turned_away, "{effects:?}");
 }
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -23,17 +23,17 @@
 /// What users call forgotten.
 const FORGOTTEN_S: f64 = 75.0;
 
-/// What a day is like.
+/// The conditions of a simulation.
 #[derive(Clone, Copy)]
-struct Day {
+struct Scenario {
     jobs: usize,
     leadership: Leadership,
     cut_off: bool,
 }
 
-fn play(seed: u64, day: Day) -> (Users, Cluster) {
-    let mut cluster = Cluster::new(seed, day.jobs, day.leadership, day.cut_off);
-    let mut users = Users::new(seed, day.jobs);
+fn simulate(seed: u64, scenario: Scenario) -> (Users, Cluster) {
+    let mut cluster = Cluster::new(seed, scenario.jobs, scenario.leadership, scenario.cut_off);
+    let mut users = Users::new(seed, scenario.jobs);
     while cluster.now < DURATION_S {
         cluster.step();
         users.step(&mut cluster);
@@ -48,19 +48,19 @@
 /// turned away. The node answers those first that it has turned away longest, so that one that comes
 /// after all jobs can have been compared once is compared; where that shows a record that is not known
 /// yet, it is read, a page of others with it. The third poll at the node is answered.
-fn bound_s(day: Day, cluster: &Cluster) -> f64 {
-    let round_s = day.jobs as f64 / cluster.polls_per_s();
-    let pages_s = 2.0 * cluster.pages(day.jobs) as f64 / cluster.reads_per_s();
+fn bound_s(scenario: Scenario, cluster: &Cluster) -> f64 {
+    let round_s = scenario.jobs as f64 / cluster.polls_per_s();
+    let pages_s = 2.0 * cluster.pages(scenario.jobs) as f64 / cluster.reads_per_s();
     let visits_s = VISITS * PERIOD_S;
     round_s + pages_s + visits_s
 }
 
-/// Plays the day with several seeds; the answers that users got in all, by their status.
-fn holds(day: Day) -> BTreeMap<u16, usize> {
+/// Simulates the scenario with several seeds; returns the answers that users got in all, by their status.
+fn assert_bounds(scenario: Scenario) -> BTreeMap<u16, usize> {
     let mut counts = BTreeMap::new();
     for seed in SEEDS {
-        let (users, cluster) = play(seed, day);
-        let bound = bound_s(day, &cluster);
+        let (users, cluster) = simulate(seed, scenario);
+        let bound = bound_s(scenario, &cluster);
         assert!(bound < FORGOTTEN_S, "{bound} s");
         let longest = users.longest_wait_s();
         assert!(
@@ -68,10 +68,10 @@
             "seed {seed}: {longest:.1} s of {bound:.1}"
         );
         let share = cluster.requests_share();
-        let most = cluster.most_requests_in_a_second();
+        let max_requests = cluster.max_requests_per_s();
         assert!(
-            most as f64 <= share,
-            "seed {seed}: {most} requests in a second of {share:.0}"
+            max_requests as f64 <= share,
+            "seed {seed}: {max_requests} requests in a second of {share:.0}"
         );
         for (status, answers) in users.counts() {
             *counts.entry(*status).or_default() += answers;
@@ -80,46 +80,46 @@
     counts
 }
 
-/// Whether users got answers all day long, at one a period and job; those of jobs that were never
+/// Whether users got answers all the time, at one a period and job; those of jobs that were never
 /// submitted are answered with 404.
-fn are_served(day: Day, counts: &BTreeMap<u16, usize>, share: f64) -> bool {
-    let asked = SEEDS.count() as f64 * day.jobs as f64 * DURATION_S / PERIOD_S;
+fn are_served(scenario: Scenario, counts: &BTreeMap<u16, usize>, share: f64) -> bool {
+    let asked = SEEDS.count() as f64 * scenario.jobs as f64 * DURATION_S / PERIOD_S;
     (counts[&200] + counts[&404]) as f64 > share * asked
 }
 
 #[test]
 fn every_job_is_answered_within_the_bound_while_leaders_change_and_a_node_is_cut_off() {
-    let day = Day {
+    let scenario = Scenario {
         jobs: JOBS,
         leadership: Leadership::Changes,
         cut_off: true,
     };
-    let counts = holds(day);
-    assert!(are_served(day, &counts, 0.9), "{counts:?}");
+    let counts = assert_bounds(scenario);
+    assert!(are_served(scenario, &counts, 0.9), "{counts:?}");
 }
 
 #[test]
 fn every_job_is_answered_within_the_bound_while_nobody_leads() {
-    let day = Day {
+    let scenario = Scenario {
         jobs: JOBS,
         leadership: Leadership::Nobody,
         cut_off: true,
     };
-    let counts = holds(day);
-    assert!(are_served(day, &counts, 0.9), "{counts:?}");
+    let counts = assert_bounds(scenario);
+    assert!(are_served(scenario, &counts, 0.9), "{counts:?}");
     assert!(counts[&404] > 0, "{counts:?}");
 }
 
 #[test]
 fn polls_are_turned_away_but_none_for_long_while_three_times_as_much_is_asked() {
     for leadership in [Leadership::Changes, Leadership::Nobody] {
-        let day = Day {
+        let scenario = Scenario {
             jobs: 3 * JOBS,
             leadership,
             cut_off: true,
         };
-        let counts = holds(day);
-        assert!(are_served(day, &counts, 0.3), "{counts:?}");
+        let counts = assert_bounds(scenario);
+        assert!(are_served(scenario, &counts, 0.3), "{counts:?}");
         assert!(counts[&503] > JOBS, "{counts:?}");
     }
 }
--- a/tests/polls/jobs.rs
+++ b/tests/polls/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: some wait for others, and all end some day.
+//! Jobs: some wait for others, and all end eventually.
 
 use crate::common::random::SplitMix64;
 use crate::common::{parsed, submission};
@@ -29,7 +29,7 @@
     let mut body = submission(&id_of(number), "sweep", "normal", 4);
     body["waits_on"] = json!(waits_on);
     let spec = parsed(&body);
-    serde_json::to_value(OpenRecord::accepted(spec, 0)).expect("plain data")
+    serde_json::to_value(OpenRecord::accepted(spec, 0)).expect("serializing plain data cannot fail")
 }
 
 /// How a job ends.
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -16,13 +16,13 @@
 const SLOW_EVERY: u64 = 50;
 const RPS: f64 = 200.0;
 const CONDITIONS: usize = 32;
-/// Records in a page, and in the page that is read for each one that is wanted, at the most.
-const PAGE: usize = 400;
-const A_PAGE_FOR: usize = 16;
+/// The maximum number of records in a page, and records in a page for each one that is queued.
+const MAX_PAGE_LEN: usize = 400;
+const PAGE_LEN_PER_QUEUED: usize = 16;
 /// A leader leads for so long, then nobody.
 const LED_S: f64 = 15.0;
 const UNLED_S: f64 = 6.0;
-/// The last node can't ask the state service in this part of the day.
+/// The last node can't ask the state service in this part of the scenario.
 const CUT_OFF_S: std::ops::Range<f64> = 20.0..100.0;
 
 /// Who leads.
@@ -38,7 +38,7 @@
     /// A call to the state service, and when its answer comes.
     call: Option<(f64, StoreCall)>,
     /// Whose polls it has: of users, or of another node by its number there.
-    asked: BTreeMap<u64, Asker>,
+    askers: BTreeMap<u64, Asker>,
 }
 
 #[derive(Clone, Copy)]
@@ -56,8 +56,8 @@
     },
 }
 
-/// A user's answer.
-pub(crate) struct Told {
+/// An answer that a user has received.
+pub(crate) struct DeliveredAnswer {
     pub job: usize,
     pub answer: Answer,
 }
@@ -70,10 +70,10 @@
     cut_off: bool,
     limits: Limits,
     counter: u64,
-    told: Vec<Told>,
-    /// When requests were sent, for the last second, and the most in any second.
+    delivered: Vec<DeliveredAnswer>,
+    /// When requests were sent, for the last second, and the maximum in any second.
     sent: VecDeque<f64>,
-    most_sent: usize,
+    max_sent_per_s: usize,
 }
 
 impl Cluster {
@@ -86,7 +86,7 @@
         let node = |_| Node {
             batcher: PollBatcher::new(limits),
             call: None,
-            asked: BTreeMap::new(),
+            askers: BTreeMap::new(),
         };
         Cluster {
             now: 0.0,
@@ -96,9 +96,9 @@
             cut_off,
             limits,
             counter: 0,
-            told: Vec::new(),
+            delivered: Vec::new(),
             sent: VecDeque::new(),
-            most_sent: 0,
+            max_sent_per_s: 0,
         }
     }
 
@@ -114,7 +114,7 @@
 
     /// Requests that read all records of one kind: full pages, or as many as it takes for few.
     pub(crate) fn pages(&self, jobs: usize) -> usize {
-        jobs.div_ceil(PAGE) + PAGE / A_PAGE_FOR
+        jobs.div_ceil(MAX_PAGE_LEN) + MAX_PAGE_LEN / PAGE_LEN_PER_QUEUED
     }
 
     /// What the nodes may send in a second, together.
@@ -122,8 +122,8 @@
         self.limits.requests_per_s * NODES as f64
     }
 
-    pub(crate) fn most_requests_in_a_second(&self) -> usize {
-        self.most_sent
+    pub(crate) fn max_requests_per_s(&self) -> usize {
+        self.max_sent_per_s
     }
 
     fn leader(&self) -> Option<usize> {
@@ -142,18 +142,18 @@
         let user = Asker::User(job);
         match self.leader() {
             Some(leader) if leader == node => {
-                self.ask_batcher(node, job, self.picture(job), user);
+                self.ask_batcher(node, job, self.leader_status(job), user);
             }
             Some(leader) => {
                 let follower = Asker::Follower { node, job };
-                self.ask_batcher(leader, job, self.picture(job), follower);
+                self.ask_batcher(leader, job, self.leader_status(job), follower);
             }
             None => self.ask_batcher(node, job, None, user),
         }
     }
 
-    /// What a leader knows of an open job.
-    fn picture(&self, job: usize) -> Option<JobStatus> {
+    /// The status of an open job at a leader.
+    fn leader_status(&self, job: usize) -> Option<JobStatus> {
         let is_known = jobs::is_submitted(job) && !self.service.ends.contains_key(&job);
         is_known.then(|| JobStatus {
             id: jobs::id_of(job),
@@ -176,14 +176,14 @@
             leader_status,
         };
         let number = self.counter;
-        self.nodes[node].asked.insert(number, asker);
+        self.nodes[node].askers.insert(number, asker);
         let effects = self.nodes[node].batcher.enqueue(number, poll, self.now);
         self.carry_out(node, effects);
     }
 
-    /// Answers that users have got since the last call.
-    pub(crate) fn take_told(&mut self) -> Vec<Told> {
-        std::mem::take(&mut self.told)
+    /// Takes the answers that users have received since the last call.
+    pub(crate) fn take_delivered(&mut self) -> Vec<DeliveredAnswer> {
+        std::mem::take(&mut self.delivered)
     }
 
     pub(crate) fn step(&mut self) {
@@ -217,10 +217,10 @@
                 PollEffect::Store(call) => self.send(node, call),
                 PollEffect::JobEndsRecorded(..) => {}
                 PollEffect::Answer(number, answer) => {
-                    let asker = self.nodes[node].asked.remove(&number).expect("was asked");
+                    let asker = self.nodes[node].askers.remove(&number).expect("was asked");
                     self.answer(asker, answer);
                 }
-                PollEffect::Forward(number) => self.hand_on(node, number),
+                PollEffect::Forward(number) => self.forward(node, number),
             }
         }
     }
@@ -228,7 +228,7 @@
     fn send(&mut self, node: usize, call: StoreCall) {
         self.sent.push_back(self.now);
         self.sent.retain(|at| *at > self.now - 1.0);
-        self.most_sent = self.most_sent.max(self.sent.len());
+        self.max_sent_per_s = self.max_sent_per_s.max(self.sent.len());
         self.counter += 1;
         let takes_s = match self.counter % SLOW_EVERY {
             0 => SLOW_CALL_S,
@@ -238,14 +238,14 @@
     }
 
     /// One that can't ask the state service asks the next node, once.
-    fn hand_on(&mut self, node: usize, number: u64) {
-        match self.nodes[node].asked[&number] {
+    fn forward(&mut self, node: usize, number: u64) {
+        match self.nodes[node].askers[&number] {
             Asker::User(job) => {
                 let asker = Asker::Node { node, number };
                 self.ask_batcher((node + 1) % NODES, job, None, asker);
             }
             asker @ (Asker::Node { .. } | Asker::Follower { .. }) => {
-                self.nodes[node].asked.remove(&number);
+                self.nodes[node].askers.remove(&number);
                 self.answer(asker, Answer::RetryLater(RetryReason::NoStateService));
             }
         }
@@ -253,14 +253,14 @@
 
     fn answer(&mut self, asker: Asker, answer: Answer) {
         match asker {
-            Asker::User(job) => self.told.push(Told { job, answer }),
+            Asker::User(job) => self.delivered.push(DeliveredAnswer { job, answer }),
             // What the leader can't answer now, the node looks up itself.
             Asker::Follower { node, job } if answer.status() == 503 => {
                 self.ask_batcher(node, job, None, Asker::User(job));
             }
-            Asker::Follower { job, .. } => self.told.push(Told { job, answer }),
+            Asker::Follower { job, .. } => self.delivered.push(DeliveredAnswer { job, answer }),
             Asker::Node { node, number } => {
-                let first = self.nodes[node].asked.remove(&number).expect("was asked");
+                let first = self.nodes[node].askers.remove(&number).expect("was asked");
                 self.answer(first, answer);
             }
         }
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -64,13 +64,13 @@
         self.ends_due += ENDS_PER_S * seconds;
         while self.ends_due >= 1.0 {
             self.ends_due -= 1.0;
-            self.end_one();
+            self.end_random_job();
         }
     }
 
     /// One of the open jobs ends, unless it waits for one that is open; with a cancelled one, what
     /// waits for it ends at once.
-    fn end_one(&mut self) {
+    fn end_random_job(&mut self) {
         let Some(index) =
             (!self.open.is_empty()).then(|| self.random.next() as usize % self.open.len())
         else {
--- a/tests/polls/users.rs
+++ b/tests/polls/users.rs
@@ -1,8 +1,8 @@
-//! Users who ask about their jobs again and again, and hold the answers against the records.
+//! Users who poll their jobs, and check the answers against the records.
 
 use crate::common::random::SplitMix64;
 use crate::jobs;
-use crate::nodes::{Cluster, Told, NODES};
+use crate::nodes::{Cluster, DeliveredAnswer, NODES};
 use stairstage::coordination::requests::Answer;
 use stairstage::protocol::job::JobState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
     /// Since when it has had no answer.
     since: f64,
     longest_wait_s: f64,
-    /// What it was told last.
+    /// The end that was reported to it.
     end: Option<JobState>,
 }
 
@@ -56,8 +56,8 @@
     }
 
     pub(crate) fn step(&mut self, cluster: &mut Cluster) {
-        for told in cluster.take_told() {
-            self.told(&told, cluster);
+        for delivered in cluster.take_delivered() {
+            self.on_answer(&delivered, cluster);
         }
         while self
             .questions
@@ -75,23 +75,27 @@
         }
     }
 
-    fn told(&mut self, told: &Told, cluster: &Cluster) {
-        let status = told.answer.status();
+    fn on_answer(&mut self, delivered: &DeliveredAnswer, cluster: &Cluster) {
+        let status = delivered.answer.status();
         *self.counts.entry(status).or_default() += 1;
-        let user = &mut self.users[told.job];
+        let user = &mut self.users[delivered.job];
         let waited = cluster.now - user.asked_at;
-        assert!(waited <= RESPONSE_S, "job {}: {waited} s", told.job);
-        let retry_after = told.answer.retry_after().map_or(0.0, f64::from);
+        assert!(waited <= RESPONSE_S, "job {}: {waited} s", delivered.job);
+        let retry_after = delivered.answer.retry_after().map_or(0.0, f64::from);
         user.waited_until(cluster.now);
         let asks_at = cluster.now + PERIOD_S.max(retry_after);
-        self.questions.insert((in_ms(asks_at), told.job));
-        match &told.answer {
+        self.questions.insert((in_ms(asks_at), delivered.job));
+        match &delivered.answer {
             Answer::Known(status) => {
-                user.is_told(told.job, status.state, cluster);
+                user.check_state(delivered.job, status.state, cluster);
                 user.since = cluster.now;
             }
             Answer::NotFound => {
-                assert!(!jobs::is_submitted(told.job), "forgotten: {}", told.job);
+                assert!(
+                    !jobs::is_submitted(delivered.job),
+                    "forgotten: {}",
+                    delivered.job
+                );
                 user.since = cluster.now;
             }
             Answer::RetryLater(_) => assert!(retry_after >= 1.0),
@@ -109,7 +113,7 @@
         self.longest_wait_s = self.longest_wait_s.max(now - self.since);
     }
 
-    fn is_told(&mut self, job: usize, state: JobState, cluster: &Cluster) {
+    fn check_state(&mut self, job: usize, state: JobState, cluster: &Cluster) {
         assert!(jobs::is_submitted(job), "invented: {job}");
         let recorded = cluster.service.ends.get(&job).copied();
         if state.is_end() {
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -18,8 +18,8 @@
 #[path = "requests/simulation.rs"]
 mod simulation;
 
-use rules::{Kind, Told};
-use schedule::Troubles;
+use rules::{Kind, ReportedState};
+use schedule::Faults;
 use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
     Answer, Context, LocalJobView, PeerAnswer, Request, RequestEffect, RequestEvent, StoreAnswer,
@@ -32,111 +32,145 @@
 use stairstage_upgrade::fence::WriteFence;
 
 /// What a combination has to come about for, over all schedules.
-const OFTEN: usize = 50;
+const MIN_OCCURRENCES: usize = 50;
 
 #[test]
 fn all_troubles_together() {
-    let seen = Troubles::default().play();
-    assert!(seen.handed_on > OFTEN && seen.refused > OFTEN, "{seen:?}");
+    let coverage = Faults::default().play();
+    assert!(
+        coverage.forwarded > MIN_OCCURRENCES && coverage.refused > MIN_OCCURRENCES,
+        "{coverage:?}"
+    );
 }
 
 #[test]
 fn users_ask_at_all_nodes_right_after_every_news() {
-    let seen = Troubles {
+    let coverage = Faults {
         close_looks: true,
         ends: 8,
         cancellations: 2,
-        ..Troubles::default()
+        ..Faults::default()
     }
     .play();
-    for told in [Told::Accepted, Told::Done, Told::Cancelled] {
-        assert!(seen.asked_after(Kind::Query, told) > OFTEN, "{seen:?}");
-        assert!(seen.asked_after(Kind::Submit, told) > OFTEN, "{seen:?}");
+    for state in [
+        ReportedState::Accepted,
+        ReportedState::Done,
+        ReportedState::Cancelled,
+    ] {
+        assert!(
+            coverage.asked_after(Kind::Query, state) > MIN_OCCURRENCES,
+            "{coverage:?}"
+        );
+        assert!(
+            coverage.asked_after(Kind::Submit, state) > MIN_OCCURRENCES,
+            "{coverage:?}"
+        );
     }
-    assert!(seen.asked_after(Kind::Cancel, Told::Accepted) > OFTEN);
+    assert!(coverage.asked_after(Kind::Cancel, ReportedState::Accepted) > MIN_OCCURRENCES);
 }
 
 #[test]
 fn only_the_answer_is_lost_while_others_read_what_was_written() {
-    let seen = Troubles {
+    let coverage = Faults {
         answer_lost: 15,
         close_looks: true,
-        ..Troubles::default()
+        ..Faults::default()
     }
     .play();
-    assert!(seen.read_before_known > OFTEN, "{seen:?}");
+    assert!(coverage.read_before_known > MIN_OCCURRENCES, "{coverage:?}");
 }
 
 #[test]
 fn transactions_are_carried_out_late_after_newer_ones() {
-    let seen = Troubles {
+    let coverage = Faults {
         late: 15,
-        ..Troubles::default()
+        ..Faults::default()
     }
     .play();
-    assert!(seen.late_applied > OFTEN, "{seen:?}");
-    assert!(seen.late_after_newer > OFTEN, "{seen:?}");
-    assert!(seen.late_after_giving_up > OFTEN, "{seen:?}");
+    assert!(coverage.late_applied > MIN_OCCURRENCES, "{coverage:?}");
+    assert!(coverage.late_after_newer > MIN_OCCURRENCES, "{coverage:?}");
+    assert!(
+        coverage.late_after_giving_up > MIN_OCCURRENCES,
+        "{coverage:?}"
+    );
 }
 
 #[test]
 fn requests_meet_the_end_of_a_job() {
-    let seen = Troubles {
+    let coverage = Faults {
         ends: 15,
         cancellations: 8,
-        ..Troubles::default()
+        ..Faults::default()
     }
     .play();
     for kind in [Kind::Submit, Kind::Query, Kind::Cancel] {
-        assert!(seen.ends_met(kind) > OFTEN, "{seen:?}");
+        assert!(coverage.ends_met(kind) > MIN_OCCURRENCES, "{coverage:?}");
     }
 }
 
 #[test]
 fn requests_meet_the_end_of_a_job_without_any_other_trouble() {
-    let seen = Troubles {
+    let coverage = Faults {
         ends: 15,
         cancellations: 8,
-        ..Troubles::NONE
+        ..Faults::NONE
     }
     .play();
     for kind in [Kind::Submit, Kind::Query, Kind::Cancel] {
-        assert!(seen.ends_met(kind) > OFTEN, "{seen:?}");
+        assert!(coverage.ends_met(kind) > MIN_OCCURRENCES, "{coverage:?}");
     }
 }
 
 #[test]
 fn the_state_service_refuses_one_node_then_all_while_users_cancel_and_ask() {
-    let seen = Troubles {
+    let coverage = Faults {
         refusals: 6,
         refused: 4,
         cancellations: 8,
-        ..Troubles::default()
+        ..Faults::default()
     }
     .play();
     for kind in [Kind::Query, Kind::Cancel] {
-        assert!(seen.answers(kind, 503) > OFTEN, "{seen:?}");
-        assert!(seen.answers(kind, 200) > OFTEN, "{seen:?}");
-        assert!(seen.refusals_met(kind) > OFTEN, "{seen:?}");
+        assert!(
+            coverage.answers(kind, 503) > MIN_OCCURRENCES,
+            "{coverage:?}"
+        );
+        assert!(
+            coverage.answers(kind, 200) > MIN_OCCURRENCES,
+            "{coverage:?}"
+        );
+        assert!(
+            coverage.refusals_met(kind) > MIN_OCCURRENCES,
+            "{coverage:?}"
+        );
     }
-    assert!(seen.handed_on > OFTEN, "{seen:?}");
+    assert!(coverage.forwarded > MIN_OCCURRENCES, "{coverage:?}");
 }
 
 #[test]
 fn jobs_that_cannot_run_or_lack_a_field_and_cancellations_of_done_jobs() {
-    let seen = Troubles {
+    let coverage = Faults {
         odd: 6,
         ends: 20,
         cancellations: 7,
-        ..Troubles::default()
+        ..Faults::default()
     }
     .play();
-    assert!(seen.answers(Kind::Submit, 422) > OFTEN, "{seen:?}");
-    assert!(seen.answers(Kind::Submit, 400) > OFTEN, "{seen:?}");
-    assert!(seen.answers(Kind::Cancel, 404) > OFTEN, "{seen:?}");
     assert!(
-        seen.asked_after(Kind::Cancel, Told::Done) > OFTEN,
-        "{seen:?}"
+        coverage.answers(Kind::Submit, 422) > MIN_OCCURRENCES,
+        "{coverage:?}"
+    );
+    assert!(
+        coverage.answers(Kind::Submit, 400) > MIN_OCCURRENCES,
+        "{coverage:?}"
+    );
+    assert!(
+        coverage.answers(Kind::Cancel, 404) > MIN_OCCURRENCES,
+        "{coverage:?}"
+    );
+    assert!(
+        coverage.asked_after(Kind::Cancel, ReportedState::Done) > MIN_OCCURRENCES,
+        "{coverage:?}"
     );
 }
 
@@ -179,7 +213,7 @@
 }
 
 /// This node knows nothing of the job, and another leads.
-fn located_elsewhere() -> RequestEvent {
+fn led_by_another() -> RequestEvent {
     RequestEvent::LocalView(Some(LocalJobView {
         status: None,
         is_leader: false,
@@ -195,7 +229,7 @@
     PollBatcher::new(Limits::of(&context(false).settings))
 }
 
-fn look_up_of(effects: Vec<RequestEffect>) -> Poll {
+fn poll_of(effects: Vec<RequestEffect>) -> Poll {
     match effects.into_iter().next() {
         Some(RequestEffect::ReadRecords(poll)) => poll,
         other => panic!("{other:?}"),
@@ -249,10 +283,10 @@
     let (mut request, _) = Request::cancellation(jobs::id_of(0), context(true));
     assert_eq!(status_of(&request.on_event(unavailable())), Some(503));
     let (mut request, _) = Request::query(jobs::id_of(0), context(true));
-    let looks_up = request.on_event(located_elsewhere());
+    let reads_records = request.on_event(led_by_another());
     assert!(
-        matches!(looks_up[..], [RequestEffect::ReadRecords(_)]),
-        "{looks_up:?}"
+        matches!(reads_records[..], [RequestEffect::ReadRecords(_)]),
+        "{reads_records:?}"
     );
     let (_, refused) = Request::refused_query(jobs::id_of(0), context(true));
     assert_eq!(status_of(&refused), Some(503));
@@ -261,8 +295,8 @@
 #[test]
 fn a_leader_that_cannot_answer_now_is_no_answer() {
     let (mut request, _) = Request::query(jobs::id_of(0), context(false));
-    assert!(asks(&request.on_event(located_elsewhere()), "n1"));
-    let poll = look_up_of(request.on_event(not_now()));
+    assert!(asks(&request.on_event(led_by_another()), "n1"));
+    let poll = poll_of(request.on_event(not_now()));
     assert_eq!(poll.leader_status, None);
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
@@ -281,13 +315,13 @@
 #[test]
 fn an_end_on_record_is_told_to_the_controller_before_the_user() {
     let (mut request, _) = Request::query(jobs::id_of(0), context(true));
-    let located = LocalJobView {
+    let view = LocalJobView {
         status: None,
         is_leader: true,
         leader: None,
     };
     let job = jobs::id_of(0);
-    let poll = look_up_of(request.on_event(RequestEvent::LocalView(Some(located))));
+    let poll = poll_of(request.on_event(RequestEvent::LocalView(Some(view))));
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
     assert!(compares(&batcher.tick(0.0)));
@@ -300,20 +334,20 @@
     let RequestEvent::Store(answer) = cancellation_read(&job) else {
         unreachable!();
     };
-    let told = batcher.on_answer(answer, 0.0);
+    let effects = batcher.on_answer(answer, 0.0);
     let in_order = matches!(
-        &told[..],
+        &effects[..],
         [
             PollEffect::JobEndsRecorded(ends),
             PollEffect::Answer(1, Answer::Known(_))
         ] if *ends == [(job.clone(), JobState::Cancelled)]
     );
-    assert!(in_order, "{told:?}");
+    assert!(in_order, "{effects:?}");
 }
 
 /// The first job that names another one, and that one.
 fn waiting_job() -> (u8, u8) {
-    let mut waiting = (0..jobs::JOBS).filter_map(|job| Some((job, jobs::needs(job)?)));
+    let mut waiting = (0..jobs::JOBS).filter_map(|job| Some((job, jobs::dependency_of(job)?)));
     waiting.next().expect("one that waits")
 }
 
@@ -323,8 +357,8 @@
     let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
     let reads = request.on_event(committed(CommitOutcome::Applied(1)));
     assert!(reads_store(&reads), "{reads:?}");
-    let handed_on = request.on_event(unavailable());
-    assert!(asks(&handed_on, "n1"), "{handed_on:?}");
+    let forwarded = request.on_event(unavailable());
+    assert!(asks(&forwarded, "n1"), "{forwarded:?}");
     assert!(asks(&request.on_event(not_now()), "n2"));
     assert_eq!(
         status_of(&request.on_event(RequestEvent::Peer(None))),
@@ -347,8 +381,8 @@
     let writes_end = matches!(&transaction.changes[..],
         [Change::Put { key, .. }] if *key == own_end);
     assert!(writes_end, "{transaction:?}");
-    let told = request.on_event(committed(CommitOutcome::Applied(2)));
-    let cancelled = matches!(&told[..],
+    let effects = request.on_event(committed(CommitOutcome::Applied(2)));
+    let cancelled = matches!(&effects[..],
         [.., RequestEffect::Answer(Answer::Accepted { state, .. })] if *state == JobState::Cancelled);
-    assert!(cancelled, "{told:?}");
+    assert!(cancelled, "{effects:?}");
 }
--- a/tests/requests/coverage.rs
+++ b/tests/requests/coverage.rs
@@ -1,6 +1,6 @@
-//! Which combinations of troubles have come about.
+//! Which combinations of faults the schedules have covered.
 
-use crate::rules::{Kind, Question, Told};
+use crate::rules::{Kind, Question, ReportedState};
 use stairstage::coordination::requests::PeerAnswer;
 use stairstage::protocol::store::{Change, Transaction};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,13 +8,13 @@
 
 /// How often each has come about, in all schedules that were played.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seen {
-    /// Requests by kind, and by what users had been told of the job before.
-    asked: BTreeMap<(Kind, Option<Told>), usize>,
+pub(crate) struct Coverage {
+    /// Requests by kind, and by the state of the job that was reported before.
+    asked: BTreeMap<(Kind, Option<ReportedState>), usize>,
     /// Answers by the kind of request and by status.
     answered: BTreeMap<(Kind, u16), usize>,
     /// Requests that another node has answered for one without the state service.
-    pub handed_on: usize,
+    pub forwarded: usize,
     pub refused: usize,
     /// Another node has read what a transaction wrote whose answer was lost, before its sender knew.
     pub read_before_known: usize,
@@ -28,11 +28,11 @@
     /// Requests by kind that were under way when the state service, which had refused one node, began
     /// to refuse all.
     refusals_met: BTreeMap<Kind, usize>,
-    /// WriteOutcome by requests that are still under way and have lost the answer.
+    /// Transactions by requests that are still under way and have lost the answer.
     unknown: BTreeMap<u64, (usize, BTreeSet<String>)>,
 }
 
-impl Seen {
+impl Coverage {
     pub(crate) fn asked(&mut self, question: &Question) {
         *self
             .asked
@@ -78,9 +78,9 @@
         self.late_after_giving_up += usize::from(is_given_up && applied);
     }
 
-    /// How many requests of a kind came after users had been told something of the job.
-    pub(crate) fn asked_after(&self, kind: Kind, told: Told) -> usize {
-        let count = self.asked.get(&(kind, Some(told)));
+    /// How many requests of a kind came after a state of the job had been reported.
+    pub(crate) fn asked_after(&self, kind: Kind, reported: ReportedState) -> usize {
+        let count = self.asked.get(&(kind, Some(reported)));
         count.copied().unwrap_or_default()
     }
 
@@ -104,13 +104,13 @@
     }
 }
 
-impl AddAssign for Seen {
-    fn add_assign(&mut self, other: Seen) {
+impl AddAssign for Coverage {
+    fn add_assign(&mut self, other: Coverage) {
         add(&mut self.asked, other.asked);
         add(&mut self.answered, other.answered);
         add(&mut self.ends_met, other.ends_met);
         add(&mut self.refusals_met, other.refusals_met);
-        self.handed_on += other.handed_on;
+        self.forwarded += other.forwarded;
         self.refused += other.refused;
         self.read_before_known += other.read_before_known;
         self.late_applied += other.late_applied;
--- a/tests/requests/jobs.rs
+++ b/tests/requests/jobs.rs
@@ -18,7 +18,7 @@
 }
 
 /// The job that another waits for, if any.
-pub(crate) fn needs(job: u8) -> Option<u8> {
+pub(crate) fn dependency_of(job: u8) -> Option<u8> {
     match job {
         FIRST_WAITING => Some(0),
         SECOND_WAITING => Some(FIRST_WAITING),
@@ -34,7 +34,7 @@
 /// The body of its submission.
 pub(crate) fn body_of(job: u8) -> Vec<u8> {
     let mut body: Value = submission(&id_of(job), "sweep", "normal", 2);
-    if let Some(needed) = needs(job) {
+    if let Some(needed) = dependency_of(job) {
         body["waits_on"] = json!([id_of(needed)]);
     }
     match job {
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -1,23 +1,23 @@
 //! What the nodes know, and what the leader does.
 
-use crate::jobs::*;
+use crate::jobs::{dependency_of, id_of, recorded_end};
 use crate::parts::{Fate, Leader};
-use crate::simulation::{name_of, World};
+use crate::simulation::{name_of, Simulation};
 use serde_json::json;
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::LocalJobView;
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::protocol::store::Transaction;
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{end_key, open_key, EndRecord, OpenRecord, LEADER_KEY};
 
-impl World {
+impl Simulation {
     fn leads(&mut self, node: usize) -> Option<&mut ClusterManager> {
         let leader = self.leader.as_mut().filter(|l| l.node == node);
         leader.map(|l| &mut l.manager)
     }
 
-    pub(crate) fn opened(&mut self, node: usize, record: OpenRecord, version: u64) {
+    pub(crate) fn job_accepted(&mut self, node: usize, record: OpenRecord, version: u64) {
         let is_over = self.nodes[node].ends.get(&record.spec.id).is_some();
         if is_over && !record.cancelled {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(crate) fn ended(&mut self, node: usize, job: u8, state: JobState) {
+    pub(crate) fn job_end_recorded(&mut self, node: usize, job: u8, state: JobState) {
         self.nodes[node].ends.insert(&id_of(job), state);
         if let Some(manager) = self.leads(node) {
             manager.job_end_recorded(&id_of(job), state, 0.0);
@@ -43,9 +43,9 @@
             running: 0,
         });
         let leader = self.nodes[node].leader.filter(|l| *l != node).map(name_of);
-        let picture = self.leads(node);
-        let leads = picture.is_some();
-        let status = end.or_else(|| picture.and_then(|manager| manager.status(&id)));
+        let manager_view = self.leads(node);
+        let leads = manager_view.is_some();
+        let status = end.or_else(|| manager_view.and_then(|manager| manager.status(&id)));
         LocalJobView {
             status,
             is_leader: leads,
@@ -74,25 +74,25 @@
         self.leader = None;
     }
 
-    /// A node hears who leads.
+    /// A node learns who leads.
     pub(crate) fn follow(&mut self, node: usize) {
         self.nodes[node].leader = self.leader.as_ref().map(|l| l.node);
     }
 
-    /// The leader's watch brings the record of a job as it is now.
-    pub(crate) fn leader_hears(&mut self, job: u8) {
+    /// The leader's watch delivers the record of a job as it is now.
+    pub(crate) fn deliver_to_leader(&mut self, job: u8) {
         let item = self.store.item(&open_key(&id_of(job)));
         let (Some(item), Some(leader)) = (item, &self.leader) else {
             return;
         };
         let node = leader.node;
         let record = serde_json::from_value(item.value).unwrap();
-        self.opened(node, record, item.version);
+        self.job_accepted(node, record, item.version);
     }
 
-    /// The leader records how a job has ended in its picture: its last task is done, or what it
-    /// needs is cancelled, or nothing of a cancelled job is left.
-    pub(crate) fn leader_ends(&mut self, job: u8, fate: Fate) {
+    /// The leader records how a job has ended in its own state: its last task is done, or its
+    /// dependency is cancelled, or nothing of a cancelled job is left.
+    pub(crate) fn leader_ends_job(&mut self, job: u8, fate: Fate) {
         let Some(leader) = &self.leader else {
             return;
         };
@@ -109,10 +109,10 @@
             self.end_met_requests(job);
         }
         match (outcome, end) {
-            (CommitOutcome::Applied(_), Some(state)) => self.ended(node, job, state),
+            (CommitOutcome::Applied(_), Some(state)) => self.job_end_recorded(node, job, state),
             (CommitOutcome::Conflict(_), Some(_)) => {
                 if let Some(state) = recorded_end(&self.store, job) {
-                    self.ended(node, job, state);
+                    self.job_end_recorded(node, job, state);
                 }
             }
             _ => {}
@@ -126,7 +126,7 @@
         job: u8,
         token: u64,
     ) -> Option<(Transaction, Option<JobState>)> {
-        let (id, needed) = (id_of(job), needs(job));
+        let (id, needed) = (id_of(job), dependency_of(job));
         let state = leader.manager.status(&id).map(|status| status.state);
         let is_open = self.store.item(&open_key(&id)).is_some();
         let needed_end = needed.map(|n| recorded_end(&self.store, n));
--- a/tests/requests/parts.rs
+++ b/tests/requests/parts.rs
@@ -1,4 +1,4 @@
-//! What a world of nodes and their requests is made of.
+//! The parts of the simulation of nodes and their requests.
 
 use crate::rules::{Kind, Question};
 use stairstage::coordination::manager::ClusterManager;
@@ -8,7 +8,7 @@
 use stairstage::storage::recent_jobs::EndIndex;
 use std::collections::BTreeMap;
 
-/// What becomes of a call, or of a request that is handed to another node.
+/// What becomes of a call, or of a request that is forwarded to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fate {
     Answered,
@@ -28,7 +28,7 @@
     pub leader: Option<usize>,
     /// Whether the state service refuses it.
     pub refused: bool,
-    /// Whether the cloud has told it of small machines only, which no job fits.
+    /// Whether it knows only machine types that are too small for every job.
     pub small_types: bool,
     /// What answers its polls, and who gets the answers.
     pub batcher: PollBatcher,
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Origin {
     User(Question),
-    /// The request of another node that has handed it on.
+    /// The request of another node that has forwarded it.
     Request(u64),
-    /// It has been given up on.
+    /// Its sender has given up.
     Nobody,
 }
 
@@ -55,7 +55,7 @@
 
 /// What a machine waits for.
 pub(crate) enum Waiting {
-    Located,
+    LocalView,
     Store(StoreCall),
     Peer(usize),
     /// Another node works on it.
--- a/tests/requests/rules.rs
+++ b/tests/requests/rules.rs
@@ -1,7 +1,7 @@
 //! The rules that every answer to a user is held against.
 
 use crate::common::Store;
-use crate::jobs::*;
+use crate::jobs::{can_run, dependency_of, id_of, recorded_end, FITS_NO_MACHINE, LACKS_A_FIELD};
 use serde_json::Value;
 use stairstage::coordination::requests::PeerAnswer;
 use stairstage::protocol::job::{JobState, JobStatus};
@@ -15,34 +15,34 @@
     Cancel,
 }
 
-/// What users have been told of a job, by any node.
+/// The state of a job that any node has reported to a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Told {
+pub(crate) enum ReportedState {
     Accepted,
     Done,
     Cancelled,
 }
 
-/// A user's request, and what users had been told when it was sent.
+/// A user's request, and the state of the job that was reported when it was sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Question {
     pub kind: Kind,
     pub job: u8,
     pub node: usize,
-    pub before: Option<Told>,
+    pub before: Option<ReportedState>,
 }
 
-/// What users have sent and been told.
+/// The requests of users, and the states that were reported to them.
 #[derive(Default)]
 pub(crate) struct Ledger {
     submitted: BTreeMap<u8, ()>,
     cancel_asked: BTreeMap<u8, ()>,
-    told: BTreeMap<u8, Told>,
+    reported: BTreeMap<u8, ReportedState>,
 }
 
 impl Ledger {
-    pub(crate) fn told(&self, job: u8) -> Option<Told> {
-        self.told.get(&job).copied()
+    pub(crate) fn reported(&self, job: u8) -> Option<ReportedState> {
+        self.reported.get(&job).copied()
     }
 
     /// A user sends a request.
@@ -52,7 +52,7 @@
             Kind::Cancel => drop(self.cancel_asked.insert(job, ())),
             Kind::Query => {}
         }
-        let before = self.told(job);
+        let before = self.reported(job);
         Question {
             kind,
             job,
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Whether the user of a job, or of one that it needs, has cancelled it.
-    fn is_taken_back(&self, job: u8) -> bool {
-        let needed = || needs(job).is_some_and(|needed| self.is_taken_back(needed));
+    /// Whether the user of a job, or of a dependency, has cancelled it.
+    fn is_cancel_requested(&self, job: u8) -> bool {
+        let needed = || dependency_of(job).is_some_and(|needed| self.is_cancel_requested(needed));
         self.cancel_asked.contains_key(&job) || needed()
     }
 
@@ -73,11 +73,11 @@
         question: &Question,
         answer: &PeerAnswer,
         store: &Store,
-    ) -> Option<Told> {
+    ) -> Option<ReportedState> {
         match answer.status {
-            200 | 201 => self.stated(question, answer, store),
+            200 | 201 => self.check_statement(question, answer, store),
             400 | 404 | 422 => {
-                denied(question, answer.status);
+                check_denial(question, answer.status);
                 None
             }
             503 => None,
@@ -85,14 +85,19 @@
         }
     }
 
-    fn stated(&mut self, question: &Question, answer: &PeerAnswer, store: &Store) -> Option<Told> {
+    fn check_statement(
+        &mut self,
+        question: &Question,
+        answer: &PeerAnswer,
+        store: &Store,
+    ) -> Option<ReportedState> {
         let state = state_in(answer);
         let job = question.job;
         assert!(
             can_run(job) && self.submitted.contains_key(&job),
             "invented: {question:?} is told {state:?}"
         );
-        is_recorded(question, state, store);
+        assert_recorded(question, state, store);
         if question.kind == Kind::Cancel {
             assert!(state.is_end(), "{question:?} is told {state:?}");
         }
@@ -100,31 +105,33 @@
             assert_eq!(answer.status, 200, "{question:?}: is known");
         }
         if state == JobState::Cancelled {
-            let asked = self.is_taken_back(job);
+            let asked = self.is_cancel_requested(job);
             assert!(asked, "went_back: {question:?}: no user has cancelled it");
         }
-        self.tell(question, state)
+        self.record_report(question, state)
     }
 
-    fn tell(&mut self, question: &Question, state: JobState) -> Option<Told> {
-        let told = match state {
-            JobState::Pending | JobState::Running => Told::Accepted,
-            JobState::Done => Told::Done,
-            JobState::Cancelled => Told::Cancelled,
+    fn record_report(&mut self, question: &Question, state: JobState) -> Option<ReportedState> {
+        let reported = match state {
+            JobState::Pending | JobState::Running => ReportedState::Accepted,
+            JobState::Done => ReportedState::Done,
+            JobState::Cancelled => ReportedState::Cancelled,
         };
         let went_back = match question.before {
-            Some(end @ (Told::Done | Told::Cancelled)) => told != end,
-            Some(Told::Accepted) | None => false,
+            Some(end @ (ReportedState::Done | ReportedState::Cancelled)) => reported != end,
+            Some(ReportedState::Accepted) | None => false,
         };
-        assert!(!went_back, "went_back: {question:?} is told {told:?}");
-        let known = self.told(question.job);
-        let both = known > Some(Told::Accepted) && told > Told::Accepted && known != Some(told);
-        assert!(!both, "went_back: {question:?}: {known:?} and {told:?}");
-        if known >= Some(told) {
+        assert!(!went_back, "went_back: {question:?} is told {reported:?}");
+        let known = self.reported(question.job);
+        let both = known > Some(ReportedState::Accepted)
+            && reported > ReportedState::Accepted
+            && known != Some(reported);
+        assert!(!both, "went_back: {question:?}: {known:?} and {reported:?}");
+        if known >= Some(reported) {
             return None;
         }
-        self.told.insert(question.job, told);
-        Some(told)
+        self.reported.insert(question.job, reported);
+        Some(reported)
     }
 }
 
@@ -136,11 +143,11 @@
     serde_json::from_value(body["status"].clone()).expect("a state")
 }
 
-/// Nothing is told before it is on record, nor before what it needs is.
-fn is_recorded(question: &Question, state: JobState, store: &Store) {
+/// No state is reported before it is on record, nor before the job's dependency is.
+fn assert_recorded(question: &Question, state: JobState, store: &Store) {
     let end = recorded_end(store, question.job);
     let open = is_open(store, question.job);
-    if let Some(needed) = needs(question.job) {
+    if let Some(needed) = dependency_of(question.job) {
         let known = recorded_end(store, needed).is_some() || is_open(store, needed);
         assert!(known, "{question:?}: {needed} was never accepted");
     }
@@ -157,7 +164,7 @@
     store.item(&open_key(&id_of(job))).is_some()
 }
 
-fn denied(question: &Question, status: u16) {
+fn check_denial(question: &Question, status: u16) {
     let known = question.before.is_some();
     assert!(!known, "forgotten: {question:?} is told {status}");
     let fits = match question.kind {
@@ -168,7 +175,7 @@
     match (question.kind, question.job) {
         (Kind::Submit, LACKS_A_FIELD) => assert_eq!(status, 400),
         (Kind::Submit, FITS_NO_MACHINE) => assert_eq!(status, 422),
-        // What it needs was never accepted, or the node knows of small machines only.
+        // Its dependency was never accepted, or the node knows only machine types that are too small.
         (Kind::Submit, _) => assert_eq!(status, 422),
         _ => {}
     }
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -1,10 +1,10 @@
 //! Generated schedules, and how one is played.
 
-use crate::coverage::Seen;
-use crate::jobs::{id_of, needs, recorded_end, JOBS};
+use crate::coverage::Coverage;
+use crate::jobs::{dependency_of, id_of, recorded_end, JOBS};
 use crate::parts::Fate;
 use crate::rules::Kind;
-use crate::simulation::{World, NODES};
+use crate::simulation::{Simulation, NODES};
 use proptest::prelude::*;
 use proptest::strategy::Union;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -24,23 +24,23 @@
     Ask(Kind, u8, usize),
     /// One of those that wait is answered, or not.
     Advance(u8, Fate),
-    /// A node confirms its polls together.
-    Confirm(usize),
+    /// The batcher of a node ticks.
+    Tick(usize),
     LateWrite(u8),
-    LeaderHears(u8),
-    LeaderEnds(u8, Fate),
+    DeliverToLeader(u8),
+    LeaderEndsJob(u8, Fate),
     Depose,
     Elect(usize),
     Follow(usize),
     /// The state service refuses the nodes whose bits are set.
     Refuse(u8),
-    /// The cloud tells a node of other machine types.
+    /// A node learns of other machine types.
     Types(usize, bool),
 }
 
-/// How often each kind of trouble comes, in shares of one another.
+/// The weights of the kinds of faults in a schedule.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Troubles {
+pub(crate) struct Faults {
     pub answer_lost: u32,
     pub late: u32,
     pub lost: u32,
@@ -49,7 +49,7 @@
     pub refusals: u32,
     pub ends: u32,
     pub cancellations: u32,
-    /// Whether users ask at all nodes at once whenever they are told news.
+    /// Whether users query all nodes at once whenever a new state is reported.
     pub close_looks: bool,
     /// Requests about jobs that are never accepted, and changes of the machine types.
     pub odd: u32,
@@ -57,9 +57,9 @@
     pub elections: u32,
 }
 
-impl Default for Troubles {
-    fn default() -> Troubles {
-        Troubles {
+impl Default for Faults {
+    fn default() -> Faults {
+        Faults {
             answer_lost: 2,
             late: 2,
             lost: 1,
@@ -95,9 +95,9 @@
     prop_oneof![1 => Just(0), 2 => one, 2 => Just(ALL_NODES)]
 }
 
-impl Troubles {
+impl Faults {
     /// Users ask, cancel and submit again, and no job ends.
-    pub(crate) const NONE: Troubles = Troubles {
+    pub(crate) const NONE: Faults = Faults {
         answer_lost: 0,
         late: 0,
         lost: 0,
@@ -134,14 +134,15 @@
     fn step(self) -> impl Strategy<Value = Step> {
         let nodes = || 0..NODES;
         let advance = (any::<u8>(), self.fate()).prop_map(|(pick, fate)| Step::Advance(pick, fate));
-        let end = (accepted_job(), self.fate()).prop_map(|(job, fate)| Step::LeaderEnds(job, fate));
+        let end =
+            (accepted_job(), self.fate()).prop_map(|(job, fate)| Step::LeaderEndsJob(job, fate));
         let types = (nodes(), any::<bool>()).prop_map(|(node, small)| Step::Types(node, small));
         any_of(vec![
             (10, self.ask().boxed()),
             (30, advance.boxed()),
-            (3, nodes().prop_map(Step::Confirm).boxed()),
+            (3, nodes().prop_map(Step::Tick).boxed()),
             (3, any::<u8>().prop_map(Step::LateWrite).boxed()),
-            (4, accepted_job().prop_map(Step::LeaderHears).boxed()),
+            (4, accepted_job().prop_map(Step::DeliverToLeader).boxed()),
             (self.ends, end.boxed()),
             (self.elections, Just(Step::Depose).boxed()),
             (2 * self.elections, nodes().prop_map(Step::Elect).boxed()),
@@ -154,9 +155,9 @@
         ])
     }
 
-    /// Plays many schedules, and tells what has come about in them.
-    pub(crate) fn play(self) -> Seen {
-        let seen = RefCell::new(Seen::default());
+    /// Plays many schedules; returns what they have covered.
+    pub(crate) fn play(self) -> Coverage {
+        let coverage = RefCell::new(Coverage::default());
         let mut runner = TestRunner::new(ProptestConfig {
             rng_seed: RngSeed::Fixed(SEED),
             cases: CASES,
@@ -165,53 +166,56 @@
         });
         let steps = prop::collection::vec(self.step(), STEPS);
         let played = runner.run(&steps, |steps| {
-            *seen.borrow_mut() += play(&steps, self.close_looks);
+            *coverage.borrow_mut() += play(&steps, self.close_looks);
             Ok(())
         });
         if let Err(error) = played {
             panic!("{error}");
         }
-        seen.into_inner()
+        coverage.into_inner()
     }
 }
 
-fn take(world: &mut World, step: &Step) {
+fn carry_out_step(simulation: &mut Simulation, step: &Step) {
     match *step {
-        Step::Ask(kind, job, node) => world.ask(kind, job, node),
-        Step::Advance(pick, fate) => world.advance(pick, fate),
-        Step::Confirm(node) => world.confirm(node),
-        Step::LateWrite(pick) => world.late_write(pick),
-        Step::LeaderHears(job) => world.leader_hears(job),
-        Step::LeaderEnds(job, fate) => world.leader_ends(job, fate),
-        Step::Depose => world.depose(),
-        Step::Elect(node) => world.elect(node),
-        Step::Follow(node) => world.follow(node),
-        Step::Refuse(bits) => world.refuse(bits),
-        Step::Types(node, small) => world.nodes[node].small_types = small,
+        Step::Ask(kind, job, node) => simulation.ask(kind, job, node),
+        Step::Advance(pick, fate) => simulation.advance(pick, fate),
+        Step::Tick(node) => simulation.tick(node),
+        Step::LateWrite(pick) => simulation.late_write(pick),
+        Step::DeliverToLeader(job) => simulation.deliver_to_leader(job),
+        Step::LeaderEndsJob(job, fate) => simulation.leader_ends_job(job, fate),
+        Step::Depose => simulation.depose(),
+        Step::Elect(node) => simulation.elect(node),
+        Step::Follow(node) => simulation.follow(node),
+        Step::Refuse(bits) => simulation.refuse(bits),
+        Step::Types(node, small) => simulation.nodes[node].small_types = small,
     }
 }
 
-fn play(steps: &[Step], close_looks: bool) -> Seen {
-    let mut world = World::new();
-    world.close_looks = close_looks;
-    steps.iter().for_each(|step| take(&mut world, step));
-    world.settle();
-    every_accepted_job_is_known(&mut world);
-    world.seen
+fn play(steps: &[Step], close_looks: bool) -> Coverage {
+    let mut simulation = Simulation::new();
+    simulation.close_looks = close_looks;
+    steps
+        .iter()
+        .for_each(|step| carry_out_step(&mut simulation, step));
+    simulation.settle();
+    every_accepted_job_is_known(&mut simulation);
+    simulation.coverage
 }
 
-/// Once the troubles are over, every node tells of every job that was accepted, takes its submission
-/// again and cancels it, if it has not ended.
-fn every_accepted_job_is_known(world: &mut World) {
+/// Once the faults are over, every node knows every job that was accepted, accepts its submission again
+/// and cancels it, if it has not ended.
+fn every_accepted_job_is_known(simulation: &mut Simulation) {
     for job in 0..JOBS {
         for kind in [Kind::Query, Kind::Submit, Kind::Cancel] {
-            let told = world.ledger.told(job).is_some() && !is_doomed(world, job);
-            let before = world.seen.answers(kind, 200);
-            (0..NODES).for_each(|node| world.ask(kind, job, node));
-            world.finish_all();
-            let known = world.seen.answers(kind, 200) - before;
+            let is_reported = simulation.ledger.reported(job).is_some()
+                && !is_dependency_cancelled(simulation, job);
+            let before = simulation.coverage.answers(kind, 200);
+            (0..NODES).for_each(|node| simulation.ask(kind, job, node));
+            simulation.finish_all();
+            let known = simulation.coverage.answers(kind, 200) - before;
             assert!(
-                !told || known == NODES,
+                !is_reported || known == NODES,
                 "forgotten: {kind:?} {}",
                 id_of(job)
             );
@@ -219,10 +223,12 @@
     }
 }
 
-/// Whether it needs a cancelled job, and that is not on record yet.
-fn is_doomed(world: &World, job: u8) -> bool {
-    let end = |job| recorded_end(&world.store, job);
-    let needed = needs(job);
+/// Whether a dependency is cancelled, and the end of the job itself is not on record yet.
+fn is_dependency_cancelled(simulation: &Simulation, job: u8) -> bool {
+    let end = |job| recorded_end(&simulation.store, job);
+    let needed = dependency_of(job);
     end(job).is_none()
-        && needed.is_some_and(|n| end(n) == Some(JobState::Cancelled) || is_doomed(world, n))
+        && needed.is_some_and(|n| {
+            end(n) == Some(JobState::Cancelled) || is_dependency_cancelled(simulation, n)
+        })
 }
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -1,10 +1,10 @@
-//! Several nodes that take users' requests, the state service, and a leader whose picture lags.
+//! Several nodes that serve requests, the state service, and a leader whose state lags behind it.
 
 use crate::common::{self, Refusal, Store};
-use crate::coverage::Seen;
-use crate::jobs::*;
-use crate::parts::*;
-use crate::rules::{Kind, Ledger, Question, Told};
+use crate::coverage::Coverage;
+use crate::jobs::{body_of, dependency_of, id_of, recorded_end, JOBS, NEVER_SUBMITTED};
+use crate::parts::{Fate, LateWrite, Leader, Machine, Node, Origin, Running, Waiting};
+use crate::rules::{Kind, Ledger, Question, ReportedState};
 use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
     Answer, Context, PeerAnswer, Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
@@ -21,12 +21,12 @@
 pub(crate) const NODES: usize = 3;
 const ENDS_KEPT: usize = 3;
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub store: Store,
     pub nodes: Vec<Node>,
     pub ledger: Ledger,
-    pub seen: Seen,
-    /// Whether users ask at all nodes, and repeat the submission, whenever they are told news.
+    pub coverage: Coverage,
+    /// Whether users query all nodes, and repeat the submission, whenever a new state is reported.
     pub close_looks: bool,
     pub leader: Option<Leader>,
     pub settings: Arc<Settings>,
@@ -45,7 +45,7 @@
     name[1..].parse().unwrap()
 }
 
-/// Seconds from one look of a batcher to its next.
+/// Seconds from one tick of a batcher to the next.
 const TICK_S: f64 = 0.05;
 /// A node that could not ask the state service tries again within so many seconds.
 const MOMENT_S: f64 = 1.0;
@@ -56,8 +56,8 @@
     id.strip_prefix("req-")?.parse().ok()
 }
 
-impl World {
-    pub(crate) fn new() -> World {
+impl Simulation {
+    pub(crate) fn new() -> Simulation {
         let settings = Arc::new(Settings::parse("test", common::SETTINGS).unwrap());
         let node = |_| Node {
             ends: EndIndex::new(ENDS_KEPT),
@@ -68,11 +68,11 @@
             polls: BTreeMap::new(),
             applied: 0,
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             store: Store::default(),
             nodes: (0..NODES).map(node).collect(),
             ledger: Ledger::default(),
-            seen: Seen::default(),
+            coverage: Coverage::default(),
             close_looks: false,
             leader: None,
             settings,
@@ -81,8 +81,8 @@
             late: Vec::new(),
             counter: 0,
         };
-        world.elect(0);
-        world
+        simulation.elect(0);
+        simulation
     }
 
     fn context(&self, node: usize, from_peer: bool) -> Context {
@@ -106,7 +106,7 @@
             return;
         }
         let question = self.ledger.asks(kind, job, node);
-        self.seen.asked(&question);
+        self.coverage.asked(&question);
         self.begin(kind, job, node, Origin::User(question));
     }
 
@@ -118,8 +118,8 @@
             Kind::Cancel => Request::cancellation(id_of(job), context),
         };
         let machine = Machine::Request(Box::new(request), kind, origin);
-        self.run(node, Some(job), machine, |world, key| {
-            world.request_effects(key, effects);
+        self.run(node, Some(job), machine, |simulation, key| {
+            simulation.request_effects(key, effects);
         })
     }
 
@@ -128,7 +128,7 @@
         node: usize,
         job: Option<u8>,
         machine: Machine,
-        first: impl FnOnce(&mut World, u64),
+        first: impl FnOnce(&mut Simulation, u64),
     ) -> u64 {
         self.counter += 1;
         let key = self.counter;
@@ -148,19 +148,19 @@
         for effect in effects {
             let node = self.running[&key].node;
             match effect {
-                RequestEffect::ReadLocalView => self.wait(key, Waiting::Located),
+                RequestEffect::ReadLocalView => self.wait(key, Waiting::LocalView),
                 RequestEffect::Store(call) => self.wait(key, Waiting::Store(call)),
                 RequestEffect::Forward(peer) => self.wait(key, Waiting::Peer(number_of(&peer))),
                 RequestEffect::JobAccepted { record, version } => {
-                    self.opened(node, *record, version)
+                    self.job_accepted(node, *record, version)
                 }
                 RequestEffect::JobEndRecorded(state) => {
                     let job = self.running[&key].job.unwrap();
-                    self.ended(node, job, state);
+                    self.job_end_recorded(node, job, state);
                 }
                 RequestEffect::ReadRecords(poll) => {
                     let origin = self.finish(key);
-                    self.look_up(node, poll, origin);
+                    self.enqueue_poll(node, poll, origin);
                 }
                 RequestEffect::Answer(answer) => {
                     let origin = self.finish(key);
@@ -170,7 +170,7 @@
         }
     }
 
-    fn look_up(&mut self, node: usize, poll: Poll, origin: Origin) {
+    fn enqueue_poll(&mut self, node: usize, poll: Poll, origin: Origin) {
         self.counter += 1;
         let (number, now) = (self.counter, self.now);
         let job = job_of(&poll.job).unwrap();
@@ -184,13 +184,13 @@
         for effect in effects {
             match effect {
                 PollEffect::Store(call) => {
-                    self.run(node, None, Machine::Batch, |world, key| {
-                        world.wait(key, Waiting::Store(call));
+                    self.run(node, None, Machine::Batch, |simulation, key| {
+                        simulation.wait(key, Waiting::Store(call));
                     });
                 }
                 PollEffect::JobEndsRecorded(ends) => {
                     for (id, state) in ends {
-                        self.ended(node, job_of(&id).unwrap(), state);
+                        self.job_end_recorded(node, job_of(&id).unwrap(), state);
                     }
                 }
                 PollEffect::Answer(number, answer) => {
@@ -199,19 +199,19 @@
                 }
                 PollEffect::Forward(number) => {
                     let (job, origin) = self.nodes[node].polls.remove(&number).unwrap();
-                    self.hand_poll_on(node, job, origin);
+                    self.forward_poll(node, job, origin);
                 }
             }
         }
     }
 
-    /// A poll for which its node can't ask the state service.
-    fn hand_poll_on(&mut self, node: usize, job: u8, origin: Origin) {
+    /// A poll for which the state service refuses its node.
+    fn forward_poll(&mut self, node: usize, job: u8, origin: Origin) {
         let context = self.context(node, !matches!(origin, Origin::User(_)));
         let (request, effects) = Request::refused_query(id_of(job), context);
         let machine = Machine::Request(Box::new(request), Kind::Query, origin);
-        self.run(node, Some(job), machine, |world, key| {
-            world.request_effects(key, effects);
+        self.run(node, Some(job), machine, |simulation, key| {
+            simulation.request_effects(key, effects);
         });
     }
 
@@ -222,7 +222,7 @@
     /// A request is over; returns who gets its answer.
     fn finish(&mut self, key: u64) -> Origin {
         let running = self.running.remove(&key).expect("runs");
-        self.seen.finished(key);
+        self.coverage.finished(key);
         match running.machine {
             Machine::Request(_, _, origin) => origin,
             Machine::Batch => Origin::Nobody,
@@ -239,12 +239,12 @@
     }
 
     fn tell(&mut self, question: &Question, answer: &PeerAnswer) {
-        self.seen.answered(question, answer);
+        self.coverage.answered(question, answer);
         let news = self.ledger.answered(question, answer, &self.store);
         if self.close_looks && news.is_some() {
             (0..NODES).for_each(|node| self.ask(Kind::Query, question.job, node));
             self.ask(Kind::Submit, question.job, (question.node + 1) % NODES);
-            if news == Some(Told::Accepted) && question.job % 2 == 0 {
+            if news == Some(ReportedState::Accepted) && question.job % 2 == 0 {
                 self.ask(Kind::Cancel, question.job, (question.node + 2) % NODES);
             }
         }
@@ -287,26 +287,26 @@
         let running = self.running.get_mut(&key).unwrap();
         let (node, job) = (running.node, running.job);
         match std::mem::replace(&mut running.waiting, Waiting::Child) {
-            Waiting::Located => {
-                let located = (fate != Fate::Refused).then(|| self.locate(node, job.unwrap()));
-                self.on(key, RequestEvent::LocalView(located));
+            Waiting::LocalView => {
+                let view = (fate != Fate::Refused).then(|| self.locate(node, job.unwrap()));
+                self.on(key, RequestEvent::LocalView(view));
             }
             Waiting::Store(call) => {
                 let answer = self.store_answer(key, node, call, fate);
                 self.on(key, RequestEvent::Store(answer));
             }
-            Waiting::Peer(peer) => self.hand_on(key, peer, job.unwrap(), fate),
+            Waiting::Peer(peer) => self.forward(key, peer, job.unwrap(), fate),
             Waiting::Child => {}
         }
     }
 
-    fn hand_on(&mut self, key: u64, peer: usize, job: u8, fate: Fate) {
+    fn forward(&mut self, key: u64, peer: usize, job: u8, fate: Fate) {
         let Machine::Request(_, kind, _) = self.running[&key].machine else {
             panic!("only requests are handed on");
         };
         match fate {
             Fate::Answered => {
-                self.seen.handed_on += 1;
+                self.coverage.forwarded += 1;
                 self.begin(kind, job, peer, Origin::Request(key));
             }
             Fate::AnswerLost | Fate::Late => {
@@ -323,7 +323,7 @@
             StoreCall::Read(key) => {
                 let answered = fate == Fate::Answered && !refused;
                 if answered {
-                    self.seen.read(&key, node);
+                    self.coverage.read(&key, node);
                 }
                 let item = answered.then(|| self.store.item(&key));
                 StoreAnswer::Read(item.ok_or(Unavailable))
@@ -334,7 +334,7 @@
                 StoreAnswer::Listed(page.ok_or(Unavailable))
             }
             StoreCall::Commit(_) if refused => {
-                self.seen.refused += 1;
+                self.coverage.refused += 1;
                 StoreAnswer::Committed(CommitOutcome::Refused)
             }
             StoreCall::Commit(transaction) => {
@@ -354,7 +354,7 @@
             Fate::Answered => self.apply(node, &transaction),
             Fate::AnswerLost => {
                 if let CommitOutcome::Applied(_) = self.apply(node, &transaction) {
-                    self.seen.answer_lost(by, node, &transaction);
+                    self.coverage.answer_lost(by, node, &transaction);
                 }
                 CommitOutcome::Unknown
             }
@@ -397,17 +397,17 @@
             self.apply(late.node, &late.transaction),
             CommitOutcome::Applied(_)
         );
-        self.seen.late_write(applied, is_newer, is_given_up);
+        self.coverage.late_write(applied, is_newer, is_given_up);
     }
 
-    /// The polls that wait at a node are looked up, a while later.
-    pub(crate) fn confirm(&mut self, node: usize) {
+    /// The batcher of a node ticks, a while later.
+    pub(crate) fn tick(&mut self, node: usize) {
         self.now += TICK_S;
         let effects = self.nodes[node].batcher.tick(self.now);
         self.batcher_effects(node, effects);
     }
 
-    /// All troubles end: what is under way is finished, and what was late is carried out. Nodes ask
+    /// All faults end: what is in flight is finished, and what was late is carried out. Nodes ask
     /// the state service again after a moment.
     pub(crate) fn settle(&mut self) {
         self.close_looks = false;
@@ -422,11 +422,11 @@
         if self.leader.is_none() {
             self.elect(0);
         }
-        (0..JOBS).for_each(|job| self.leader_hears(job));
-        for job in (0..JOBS).filter(|job| needs(*job).is_some()) {
-            let needed = needs(job).and_then(|n| recorded_end(&self.store, n));
+        (0..JOBS).for_each(|job| self.deliver_to_leader(job));
+        for job in (0..JOBS).filter(|job| dependency_of(*job).is_some()) {
+            let needed = dependency_of(job).and_then(|n| recorded_end(&self.store, n));
             if needed == Some(JobState::Cancelled) {
-                self.leader_ends(job, Fate::Answered);
+                self.leader_ends_job(job, Fate::Answered);
             }
         }
         (0..NODES).for_each(|node| self.follow(node));
@@ -434,7 +434,7 @@
 
     pub(crate) fn finish_all(&mut self) {
         loop {
-            (0..NODES).for_each(|node| self.confirm(node));
+            (0..NODES).for_each(|node| self.tick(node));
             let waits = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Child);
             let keys: VecDeque<u64> = self.running.keys().filter(waits).copied().collect();
             let idle =
@@ -458,7 +458,7 @@
         if (before, after) == (1, NODES) {
             for running in self.running.values() {
                 if let Machine::Request(_, kind, _) = running.machine {
-                    self.seen.refusal_met(kind);
+                    self.coverage.refusal_met(kind);
                 }
             }
         }
@@ -468,7 +468,7 @@
     pub(crate) fn end_met_requests(&mut self, job: u8) {
         for running in self.running.values().filter(|r| r.job == Some(job)) {
             if let Machine::Request(_, kind, _) = running.machine {
-                self.seen.end_met(kind);
+                self.coverage.end_met(kind);
             }
         }
     }
