--- /dev/null
+++ b/src/coordination/requests/job_lookup.rs
@@ -0,0 +1,77 @@
+//! Reading the state of one job from the records of the state service.
+
+use super::answers::status_without_counts;
+use super::dependency_search::DependencySearch;
+use super::step::{Step, StepError, StepResult};
+use super::store_call::{StoreAnswer, StoreCall};
+use crate::protocol::job::{JobState, JobStatus};
+use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+
+/// Reads a job's state; finishes with `None` if the job was never accepted. The open record is read
+/// first: it is deleted by the transaction that writes the end record, or later.
+pub(super) struct JobLookup {
+    job: String,
+    state: State,
+}
+
+enum State {
+    ReadingOpen,
+    /// The end record of the job may be written later than that of a cancelled dependency.
+    SearchingDependencies(DependencySearch),
+    ReadingEnd,
+}
+
+impl JobLookup {
+    /// Starts the lookup of a job.
+    pub(super) fn begin(job: &str) -> (JobLookup, StoreCall) {
+        let lookup = JobLookup {
+            job: job.to_string(),
+            state: State::ReadingOpen,
+        };
+        (lookup, StoreCall::Read(open_key(job)))
+    }
+
+    pub(super) fn on_answer(&mut self, answer: StoreAnswer) -> StepResult<Option<JobStatus>> {
+        match &mut self.state {
+            State::ReadingOpen => self.on_open_record(answer),
+            State::SearchingDependencies(search) => {
+                let step = search.on_answer(answer)?;
+                self.on_search_step(step)
+            }
+            State::ReadingEnd => {
+                let end = answer.decode::<EndRecord>()?;
+                let status = end.map(|end| status_without_counts(&self.job, end.record.state));
+                Ok(Step::Finished(status))
+            }
+        }
+    }
+
+    fn on_open_record(&mut self, answer: StoreAnswer) -> StepResult<Option<JobStatus>> {
+        match answer.decode::<OpenRecord>()? {
+            Some(found) if found.record.cancelled => Ok(self.found(JobState::Cancelled)),
+            Some(found) => {
+                let (search, step) = DependencySearch::begin(found.record.spec.waits_on)?;
+                self.state = State::SearchingDependencies(search);
+                self.on_search_step(step)
+            }
+            None => {
+                self.state = State::ReadingEnd;
+                Ok(Step::Call(StoreCall::Read(end_key(&self.job))))
+            }
+        }
+    }
+
+    /// A job with a cancelled dependency is cancelled soon: until that is recorded, its state can't
+    /// be reported.
+    fn on_search_step(&self, step: Step<bool>) -> StepResult<Option<JobStatus>> {
+        match step {
+            Step::Call(call) => Ok(Step::Call(call)),
+            Step::Finished(true) => Err(StepError::Unavailable),
+            Step::Finished(false) => Ok(self.found(JobState::Pending)),
+        }
+    }
+
+    fn found(&self, state: JobState) -> Step<Option<JobStatus>> {
+        Step::Finished(Some(status_without_counts(&self.job, state)))
+    }
+}
--- /dev/null
+++ b/src/coordination/requests/polls/batcher/read_results.rs
@@ -0,0 +1,132 @@
+//! Answering the polls that have awaited a record, once it is read.
+
+use super::PollBatcher;
+use crate::coordination::requests::answers::{status_without_counts, Answer};
+use crate::coordination::requests::polls::decoded_records::{self, JobRecord, RecordContent};
+use crate::coordination::requests::polls::record_keys::{PageRange, RecordKey, RecordKind};
+use crate::coordination::requests::polls::types::{PendingPoll, PollEffect};
+use crate::coordination::requests::store_call::StoreAnswer;
+use crate::coordination::Time;
+use crate::protocol::job::JobState;
+use crate::storage::key_value_store::Unavailable;
+use std::collections::HashSet;
+
+impl PollBatcher {
+    /// Handles the response to the read of one record.
+    pub(super) fn on_single_read(
+        &mut self,
+        key: &RecordKey,
+        answer: StoreAnswer,
+        now: Time,
+    ) -> Vec<PollEffect> {
+        match decoded_records::decode_single(key.kind, answer) {
+            Ok(Some(content)) => {
+                let job = key.job.clone();
+                let mut effects = self.cache_records(vec![JobRecord { job, content }]);
+                effects.extend(self.answer_awaiting(|awaited| awaited == key));
+                effects
+            }
+            Ok(None) => self.on_missing(key.kind, |awaited| awaited == key, now),
+            Err(Unavailable) => self.on_read_failed(key, now),
+        }
+    }
+
+    /// Handles the response to the read of a page.
+    pub(super) fn on_page_read(
+        &mut self,
+        first: &RecordKey,
+        answer: StoreAnswer,
+        now: Time,
+    ) -> Vec<PollEffect> {
+        let Ok(page) = decoded_records::decode_page(first.kind, answer) else {
+            return self.on_read_failed(first, now);
+        };
+        let range = PageRange {
+            kind: first.kind,
+            first: &first.job,
+            last: page.last.as_deref(),
+        };
+        self.reads.remove_range(&range);
+        let records = page.records.iter();
+        let found: HashSet<String> = records.map(|record| record.job.clone()).collect();
+        let mut effects = self.cache_records(page.records);
+        let is_found = |key: &RecordKey| range.contains(key) && found.contains(&key.job);
+        effects.extend(self.answer_awaiting(is_found));
+        effects.extend(self.on_missing(first.kind, |key| range.contains(key), now));
+        effects
+    }
+
+    /// Caches what the records say; reports the ends that are among them, together.
+    fn cache_records(&mut self, records: Vec<JobRecord>) -> Vec<PollEffect> {
+        let mut ends = Vec::new();
+        for JobRecord { job, content } in records {
+            let end = match content {
+                RecordContent::Ended(state) => Some(state),
+                RecordContent::Open {
+                    waits_on,
+                    cancelled,
+                } => {
+                    self.known_jobs.insert_accepted(&job, &waits_on);
+                    cancelled.then_some(JobState::Cancelled)
+                }
+            };
+            if let Some(state) = end {
+                self.known_jobs.insert_end(&job, state);
+                ends.push((job, state));
+            }
+        }
+        if ends.is_empty() {
+            Vec::new()
+        } else {
+            vec![PollEffect::JobEndsRecorded(ends)]
+        }
+    }
+
+    /// Answers the polls whose records are cached now. A job with an open record was open when it was
+    /// compared; its dependencies are compared next.
+    fn answer_awaiting(&mut self, is_cached: impl Fn(&RecordKey) -> bool) -> Vec<PollEffect> {
+        let mut effects = Vec::new();
+        for awaiting in self.queue.take_awaiting(is_cached) {
+            let poll = awaiting.poll;
+            let job = &poll.poll.job;
+            let state = match self.known_jobs.end(job) {
+                Some(state) => state,
+                None if self.known_jobs.is_independent(job) => JobState::Pending,
+                None => {
+                    self.queue.push(poll);
+                    continue;
+                }
+            };
+            let status = status_without_counts(job, state);
+            effects.push(self.queue.answer(&poll, Answer::Known(status)));
+        }
+        effects
+    }
+
+    /// An open record that was present in the comparison has been replaced by the end record. An end
+    /// record is never deleted: one that is missing can't be decoded.
+    fn on_missing(
+        &mut self,
+        kind: RecordKind,
+        is_missing: impl Fn(&RecordKey) -> bool,
+        now: Time,
+    ) -> Vec<PollEffect> {
+        let missing = self.queue.take_awaiting(is_missing).into_iter();
+        if kind == RecordKind::End {
+            let polls: Vec<PendingPoll> = missing.map(|awaiting| awaiting.poll).collect();
+            return self.queue.reject_all(&polls, now);
+        }
+        for awaiting in missing {
+            self.await_read(awaiting.poll, RecordKey::end(&awaiting.key.job));
+        }
+        Vec::new()
+    }
+
+    /// The record is read again for those that retry.
+    fn on_read_failed(&mut self, key: &RecordKey, now: Time) -> Vec<PollEffect> {
+        self.reads.push(key);
+        let failed = self.queue.take_awaiting(|awaited| awaited == key);
+        let polls: Vec<PendingPoll> = failed.into_iter().map(|f| f.poll).collect();
+        self.queue.reject_all(&polls, now)
+    }
+}
--- /dev/null
+++ b/src/coordination/requests/polls/read_queue.rs
@@ -0,0 +1,154 @@
+//! The queue of records to read, and the order in which they are read.
+
+use super::record_keys::{PageRange, RecordKey, RecordKind};
+use crate::coordination::requests::store_call::StoreCall;
+use std::collections::BTreeSet;
+
+/// The maximum number of records in a page.
+const MAX_PAGE_LEN: usize = 400;
+/// Records in a page for each one that is queued: reading more than is needed costs time.
+const PAGE_LEN_PER_QUEUED: usize = 16;
+
+/// What a call reads.
+#[derive(Debug)]
+pub(super) enum ReadCall {
+    /// One record.
+    Single(RecordKey),
+    /// A page of records in the order of their keys.
+    Page {
+        /// The first record of the page.
+        first: RecordKey,
+    },
+}
+
+/// A read that is to be made now.
+pub(super) struct NextRead {
+    /// What it reads.
+    pub(super) read: ReadCall,
+    /// The call to the state service.
+    pub(super) store_call: StoreCall,
+}
+
+/// Records to read; end records and open records alternate.
+pub(super) struct ReadQueue {
+    ends: KeyScan,
+    open: KeyScan,
+    was_end_read_last: bool,
+}
+
+impl ReadQueue {
+    /// At most `max_len` records of each kind are queued; a further one is queued by the next poll of
+    /// its job.
+    pub(super) fn new(max_len: usize) -> ReadQueue {
+        ReadQueue {
+            ends: KeyScan::new(max_len),
+            open: KeyScan::new(max_len),
+            was_end_read_last: false,
+        }
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.ends.queued.is_empty() && self.open.queued.is_empty()
+    }
+
+    fn scan_mut(&mut self, kind: RecordKind) -> &mut KeyScan {
+        match kind {
+            RecordKind::End => &mut self.ends,
+            RecordKind::Open => &mut self.open,
+        }
+    }
+
+    /// Queues a record.
+    pub(super) fn push(&mut self, key: &RecordKey) {
+        self.scan_mut(key.kind).push(&key.job);
+    }
+
+    /// Takes the next read from the queue: a page, where more than one record is queued.
+    pub(super) fn pop(&mut self) -> Option<NextRead> {
+        let has_ends = !self.ends.queued.is_empty();
+        self.was_end_read_last =
+            has_ends && (self.open.queued.is_empty() || !self.was_end_read_last);
+        let kind = if self.was_end_read_last {
+            RecordKind::End
+        } else {
+            RecordKind::Open
+        };
+        let scan = self.scan_mut(kind);
+        let queued = scan.queued.len();
+        let job = scan.pop()?;
+        let key = RecordKey { kind, job };
+        let store_key = key.store_key();
+        if queued == 1 {
+            return Some(NextRead {
+                read: ReadCall::Single(key),
+                store_call: StoreCall::Read(store_key),
+            });
+        }
+        Some(NextRead {
+            read: ReadCall::Page { first: key },
+            store_call: StoreCall::List {
+                under: kind.prefix().to_string(),
+                after: key_before(&store_key),
+                limit: MAX_PAGE_LEN.min(PAGE_LEN_PER_QUEUED * queued),
+            },
+        })
+    }
+
+    /// Removes the records that a page has answered; the next page of the kind starts behind it.
+    pub(super) fn remove_range(&mut self, range: &PageRange) {
+        self.scan_mut(range.kind).remove_range(range);
+    }
+}
+
+/// Queued records of one kind, read in the order of their keys: many neighbours with each call, from
+/// where the last page ended. So each is read within one pass over the pages, however many are
+/// queued.
+struct KeyScan {
+    max_len: usize,
+    /// The ids of the jobs.
+    queued: BTreeSet<String>,
+    /// The last job of the last page.
+    cursor: String,
+}
+
+impl KeyScan {
+    fn new(max_len: usize) -> KeyScan {
+        KeyScan {
+            max_len: max_len.max(1),
+            queued: BTreeSet::new(),
+            cursor: String::new(),
+        }
+    }
+
+    fn push(&mut self, job: &str) {
+        if self.queued.len() < self.max_len {
+            self.queued.insert(job.to_string());
+        }
+    }
+
+    fn pop(&mut self) -> Option<String> {
+        let from_cursor = self.queued.range(self.cursor.clone()..).next();
+        let job = from_cursor.or_else(|| self.queued.first())?.clone();
+        self.queued.remove(&job);
+        Some(job)
+    }
+
+    fn remove_range(&mut self, range: &PageRange) {
+        self.queued.retain(|job| !range.contains_job(job));
+        self.cursor = range.last.map_or(String::new(), str::to_string);
+    }
+}
+
+/// A key that precedes this one, and succeeds almost all keys that do: lists begin *after* a key.
+fn key_before(key: &str) -> String {
+    let mut before = key.to_string();
+    let Some(last) = before.pop() else {
+        return before;
+    };
+    let previous = char::from_u32(u32::from(last).saturating_sub(1));
+    if let Some(previous) = previous.filter(char::is_ascii_graphic) {
+        before.push(previous);
+        before.push('~');
+    }
+    before
+}
--- a/src/service/controller/jobs.rs
+++ b/src/service/controller/jobs.rs
@@ -1,14 +1,14 @@
 //! What the controller knows of jobs: accepted, located, ended.
 
 use super::{Controller, Role};
-use crate::coordination::requests::Located;
+use crate::coordination::requests::LocalJobView;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::service::clock::wall_ms;
 use crate::service::messages::AcceptedJob;
 
 impl Controller {
     /// What is known of a job here, and who leads.
-    pub(super) fn locate(&mut self, id: &str) -> Located {
+    pub(super) fn locate(&mut self, id: &str) -> LocalJobView {
         let now = self.now();
         let mut status = self.recorded_ends.get(id).map(|&state| JobStatus {
             id: id.to_string(),
@@ -30,9 +30,9 @@
         {
             self.handles.cancellation_log.record(id);
         }
-        Located {
+        LocalJobView {
             status,
-            leads,
+            is_leader: leads,
             leader: self.other_leader(),
         }
     }
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -13,7 +13,9 @@
 use super::unresponsive_peers::UnresponsivePeers;
 use super::upgrade::SharedWriteFence;
 use crate::coordination::requests::polls::Poll;
-use crate::coordination::requests::{Context, Effect, Event, Located, PeerAnswer, Request};
+use crate::coordination::requests::{
+    Context, LocalJobView, PeerAnswer, Request, RequestEffect, RequestEvent,
+};
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
 use crate::transport::front::Call;
@@ -64,7 +66,7 @@
 enum Outcome {
     Reply(Reply),
     /// The records decide.
-    LookUp(Poll),
+    ReadRecords(Poll),
 }
 
 impl Gateway {
@@ -111,7 +113,7 @@
         match self.execute(request, effects, Kind::Query, &[]) {
             Outcome::Reply(reply) => reply,
             // It would be refused again.
-            Outcome::LookUp(_) => busy(),
+            Outcome::ReadRecords(_) => busy(),
         }
     }
 
@@ -122,7 +124,7 @@
         let started_at = Instant::now();
         let reply = match self.process(call, from_peer) {
             Outcome::Reply(reply) => reply,
-            Outcome::LookUp(poll) => {
+            Outcome::ReadRecords(poll) => {
                 return self.handles.polls.enqueue(UserPoll {
                     poll,
                     from_peer,
@@ -164,8 +166,8 @@
     fn context(&self, from_peer: bool) -> Context {
         Context {
             settings: self.handles.settings.clone(),
-            types: self.handles.machine_types.get(),
-            clearance: self.handles.write_fence.get(),
+            machine_types: self.handles.machine_types.get(),
+            write_fence: self.handles.write_fence.get(),
             peers: self.handles.peers.names().cloned().collect(),
             from_peer,
             now_ms: wall_ms(),
@@ -177,38 +179,40 @@
     fn execute(
         &self,
         mut request: Request,
-        effects: Vec<Effect>,
+        effects: Vec<RequestEffect>,
         kind: Kind,
         body: &[u8],
     ) -> Outcome {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             let event = match effect {
-                Effect::Locate => Event::Located(self.locate(request.job())),
-                Effect::Store(call) => Event::Store(execute_store_call(&self.handles.store, call)),
-                Effect::Ask(peer) => {
+                RequestEffect::ReadLocalView => RequestEvent::LocalView(self.locate(request.job())),
+                RequestEffect::Store(call) => {
+                    RequestEvent::Store(execute_store_call(&self.handles.store, call))
+                }
+                RequestEffect::Forward(peer) => {
                     let asked = Asked {
                         kind,
                         job: request.job(),
                         body,
-                        waits: request.waits(),
+                        waits: request.has_dependencies(),
                     };
-                    Event::Peer(self.ask_peer(&peer, &asked))
+                    RequestEvent::Peer(self.ask_peer(&peer, &asked))
                 }
-                Effect::Opened(record, version) => {
+                RequestEffect::JobAccepted { record, version } => {
                     let record = *record;
                     self.publish_acceptance(AcceptedJob { record, version });
                     continue;
                 }
-                Effect::Ended(state) => {
+                RequestEffect::JobEndRecorded(state) => {
                     let ends = vec![(request.job().to_string(), state)];
                     self.handles.end_notifier.publish(ends);
                     continue;
                 }
-                Effect::LookUp(poll) => return Outcome::LookUp(poll),
-                Effect::Answer(answer) => return Outcome::Reply(reply_to_user(answer)),
+                RequestEffect::ReadRecords(poll) => return Outcome::ReadRecords(poll),
+                RequestEffect::Answer(answer) => return Outcome::Reply(reply_to_user(answer)),
             };
-            effects.extend(request.on(event));
+            effects.extend(request.on_event(event));
         }
         // A request goes on until it is answered: only a fault of its own gets here.
         Outcome::Reply(busy())
@@ -225,7 +229,7 @@
 
     /// Asks this node's controller what it knows of a job; `None` when it has no room or takes too
     /// long.
-    fn locate(&self, id: &str) -> Option<Located> {
+    fn locate(&self, id: &str) -> Option<LocalJobView> {
         let (reply, located) = bounded(1);
         let id = id.to_string();
         self.handles
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -5,7 +5,7 @@
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::election::ElectionEvent;
-use crate::coordination::requests::Located;
+use crate::coordination::requests::LocalJobView;
 use crate::coordination::state::Name;
 use crate::coordination::Time;
 use crate::protocol::cloud::{ListedMachine, MachineType};
@@ -29,7 +29,7 @@
         /// The job's id.
         id: String,
         /// Where the answer goes.
-        reply: Sender<Located>,
+        reply: Sender<LocalJobView>,
     },
     /// The records of jobs that were accepted or cancelled.
     JobsAccepted {
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -5,8 +5,8 @@
 use super::request_queue::{RequestQueue, RequestTask};
 use super::store_calls::execute_store_call;
 use super::threads::spawn;
-use crate::coordination::requests::polls::{Effect, Limits, Poll, PollBatcher};
-use crate::coordination::requests::{Answer, Reason};
+use crate::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
+use crate::coordination::requests::{Answer, RetryReason};
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::settings::Settings;
@@ -108,7 +108,7 @@
         loop {
             let pause = self
                 .batcher
-                .pause_s()
+                .tick_interval_s()
                 .map_or(IDLE_PAUSE, Duration::from_secs_f64);
             match inputs.recv_timeout(pause) {
                 Ok(input) => self.handle_input(input),
@@ -118,7 +118,7 @@
             for input in inputs.try_iter() {
                 self.handle_input(input);
             }
-            let effects = self.batcher.next(self.now());
+            let effects = self.batcher.tick(self.now());
             self.execute(effects);
         }
     }
@@ -133,13 +133,13 @@
                 self.last_number += 1;
                 let poll = user_poll.poll.clone();
                 self.pending.insert(self.last_number, user_poll);
-                let effects = self.batcher.ask(self.last_number, poll, self.now());
+                let effects = self.batcher.enqueue(self.last_number, poll, self.now());
                 self.execute(effects);
             }
-            Input::Accepted { job, waits_on } => self.batcher.accepted(&job, &waits_on),
+            Input::Accepted { job, waits_on } => self.batcher.job_accepted(&job, &waits_on),
             Input::Ended(ends) => {
                 for (job, state) in ends {
-                    self.batcher.ended(&job, state);
+                    self.batcher.job_end_recorded(&job, state);
                 }
             }
         }
@@ -148,28 +148,30 @@
     /// Forwards a poll to another controller, unless another one has forwarded it to this one.
     fn forward(&self, poll: UserPoll) {
         if poll.from_peer {
-            (poll.respond)(reply_to_user(Answer::Later(Reason::NoStateService)))
+            (poll.respond)(reply_to_user(Answer::RetryLater(
+                RetryReason::NoStateService,
+            )))
         } else {
             self.requests
                 .enqueue(RequestTask::forward_poll(poll.poll.job, poll.respond))
         }
     }
 
-    fn execute(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<PollEffect>) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
-                Effect::Store(call) => {
+                PollEffect::Store(call) => {
                     let answer = execute_store_call(&self.store, call);
-                    effects.extend(self.batcher.on(answer, self.now()));
+                    effects.extend(self.batcher.on_answer(answer, self.now()));
                 }
-                Effect::Ended(ends) => self.end_notifier.publish(ends),
-                Effect::Answer(number, answer) => {
+                PollEffect::JobEndsRecorded(ends) => self.end_notifier.publish(ends),
+                PollEffect::Answer(number, answer) => {
                     if let Some(poll) = self.pending.remove(&number) {
                         (poll.respond)(reply_to_user(answer));
                     }
                 }
-                Effect::HandOn(number) => {
+                PollEffect::Forward(number) => {
                     if let Some(poll) = self.pending.remove(&number) {
                         self.forward(poll);
                     }
