--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,5 @@
-//! HTTP requests to the state service and the cloud, bounded in time and size.
+//! A blocking HTTP client for the state service and the cloud, with a timeout for each request and a
+//! limit on the size of responses.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -6,19 +7,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// A status and a body.
+    /// The service responded with this status code and body.
     Response(u16, Vec<u8>),
-    /// The request was never sent: no connection was made.
+    /// The request was never sent, as no connection could be established.
     NotSent,
-    /// Nothing is known: it may have been carried out, or may yet be.
+    /// Indeterminate: the request may have been carried out, or may be carried out later.
     Unknown,
 }
 
 impl Answer {
-    /// The body of a 200, if it can be read.
+    /// The decoded body of a 200; `None` for any other outcome or a body that does not decode.
     pub fn ok<T: DeserializeOwned>(&self) -> Option<T> {
         match self {
             Answer::Response(200, body) => serde_json::from_slice(body).ok(),
@@ -27,16 +28,18 @@
     }
 }
 
-/// A client for one remote service, with a small pool of connections.
+/// A client of one remote service, with a connection pool.
 #[derive(Clone)]
 pub struct Client {
     agent: ureq::Agent,
-    base: String,
-    most_bytes: u64,
+    base_url: String,
+    max_response_bytes: u64,
 }
 
 impl Client {
-    pub fn new(remote: SocketAddr, connections: usize, most_bytes: u64) -> Client {
+    /// A client of the service at `remote` that keeps at most `connections` idle connections open and
+    /// reads responses of at most `max_response_bytes`.
+    pub fn new(remote: SocketAddr, connections: usize, max_response_bytes: u64) -> Client {
         let agent = ureq::AgentBuilder::new()
             .max_idle_connections(connections)
             .max_idle_connections_per_host(connections)
@@ -44,41 +47,47 @@
             .build();
         Client {
             agent,
-            base: format!("http://{remote}"),
-            most_bytes,
+            base_url: format!("http://{remote}"),
+            max_response_bytes,
         }
     }
 
-    pub fn get(&self, path: &str, within: Duration) -> Answer {
-        self.finish(self.agent.get(&self.url(path)).timeout(within).call())
+    /// Sends a GET request.
+    pub fn get(&self, path: &str, timeout: Duration) -> Answer {
+        self.outcome(self.agent.get(&self.url(path)).timeout(timeout).call())
     }
 
-    pub fn delete(&self, path: &str, within: Duration) -> Answer {
-        self.finish(self.agent.delete(&self.url(path)).timeout(within).call())
+    /// Sends a DELETE request.
+    pub fn delete(&self, path: &str, timeout: Duration) -> Answer {
+        self.outcome(self.agent.delete(&self.url(path)).timeout(timeout).call())
     }
 
-    pub fn post(&self, path: &str, body: &impl Serialize, within: Duration) -> Answer {
-        let request = self.agent.post(&self.url(path)).timeout(within);
-        self.finish(request.send_json(body))
+    /// Sends a POST request with a JSON body.
+    pub fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> Answer {
+        let request = self.agent.post(&self.url(path)).timeout(timeout);
+        self.outcome(request.send_json(body))
     }
 
     fn url(&self, path: &str) -> String {
-        format!("{}{path}", self.base)
+        format!("{}{path}", self.base_url)
     }
 
+    // `ureq::Error` carries the response; the size does not matter on this path.
     #[allow(clippy::result_large_err)]
-    fn finish(&self, result: Result<ureq::Response, ureq::Error>) -> Answer {
+    fn outcome(&self, result: Result<ureq::Response, ureq::Error>) -> Answer {
         match result {
             Ok(response) | Err(ureq::Error::Status(_, response)) => {
                 let status = response.status();
                 let mut body = Vec::new();
-                let mut reader = response.into_reader().take(self.most_bytes + 1);
+                let mut reader = response.into_reader().take(self.max_response_bytes + 1);
                 match reader.read_to_end(&mut body) {
-                    Ok(n) if n as u64 <= self.most_bytes => Answer::Response(status, body),
+                    Ok(length) if length as u64 <= self.max_response_bytes => {
+                        Answer::Response(status, body)
+                    }
                     _ => Answer::Unknown,
                 }
             }
-            Err(ureq::Error::Transport(t)) => match t.kind() {
+            Err(ureq::Error::Transport(transport)) => match transport.kind() {
                 ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => Answer::NotSent,
                 _ => Answer::Unknown,
             },
--- a/src/transport/direct_commands.rs
+++ b/src/transport/direct_commands.rs
@@ -1,4 +1,5 @@
-//! Requests straight to workers: many at a time, as those that hang must not hold up the others.
+//! Commands that are pushed to workers: requests run concurrently, so that a worker that hangs does not
+//! delay the others.
 
 use super::client::Answer;
 use super::runtime::Runtime;
@@ -14,43 +15,53 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// Sends requests, each on a connection of its own, of which there are at most so many.
+/// Sends each request on a connection of its own; a semaphore limits the number of open connections.
 #[derive(Clone)]
 pub struct DirectCommands {
     runtime: Runtime,
     connections: Arc<Semaphore>,
-    within: Duration,
-    most_bytes: usize,
+    /// For connecting, and again for the exchange.
+    timeout: Duration,
+    max_response_bytes: usize,
 }
 
-/// Takes an answer, or gives it back while it has no room for it.
-pub type Taker = Box<dyn FnMut(Answer) -> Result<(), Answer> + Send>;
+/// Receives the outcome of a request, or returns it as the error while its queue is full.
+pub type OutcomeHandler = Box<dyn FnMut(Answer) -> Result<(), Answer> + Send>;
 
-const FULL_PAUSE: Duration = Duration::from_millis(5);
+/// Pause before an outcome is offered again to a handler whose queue was full.
+const FULL_QUEUE_PAUSE: Duration = Duration::from_millis(5);
 
 impl DirectCommands {
+    /// At most `connections` are open at a time (at least one); `timeout` applies to connecting and to
+    /// the exchange each; responses longer than `max_response_bytes` are not read.
     pub fn new(
         runtime: &Runtime,
         connections: usize,
-        within: Duration,
-        most: usize,
+        timeout: Duration,
+        max_response_bytes: usize,
     ) -> DirectCommands {
         DirectCommands {
             runtime: runtime.clone(),
             connections: Arc::new(Semaphore::new(connections.max(1))),
-            within,
-            most_bytes: most,
+            timeout,
+            max_response_bytes,
         }
     }
 
-    /// Posts a JSON body to an address; what becomes of it is handed to `taker`.
-    pub fn post(&self, address: &str, path: &'static str, body: Vec<u8>, mut taker: Taker) {
+    /// Posts a JSON body to an address in the background; `handler` receives the outcome.
+    pub fn post(
+        &self,
+        address: &str,
+        path: &'static str,
+        body: Vec<u8>,
+        mut handler: OutcomeHandler,
+    ) {
         let (direct_commands, address) = (self.clone(), address.to_string());
         self.runtime.spawn(async move {
-            let mut answer = direct_commands.send(&address, path, body).await;
-            while let Err(back) = taker(answer) {
-                answer = back;
-                tokio::time::sleep(FULL_PAUSE).await;
+            let mut outcome = direct_commands.send(&address, path, body).await;
+            while let Err(rejected) = handler(outcome) {
+                outcome = rejected;
+                tokio::time::sleep(FULL_QUEUE_PAUSE).await;
             }
         });
     }
@@ -62,13 +73,13 @@
         let Ok(_permit) = self.connections.acquire().await else {
             return Answer::NotSent;
         };
-        // An attempt to connect that is given up never completes later.
-        let connected = tokio::time::timeout(self.within, TcpStream::connect(remote)).await;
+        // A connection attempt that timed out is aborted, so that the request is certainly not sent.
+        let connected = tokio::time::timeout(self.timeout, TcpStream::connect(remote)).await;
         let Ok(Ok(stream)) = connected else {
             return Answer::NotSent;
         };
         let exchange = self.exchange(stream, address, path, body);
-        match tokio::time::timeout(self.within, exchange).await {
+        match tokio::time::timeout(self.timeout, exchange).await {
             Ok(Some((status, body))) => Answer::Response(status, body),
             _ => Answer::Unknown,
         }
@@ -92,15 +103,15 @@
         let call = async {
             let response = sender.send_request(request).await.ok()?;
             let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), self.most_bytes);
+            let body = Limited::new(response.into_body(), self.max_response_bytes);
             let bytes = body.collect().await.ok()?.to_bytes();
             Some((status, bytes.to_vec()))
         };
         tokio::pin!(call);
         tokio::select! {
             biased;
-            answer = &mut call => answer,
-            // The connection may end before the answer has been taken from it.
+            response = &mut call => response,
+            // The connection may close before its response has been read from the buffer.
             _ = connection => call.await,
         }
     }
--- /dev/null
+++ b/src/transport/front/routing.rs
@@ -0,0 +1,72 @@
+//! The mapping of methods and paths to requests.
+
+use super::Call;
+use crate::protocol::job::is_job_id;
+use crate::transport::Reply;
+use hyper::Method;
+
+/// The paths that workers use all begin like this.
+const WORKER_PATH_PREFIX: &str = "/agent/";
+
+/// What a method and a path stand for.
+pub(super) enum Route {
+    /// The health check.
+    Health,
+    /// The submission of a job; the body describes it.
+    Submit,
+    /// A worker's heartbeat; the body is its status.
+    Report,
+    /// A query for the job with this id.
+    Query(String),
+    /// The cancellation of the job with this id; the body is ignored.
+    Cancel(String),
+}
+
+impl Route {
+    /// Whether the request needs its body to be read.
+    pub(super) fn has_body(&self) -> bool {
+        match self {
+            Route::Submit | Route::Report | Route::Cancel(_) => true,
+            Route::Health | Route::Query(_) => false,
+        }
+    }
+
+    /// The request with its body; `None` for the health check, which the server answers itself.
+    pub(super) fn into_call(self, body: Vec<u8>) -> Option<Call> {
+        match self {
+            Route::Health => None,
+            Route::Submit => Some(Call::Submit(body)),
+            Route::Report => Some(Call::Report(body)),
+            Route::Query(job) => Some(Call::Query(job)),
+            Route::Cancel(job) => Some(Call::Cancel(job)),
+        }
+    }
+}
+
+/// Whether a request comes from a worker, by its path.
+pub(super) fn is_worker_path(path: &str) -> bool {
+    path.starts_with(WORKER_PATH_PREFIX)
+}
+
+/// Finds the route of a request.
+///
+/// # Errors
+/// The reply to a request that has none: 404, or 405 where the path exists with another method.
+pub(super) fn route(method: &Method, path: &str) -> Result<Route, Reply> {
+    let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
+    match (method, &parts[..]) {
+        (&Method::GET, ["healthz"]) => Ok(Route::Health),
+        (&Method::POST, ["v2", "runs"]) => Ok(Route::Submit),
+        (&Method::POST, ["agent", "beat"]) => Ok(Route::Report),
+        (&Method::GET, ["v2", "runs", id]) if is_job_id(id) => Ok(Route::Query(id.to_string())),
+        (&Method::POST, ["v2", "runs", id, "abort"]) if is_job_id(id) => {
+            Ok(Route::Cancel(id.to_string()))
+        }
+        (&Method::GET, ["v2", "runs", _]) | (&Method::POST, ["v2", "runs", _, "abort"]) => {
+            Err(Reply::error(404, "no such job"))
+        }
+        (_, ["healthz"] | ["v2", "runs"] | ["agent", "beat"] | ["v2", "runs", _])
+        | (_, ["v2", "runs", _, "abort"]) => Err(Reply::error(405, "wrong method")),
+        _ => Err(Reply::error(404, "no such path")),
+    }
+}
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Connections: the HTTP front, HTTP requests to other services and to workers, and gRPC between
-//! controllers.
+//! Network connections: the HTTP server for users and workers, HTTP clients for the state service, the
+//! cloud and the workers, and gRPC between the controllers.
 
 pub mod client;
 pub mod direct_commands;
@@ -9,36 +9,42 @@
 
 use std::borrow::Cow;
 
-/// An answer to a user, a worker or a peer, before it is put on any wire.
+/// A response to a user, a worker or a peer, independent of the protocol that carries it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
+    /// The HTTP status code.
     pub status: u16,
+    /// The JSON body.
     pub body: Cow<'static, [u8]>,
-    /// Seconds after which a retry makes sense.
+    /// The value of `Retry-After`, in seconds; `None` leaves the header out.
     pub retry_after: Option<u32>,
 }
 
 impl Reply {
+    /// A response with a value as its JSON body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Reply {
         Reply {
             status,
-            body: serde_json::to_vec(body).expect("plain data").into(),
+            body: serde_json::to_vec(body)
+                .expect("serializing plain data cannot fail")
+                .into(),
             retry_after: None,
         }
     }
 
-    pub fn error(status: u16, why: impl std::fmt::Display) -> Reply {
-        Reply::json(status, &serde_json::json!({"error": why.to_string()}))
+    /// An error response, `{"error": REASON}`.
+    pub fn error(status: u16, reason: impl std::fmt::Display) -> Reply {
+        Reply::json(status, &serde_json::json!({"error": reason.to_string()}))
     }
 
-    /// It can't be done now: come back after a second.
-    pub fn later(why: &str) -> Reply {
+    /// 503 Service Unavailable: the request may be retried after a second.
+    pub fn later(reason: &str) -> Reply {
         Reply {
             retry_after: Some(1),
-            ..Reply::error(503, why)
+            ..Reply::error(503, reason)
         }
     }
 }
 
-/// Where an answer goes.
+/// Sends the reply to a request; dropping it leaves the request unanswered.
 pub type Respond = Box<dyn FnOnce(Reply) + Send>;
--- /dev/null
+++ b/src/transport/peers/client.rs
@@ -0,0 +1,169 @@
+//! Blocking gRPC calls to the other controllers.
+
+use super::wire::peer_client::PeerClient;
+use super::wire::{AskRequest, CancellationsRequest, HearsRequest, PromiseRequest, ReportRequest};
+use super::{server, Asked, PeerHandler, CALL_TIMEOUT, CONNECT_TIMEOUT};
+use crate::storage::cancellation_log::{CancellationLog, CancellationPage, Cursor};
+use crate::transport::runtime::Runtime;
+use crate::transport::Reply;
+use crossbeam::channel::bounded;
+use std::collections::HashMap;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tonic::transport::{Channel, Endpoint};
+use tonic::{Response, Status};
+
+/// The other controllers, each reached over one connection that is opened when first needed.
+#[derive(Clone)]
+pub struct Peers {
+    runtime: Runtime,
+    channels: Arc<HashMap<String, Channel>>,
+}
+
+impl Peers {
+    /// Starts the server on `listen`, and prepares the connections to the named `peers`.
+    ///
+    /// # Errors
+    /// When a peer's address is not valid.
+    pub fn start(
+        runtime: &Runtime,
+        listen: SocketAddr,
+        peers: &[(String, SocketAddr)],
+        handler: Arc<PeerHandler>,
+        cancellations: CancellationLog,
+    ) -> std::io::Result<Peers> {
+        let channels = {
+            let _entered = runtime.enter();
+            connect(peers)?
+        };
+        server::start(runtime, listen, handler, cancellations);
+        Ok(Peers {
+            runtime: runtime.clone(),
+            channels: Arc::new(channels),
+        })
+    }
+
+    /// Whether there are no other controllers.
+    pub fn is_empty(&self) -> bool {
+        self.channels.is_empty()
+    }
+
+    /// The names of the other controllers.
+    pub fn names(&self) -> impl Iterator<Item = &String> {
+        self.channels.keys()
+    }
+
+    /// Blocks until a call on the runtime has succeeded; `None` if it has failed or timed out.
+    fn call<T, F>(&self, timeout: Duration, call: F) -> Option<T>
+    where
+        T: Send + 'static,
+        F: Future<Output = Result<Response<T>, Status>> + Send + 'static,
+    {
+        let (sender, receiver) = bounded(1);
+        self.runtime.spawn(async move {
+            if let Ok(Ok(response)) = tokio::time::timeout(timeout, call).await {
+                let _ = sender.send(response.into_inner());
+            }
+        });
+        receiver.recv().ok()
+    }
+
+    fn client(&self, name: &str) -> Option<PeerClient<Channel>> {
+        Some(PeerClient::new(self.channels.get(name)?.clone()))
+    }
+
+    /// Forwards a user's request to another controller; `None` if there is no response.
+    pub fn ask(&self, name: &str, asked: &Asked, timeout: Duration) -> Option<Reply> {
+        let mut client = self.client(name)?;
+        let request = AskRequest {
+            kind: asked.kind.into(),
+            job: asked.job.to_string(),
+            body: asked.body.to_vec(),
+        };
+        let waits = asked.waits;
+        let reply = self.call(timeout, async move {
+            if waits {
+                client.ask_waiting(request).await
+            } else {
+                client.ask(request).await
+            }
+        })?;
+        Some(Reply {
+            status: reply.status as u16,
+            body: reply.body.into(),
+            retry_after: Some(reply.retry_after).filter(|seconds| *seconds > 0),
+        })
+    }
+
+    /// Forwards a worker's heartbeat to the leader; `None` if there is no response.
+    pub fn report(&self, name: &str, body: Vec<u8>, timeout: Duration) -> Option<Reply> {
+        let mut client = self.client(name)?;
+        let request = ReportRequest { body };
+        let reply = self.call(timeout, async move { client.report(request).await })?;
+        Some(Reply {
+            status: reply.status as u16,
+            body: reply.body.into(),
+            retry_after: None,
+        })
+    }
+
+    /// Whether workers send heartbeats to another controller; `None` if there is no response.
+    pub fn hears_workers(&self, name: &str, timeout: Duration) -> Option<bool> {
+        let mut client = self.client(name)?;
+        let reply = self.call(timeout, async move { client.hears(HearsRequest {}).await })?;
+        Some(reply.workers)
+    }
+
+    /// Requests a promise to answer no heartbeat with a lower fencing token; `None` if there is no
+    /// response.
+    pub fn promise(&self, name: &str, token: u64, timeout: Duration) -> Option<bool> {
+        let mut client = self.client(name)?;
+        let request = PromiseRequest { token };
+        let reply = self.call(timeout, async move { client.promise(request).await })?;
+        Some(reply.promised)
+    }
+
+    /// Requests the cancellations that another controller has confirmed since the cursor of an earlier
+    /// page; `None` if there is no response, as from a release that does not have the call.
+    pub fn cancellations(
+        &self,
+        name: &str,
+        after: Cursor,
+        timeout: Duration,
+    ) -> Option<CancellationPage> {
+        let mut client = self.client(name)?;
+        let request = CancellationsRequest {
+            incarnation: after.incarnation,
+            next: after.next,
+        };
+        let reply = self.call(timeout, async move { client.cancellations(request).await })?;
+        Some(CancellationPage {
+            cursor: Cursor {
+                incarnation: reply.incarnation,
+                next: reply.next,
+            },
+            continues: reply.continues,
+            complete: reply.complete,
+            jobs: reply.jobs.iter().map(|job| job.as_str().into()).collect(),
+        })
+    }
+
+    /// Whether another controller responds at all.
+    pub fn reaches(&self, name: &str, timeout: Duration) -> bool {
+        self.promise(name, server::NO_TOKEN, timeout).is_some()
+    }
+}
+
+fn connect(peers: &[(String, SocketAddr)]) -> std::io::Result<HashMap<String, Channel>> {
+    let mut channels = HashMap::new();
+    for (name, address) in peers {
+        let endpoint = Endpoint::from_shared(format!("http://{address}"))
+            .map_err(std::io::Error::other)?
+            .connect_timeout(CONNECT_TIMEOUT)
+            .timeout(CALL_TIMEOUT);
+        channels.insert(name.clone(), endpoint.connect_lazy());
+    }
+    Ok(channels)
+}
--- /dev/null
+++ b/src/transport/peers/server.rs
@@ -0,0 +1,131 @@
+//! The gRPC server: turns calls into [`PeerCall`]s and replies into messages.
+
+use super::wire::peer_server::{Peer, PeerServer};
+use super::wire::{AskReply, AskRequest, HearsReply, HearsRequest};
+use super::wire::{CancellationsReply, CancellationsRequest};
+use super::wire::{PromiseReply, PromiseRequest, ReportReply, ReportRequest};
+use super::{PeerCall, PeerHandler, CALL_TIMEOUT, CONNECT_TIMEOUT, MAX_MESSAGE_BYTES};
+use crate::storage::cancellation_log::{CancellationLog, Cursor};
+use crate::transport::runtime::Runtime;
+use crate::transport::Reply;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tonic::transport::Server;
+use tonic::{Request, Response, Status};
+use tracing::warn;
+
+/// A token that asks for no promise, but only whether the controller can be reached.
+pub(super) const NO_TOKEN: u64 = 0;
+
+struct Service {
+    handler: Arc<PeerHandler>,
+    cancellations: CancellationLog,
+}
+
+/// Serves peers in the background; a server that fails is started again.
+pub(super) fn start(
+    runtime: &Runtime,
+    listen: SocketAddr,
+    handler: Arc<PeerHandler>,
+    cancellations: CancellationLog,
+) {
+    let service = PeerServer::new(Service {
+        handler,
+        cancellations,
+    })
+    .max_decoding_message_size(MAX_MESSAGE_BYTES);
+    runtime.spawn(async move {
+        loop {
+            let server = Server::builder().add_service(service.clone());
+            if let Err(error) = server.serve(listen).await {
+                warn!(address = %listen, %error, "cannot serve peers");
+            }
+            tokio::time::sleep(CONNECT_TIMEOUT).await;
+        }
+    });
+}
+
+impl Service {
+    /// Passes a call to the handler and waits for its reply.
+    async fn call(&self, call: PeerCall) -> Result<Reply, Status> {
+        let (sender, receiver) = tokio::sync::oneshot::channel();
+        (self.handler)(
+            call,
+            Box::new(move |reply| {
+                let _ = sender.send(reply);
+            }),
+        );
+        match tokio::time::timeout(CALL_TIMEOUT, receiver).await {
+            Ok(Ok(reply)) => Ok(reply),
+            _ => Err(Status::unavailable("no answer")),
+        }
+    }
+}
+
+#[tonic::async_trait]
+impl Peer for Service {
+    async fn ask(&self, request: Request<AskRequest>) -> Result<Response<AskReply>, Status> {
+        let request = request.into_inner();
+        let call = PeerCall::Ask(request.kind(), request.job, request.body);
+        let reply = self.call(call).await?;
+        Ok(Response::new(AskReply {
+            status: reply.status.into(),
+            body: reply.body.into_owned(),
+            retry_after: reply.retry_after.unwrap_or(0),
+        }))
+    }
+
+    async fn ask_waiting(
+        &self,
+        request: Request<AskRequest>,
+    ) -> Result<Response<AskReply>, Status> {
+        self.ask(request).await
+    }
+
+    async fn report(
+        &self,
+        request: Request<ReportRequest>,
+    ) -> Result<Response<ReportReply>, Status> {
+        let call = PeerCall::Report(request.into_inner().body);
+        let reply = self.call(call).await?;
+        Ok(Response::new(ReportReply {
+            status: reply.status.into(),
+            body: reply.body.into_owned(),
+        }))
+    }
+
+    async fn hears(&self, _: Request<HearsRequest>) -> Result<Response<HearsReply>, Status> {
+        let workers = self.call(PeerCall::Hears).await?.status == 200;
+        Ok(Response::new(HearsReply { workers }))
+    }
+
+    async fn promise(
+        &self,
+        request: Request<PromiseRequest>,
+    ) -> Result<Response<PromiseReply>, Status> {
+        let token = request.into_inner().token;
+        let promised = match token {
+            NO_TOKEN => false,
+            token => self.call(PeerCall::Promise(token)).await?.status == 200,
+        };
+        Ok(Response::new(PromiseReply { promised }))
+    }
+
+    async fn cancellations(
+        &self,
+        request: Request<CancellationsRequest>,
+    ) -> Result<Response<CancellationsReply>, Status> {
+        let request = request.into_inner();
+        let page = self.cancellations.page(Cursor {
+            incarnation: request.incarnation,
+            next: request.next,
+        });
+        Ok(Response::new(CancellationsReply {
+            incarnation: page.cursor.incarnation,
+            next: page.cursor.next,
+            continues: page.continues,
+            complete: page.complete,
+            jobs: page.jobs.iter().map(|job| job.to_string()).collect(),
+        }))
+    }
+}
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -1,4 +1,5 @@
-//! The one thread on which tonic and hyper run. Nothing outside `transport` knows of it.
+//! The single-threaded tokio runtime that drives hyper and tonic. No code outside `transport` is
+//! asynchronous.
 
 use std::future::Future;
 use tokio::runtime::{Builder, EnterGuard, Handle};
@@ -8,6 +9,10 @@
 pub struct Runtime(Handle);
 
 impl Runtime {
+    /// Starts the runtime on a thread of its own.
+    ///
+    /// # Errors
+    /// When the runtime or its thread cannot be created.
     pub fn start() -> std::io::Result<Runtime> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
@@ -17,6 +22,7 @@
         Ok(Runtime(handle))
     }
 
+    /// Runs a task to its end, detached.
     pub(super) fn spawn<F>(&self, future: F)
     where
         F: Future + Send + 'static,
@@ -25,6 +31,7 @@
         self.0.spawn(future);
     }
 
+    /// Makes this the current runtime of the calling thread, as registering a socket requires.
     pub(super) fn enter(&self) -> EnterGuard<'_> {
         self.0.enter()
     }
