--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -1,22 +1,24 @@
-//! The operators' own settings, as S-expressions: ratios to figures of the platform's file.
+//! The operators' policy, an S-expression: ratios to figures of the platform's file.
 
-use super::Error;
+use super::error::{Error, InvalidValue, Rule};
 use lexpr::Value;
 
-/// What operators may set. Every figure is a ratio, so that one file serves any deployment.
+/// What operators may set. Every figure is a ratio, so that one file fits any deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// The leader's lease, in report intervals.
+    /// The duration of the leader's lease, in heartbeat intervals (`report_s`).
     pub leader_lease: f64,
-    /// Silence after which a machine is returned, in report intervals.
+    /// The heartbeat timeout after which a machine is returned to the cloud, in heartbeat intervals
+    /// (`report_s`).
     pub silence: f64,
-    /// How long a machine may stand idle, in boot times of its type.
+    /// How long a machine may be idle before it is scaled in, in boot times of its type.
     pub idle: f64,
-    /// Warm room for services: standard deviations above the arrivals expected in a boot time.
+    /// Spare capacity for services, in standard deviations above the arrivals that are expected within
+    /// a boot time.
     pub warm: f64,
-    /// How many boot times a machine may take to come up.
+    /// The boot timeout of a machine, in boot times of its type.
     pub boot_patience: f64,
-    /// Whether machines may be rented that the cloud can take back.
+    /// Whether spot machines, which the cloud may reclaim, may be rented.
     pub spot: bool,
 }
 
@@ -34,13 +36,17 @@
 }
 
 impl Policy {
-    /// Reads `(policy (NAME VALUE) ...)`; names not given keep their defaults.
+    /// Parses `(policy (NAME VALUE) ...)`; names that are left out keep their defaults. `file` names the
+    /// file in errors.
+    ///
+    /// # Errors
+    /// When the text has another form, or a name or value that is not allowed.
     pub fn parse(file: &str, text: &str) -> Result<Policy, Error> {
         let malformed = |what: String| Error::Malformed {
             file: file.to_string(),
             what,
         };
-        let value = lexpr::from_str(text).map_err(|e| malformed(e.to_string()))?;
+        let value = lexpr::from_str(text).map_err(|error| malformed(error.to_string()))?;
         let mut list = value
             .list_iter()
             .ok_or_else(|| malformed("must be one list, (policy ...)".into()))?;
@@ -56,39 +62,36 @@
             let name = name
                 .as_symbol()
                 .ok_or_else(|| malformed(format!("{name}: must be a name")))?;
-            policy.set(name, setting).map_err(|why| Error::Invalid {
-                file: file.to_string(),
-                field: name.to_string(),
-                value: setting.to_string(),
-                why: why.to_string(),
-            })?;
+            policy
+                .set(name, setting)
+                .map_err(|rule| InvalidValue::new(name, setting, rule).in_file(file))?;
         }
         Ok(policy)
     }
 
-    fn set(&mut self, name: &str, value: &Value) -> Result<(), &'static str> {
+    fn set(&mut self, name: &str, value: &Value) -> Result<(), Rule> {
         if name == "spot" {
             self.spot = match (value.as_bool(), value.as_symbol()) {
-                (Some(b), _) => b,
+                (Some(flag), _) => flag,
                 (_, Some("yes")) => true,
                 (_, Some("no")) => false,
-                _ => return Err("must be yes or no"),
+                _ => return Err(Rule::YesOrNo),
             };
             return Ok(());
         }
-        let (place, low, high) = match name {
+        let (field, min, max) = match name {
             "leader-lease" => (&mut self.leader_lease, 0.5, 10.0),
             "silence" => (&mut self.silence, 1.5, 100.0),
             "idle" => (&mut self.idle, 0.0, 1000.0),
             "warm" => (&mut self.warm, 0.0, 10.0),
             "boot-patience" => (&mut self.boot_patience, 1.0, 100.0),
-            _ => return Err("is not a setting"),
+            _ => return Err(Rule::KnownField),
         };
-        let number = value.as_f64().ok_or("must be a number")?;
-        if !(low..=high).contains(&number) {
-            return Err("is out of range");
+        let number = value.as_f64().ok_or(Rule::Number)?;
+        if !(min..=max).contains(&number) {
+            return Err(Rule::InRange);
         }
-        *place = number;
+        *field = number;
         Ok(())
     }
 }
