--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: arguments, exit codes and logging.
 
 mod upgrade;
 
@@ -43,30 +43,32 @@
     upgrade: Option<PathBuf>,
 }
 
-const EXIT_SETTINGS: u8 = 2;
+/// Exit code when a settings file cannot be used.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Exit code when an operation on an upgrade is refused.
 const EXIT_REFUSED: u8 = 3;
 
 /// Runs the program and returns its exit code.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     match &cli.command {
-        Command::Check(files) => files.load_and(|settings| {
+        Command::Check(files) => files.with_settings(|settings| {
             println!("settings of {} are valid", settings.name);
             ExitCode::SUCCESS
         }),
-        Command::Serve(files) => files.load_and(serve),
+        Command::Serve(files) => files.with_settings(serve),
         Command::Upgrade(command) => upgrade::run(command),
     }
 }
 
 impl Files {
-    fn load_and(&self, run: impl FnOnce(Settings) -> ExitCode) -> ExitCode {
+    fn with_settings(&self, run: impl FnOnce(Settings) -> ExitCode) -> ExitCode {
         let (policy, upgrade) = (self.policy.as_deref(), self.upgrade.as_deref());
         with_settings(&self.config, policy, upgrade, run)
     }
 }
 
-/// Runs a command with the settings, unless these cannot be used.
+/// Loads the settings and runs a command with them; prints why they cannot be used otherwise.
 fn with_settings(
     config: &Path,
     policy: Option<&Path>,
@@ -77,13 +79,13 @@
         Ok(settings) => run(settings),
         Err(error) => {
             eprintln!("stairstage: {error}");
-            ExitCode::from(EXIT_SETTINGS)
+            ExitCode::from(EXIT_INVALID_SETTINGS)
         }
     }
 }
 
 fn serve(settings: Settings) -> ExitCode {
-    log_to_stderr();
+    init_logging();
     match service::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -93,7 +95,8 @@
     }
 }
 
-fn log_to_stderr() {
+/// Logs to standard error, at the level that `LOG_LEVEL` names.
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
         Ok("debug") => LevelFilter::DEBUG,
@@ -104,7 +107,7 @@
         .with_ansi(false)
         .without_time()
         .with_target(false);
-    // Libraries only tell what goes wrong.
+    // Libraries log warnings and errors only.
     let targets = Targets::new()
         .with_default(level.min(LevelFilter::WARN))
         .with_target(env!("CARGO_CRATE_NAME"), level);
--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -1,4 +1,4 @@
-//! `stairstage upgrade`: what operators see of an upgrade, and how they finalize or abort it.
+//! `stairstage upgrade`: the commands by which operators inspect, finalize or abort an upgrade.
 
 use super::{with_settings, EXIT_REFUSED};
 use crate::service::controller::wall_ms;
@@ -45,10 +45,11 @@
     Json,
 }
 
-/// Connections to the state service.
+/// Idle connections to the state service.
 const CONNECTIONS: usize = 1;
 
-struct Session {
+/// What every upgrade command works with.
+struct CommandContext {
     settings: Settings,
     policy: UpgradePolicy,
     store: KeyValueStore,
@@ -62,32 +63,33 @@
     | UpgradeCommand::Finalize(files)
     | UpgradeCommand::Abort(files)) = command;
     with_settings(&files.config, None, files.upgrade.as_deref(), |settings| {
-        let session = Session {
+        let context = CommandContext {
             policy: settings.upgrade.clone().unwrap_or_default(),
             store: KeyValueStore::new(settings.endpoints.state, CONNECTIONS),
             format: files.format,
             settings,
         };
         match command {
-            UpgradeCommand::Status(_) => session.status(),
-            UpgradeCommand::Plan(_) => session.plan(),
-            UpgradeCommand::Finalize(_) => session.change(Request::Finalize(Asked::ByOperator)),
-            UpgradeCommand::Abort(_) => session.change(Request::Abort),
+            UpgradeCommand::Status(_) => context.status(),
+            UpgradeCommand::Plan(_) => context.plan(),
+            UpgradeCommand::Finalize(_) => context.execute(Request::Finalize(Asked::ByOperator)),
+            UpgradeCommand::Abort(_) => context.execute(Request::Abort),
         }
     })
 }
 
-impl Session {
+impl CommandContext {
+    /// Reads the records; prints that the state service is unavailable otherwise.
     fn snapshot(&self) -> Option<Snapshot> {
         let controllers = records::configured(&self.settings);
-        let read = records::read(&self.store, &controllers);
-        if read.is_err() {
+        let result = records::read(&self.store, &controllers);
+        if result.is_err() {
             eprintln!(
                 "stairstage: the state service at {} does not answer",
                 self.settings.endpoints.state
             );
         }
-        read.ok().map(|(snapshot, _)| snapshot)
+        result.ok().map(|(snapshot, _)| snapshot)
     }
 
     fn plan_of(&self, snapshot: &Snapshot, asked: Asked) -> Plan {
@@ -100,7 +102,7 @@
             return ExitCode::FAILURE;
         };
         let plan = self.plan_of(&snapshot, Asked::ByPolicy);
-        self.tell(&Status::of(&snapshot, &plan, wall_ms()));
+        self.print_status(&Status::of(&snapshot, &plan, wall_ms()));
         ExitCode::SUCCESS
     }
 
@@ -109,65 +111,73 @@
             return ExitCode::FAILURE;
         };
         let plan = self.plan_of(&snapshot, Asked::ByOperator);
-        self.tell(&Status::of(&snapshot, &plan, wall_ms()));
+        self.print_status(&Status::of(&snapshot, &plan, wall_ms()));
         match plan.ready() {
             Some(next) => {
-                self.say(&format!("`finalize` would raise the version to {next}"));
+                self.print_text(&format!("`finalize` would raise the version to {next}"));
                 ExitCode::SUCCESS
             }
             None => ExitCode::from(EXIT_REFUSED),
         }
     }
 
-    fn change(&self, request: Request) -> ExitCode {
+    fn execute(&self, request: Request) -> ExitCode {
         let (store, settings) = (&self.store, &self.settings);
         let outcome = records::carry_out(store, settings, &self.policy, request, wall_ms);
         match outcome {
-            Outcome::Finalized(version) => self.done(&format!("version {version} is active")),
-            Outcome::CalledOff(version) => self.done(&format!(
+            Outcome::Finalized(version) => self.print_done(&format!("version {version} is active")),
+            Outcome::CalledOff(version) => self.print_done(&format!(
                 "the upgrade is called off; version {version} stays active"
             )),
-            Outcome::AlreadyFinalized(version) => self.refused(&[format!(
+            Outcome::AlreadyFinalized(version) => self.print_refused(&[format!(
                 "version {version} is active, and no controller knows a later one"
             )]),
             Outcome::Refused(holds) => {
                 let holds: Vec<String> = holds.iter().map(Hold::to_string).collect();
-                self.refused(&holds)
+                self.print_refused(&holds)
             }
             Outcome::Unreached => {
-                eprintln!("stairstage: not decided: the state service did not answer, or the records changed meanwhile; try again");
+                eprintln!(
+                    "stairstage: not decided: the state service did not answer, or the records changed \
+                     meanwhile; try again"
+                );
                 ExitCode::FAILURE
             }
         }
     }
 
-    fn done(&self, what: &str) -> ExitCode {
+    fn print_done(&self, message: &str) -> ExitCode {
         match self.format {
-            Format::Text => println!("{what}"),
-            Format::Json => println!("{}", serde_json::json!({ "done": what })),
+            Format::Text => println!("{message}"),
+            Format::Json => println!("{}", serde_json::json!({ "done": message })),
         }
         ExitCode::SUCCESS
     }
 
-    fn refused(&self, reasons: &[String]) -> ExitCode {
+    fn print_refused(&self, reasons: &[String]) -> ExitCode {
         match self.format {
-            Format::Text => reasons.iter().for_each(|why| println!("refused: {why}")),
+            Format::Text => reasons
+                .iter()
+                .for_each(|reason| println!("refused: {reason}")),
             Format::Json => println!("{}", serde_json::json!({ "refused": reasons })),
         }
         ExitCode::from(EXIT_REFUSED)
     }
 
-    fn tell(&self, status: &Status) {
+    fn print_status(&self, status: &Status) {
         match self.format {
             Format::Text => print!("{status}"),
-            Format::Json => println!("{}", serde_json::to_string(status).expect("plain data")),
+            Format::Json => println!(
+                "{}",
+                serde_json::to_string(status).expect("serializing plain data cannot fail")
+            ),
         }
     }
 
-    /// Something that the JSON form tells already.
-    fn say(&self, what: &str) {
+    /// Prints a message that only the text format needs: the JSON status contains it.
+    fn print_text(&self, message: &str) {
         if self.format == Format::Text {
-            println!("{what}");
+            println!("{message}");
         }
     }
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -85,12 +85,12 @@
     pub value_kb: f64,
     /// The most changes in one transaction.
     pub txn_ops: usize,
-    /// ProcessLimits that are announced for later.
+    /// Limits that are announced for later.
     #[serde(default)]
     pub next: AnnouncedStateLimits,
 }
 
-/// ProcessLimits that the state service will have from a moment on that it does not announce; `None` for those
+/// Limits that the state service will have from a moment on that it does not announce; `None` for those
 /// that stay.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct AnnouncedStateLimits {
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,4 +1,4 @@
-//! ProcessLimits on records and transactions, derived from those of the state service.
+//! Limits on records and transactions, derived from those of the state service.
 
 use super::platform::StateServiceLimits;
 
