--- a/crates/upgrade/src/fence.rs
+++ b/crates/upgrade/src/fence.rs
@@ -1,33 +1,35 @@
-//! What a controller may write, and when it must withdraw.
+//! The write fence: what a controller may write, and when it must withdraw.
 //!
-//! Every transaction names the stamp of the version's record among its conditions, as the controller
-//! has last read it. So nothing is written in an old format after a rise that the writer does not
-//! know of: the transaction fails, and the record is read anew. Comparing costs no change.
+//! Every transaction compares the stamp of the version record with the one that the controller has last
+//! read. So nothing is written in an old format after a new version was activated that the writer does
+//! not know of: the transaction fails, and the record is read again. A compare does not count towards
+//! the state service's limit on changes.
 
-use crate::gate::Gates;
+use crate::gate::FeatureGates;
 use crate::records::VersionRecord;
 use crate::version::{ClusterVersion, VersionRange};
 use std::fmt;
 
-/// The active version as a controller has last read it.
+/// The version record as a controller has last read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fence {
-    range: VersionRange,
+    /// The versions that the controller's release supports.
+    supported: VersionRange,
     active: ClusterVersion,
     stamp: u64,
 }
 
 impl Fence {
-    /// Of a controller that works at these versions and has read this record.
-    pub fn new(range: VersionRange, record: &VersionRecord, stamp: u64) -> Fence {
+    /// The fence of a controller that supports these versions and has read this record.
+    pub fn new(supported: VersionRange, record: &VersionRecord, stamp: u64) -> Fence {
         Fence {
-            range,
+            supported,
             active: record.active,
             stamp,
         }
     }
 
-    /// Takes in a record that was read later, or perhaps earlier: stamps only rise.
+    /// Applies a record that was read; an older one than the last, by its stamp, is ignored.
     pub fn read(&mut self, record: &VersionRecord, stamp: u64) {
         if stamp > self.stamp {
             self.active = record.active;
@@ -35,41 +37,45 @@
         }
     }
 
-    /// The stamp that transactions name; 0 is a record that is absent.
+    /// The stamp that transactions compare; 0 while there is no version record.
     pub fn stamp(&self) -> u64 {
         self.stamp
     }
 
+    /// The active version.
     pub fn active(&self) -> ClusterVersion {
         self.active
     }
 
-    /// Whether the cluster has gone beyond what this controller reads. It must then lead no more,
-    /// renew no lease and answer no user.
+    /// Whether the controller's release does not support the active version. The controller must then
+    /// step down, renew no worker's lease and serve no user.
     pub fn must_withdraw(&self) -> bool {
-        !self.range.contains(self.active)
+        !self.supported.contains(self.active)
     }
 
-    pub fn gates(&self) -> Gates {
-        Gates::At(self.active)
+    /// The feature gates at the active version.
+    pub fn gates(&self) -> FeatureGates {
+        FeatureGates::At(self.active)
     }
 }
 
-/// What a controller knows of the active version, and so may do.
+/// What a controller knows of the active version, which decides what it may write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFence {
     /// Upgrades are not staged here.
     Unstaged,
-    /// The record has not been read yet.
+    /// The version record has not been read yet.
     Unread,
+    /// The version record has been read.
     Read(Fence),
 }
 
-/// Why a controller must not serve.
+/// Why a controller must not serve. Shown to users as the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
+    /// The version record has not been read yet.
     VersionUnread,
-    /// The cluster is at a version that its release does not work at.
+    /// The active version is this one, which the controller's release does not support.
     Withdrawn(ClusterVersion),
 }
 
@@ -86,7 +92,7 @@
 }
 
 impl WriteFence {
-    /// The stamp that transactions must name, if any.
+    /// The stamp that transactions must compare, if any.
     pub fn stamp(&self) -> Option<u64> {
         match self {
             WriteFence::Read(fence) => Some(fence.stamp()),
@@ -94,15 +100,16 @@
         }
     }
 
-    pub fn gates(&self) -> Gates {
+    /// The feature gates that are open.
+    pub fn gates(&self) -> FeatureGates {
         match self {
-            WriteFence::Unstaged => Gates::AllOpen,
-            WriteFence::Unread => Gates::At(ClusterVersion::FIRST),
+            WriteFence::Unstaged => FeatureGates::AllOpen,
+            WriteFence::Unread => FeatureGates::At(ClusterVersion::FIRST),
             WriteFence::Read(fence) => fence.gates(),
         }
     }
 
-    /// Why the controller must neither lead nor answer users now, if so.
+    /// Why the controller must neither lead nor serve users now; `None` if it may.
     pub fn refusal(&self) -> Option<Refusal> {
         match self {
             WriteFence::Unstaged => None,
@@ -113,16 +120,17 @@
         }
     }
 
-    /// Whether the controller must withdraw for good: the active version never goes down.
+    /// Whether the controller must withdraw for good: the active version never decreases.
     pub fn must_withdraw(&self) -> bool {
         matches!(self.refusal(), Some(Refusal::Withdrawn(_)))
     }
 
-    /// Takes in a record that was read; nothing where upgrades are not staged.
-    pub fn read(&mut self, range: VersionRange, record: &VersionRecord, stamp: u64) {
+    /// Applies a version record that was read, with its stamp; does nothing where upgrades are not
+    /// staged. An older record than the last, by its stamp, is ignored.
+    pub fn read(&mut self, supported: VersionRange, record: &VersionRecord, stamp: u64) {
         match self {
             WriteFence::Unstaged => {}
-            WriteFence::Unread => *self = WriteFence::Read(Fence::new(range, record, stamp)),
+            WriteFence::Unread => *self = WriteFence::Read(Fence::new(supported, record, stamp)),
             WriteFence::Read(fence) => fence.read(record, stamp),
         }
     }
--- a/crates/upgrade/src/gate.rs
+++ b/crates/upgrade/src/gate.rs
@@ -1,38 +1,40 @@
-//! What a cluster may do only once every controller knows it.
+//! Feature gates: what a cluster may do only from a certain version on.
 
 use crate::version::ClusterVersion;
 
-/// Something that a release without it would misread or refuse.
+/// A feature that releases without it would misread or refuse, so that it is off until the cluster
+/// version that introduces it is active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gate {
-    /// Jobs that wait for others are accepted (`waits_on`).
+pub enum FeatureGate {
+    /// Jobs that depend on other jobs (`waits_on`) are accepted.
     Pipelines,
 }
 
-impl Gate {
-    /// The version from which on it is open.
-    pub fn since(self) -> ClusterVersion {
+impl FeatureGate {
+    /// The cluster version from which on the gate is open.
+    pub fn min_version(self) -> ClusterVersion {
         match self {
-            Gate::Pipelines => ClusterVersion(2),
+            FeatureGate::Pipelines => ClusterVersion(2),
         }
     }
 }
 
-/// The gates at the active version. The only way to ask whether something new is allowed.
+/// Which feature gates are open. Code for a gated feature asks here, and compares no versions itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gates {
-    /// Upgrades are not staged: whoever runs the service sees to it that nothing new is asked for
-    /// before all controllers know it.
+pub enum FeatureGates {
+    /// All are, as upgrades are not staged: the operators see to it that no feature is used before all
+    /// controllers have it.
     AllOpen,
-    /// Those of this version are open.
+    /// Those are whose minimum version is at most this one.
     At(ClusterVersion),
 }
 
-impl Gates {
-    pub fn is_open(self, gate: Gate) -> bool {
+impl FeatureGates {
+    /// Whether a gate is open.
+    pub fn is_open(self, gate: FeatureGate) -> bool {
         match self {
-            Gates::AllOpen => true,
-            Gates::At(active) => active >= gate.since(),
+            FeatureGates::AllOpen => true,
+            FeatureGates::At(active) => active >= gate.min_version(),
         }
     }
 }
--- a/crates/upgrade/src/lib.rs
+++ b/crates/upgrade/src/lib.rs
@@ -1,20 +1,21 @@
 //! Staged upgrades of the controllers of one cluster.
 //!
-//! A release is rolled out controller by controller while all of them serve. What only the new
-//! release knows stays off behind a [`Gate`] until every configured controller has shown, by a
-//! record on a lease, that it can work at the next [`ClusterVersion`]; then an operator, or a policy
-//! within its maintenance windows, *finalizes* the upgrade by raising the active version. It never
-//! goes down: until then the former release can come back at any time.
+//! A release is rolled out controller by controller while all of them serve. Features that only the new
+//! release has stay off behind a [`FeatureGate`] until every controller that the settings name has
+//! registered, by a record on a lease, that it supports the next [`ClusterVersion`]. Then an operator, or
+//! a policy within its maintenance windows, *finalizes* the upgrade by activating that version. The
+//! active version never decreases; until it is activated, controllers may be rolled back at any time.
 //!
-//! Everything here is free of clocks, threads and sockets:
+//! The crate uses no clocks, threads or sockets:
 //!
-//! - [`version`], [`gate`]: versions, what releases work at, and what a version allows;
-//! - [`records`]: what is kept in the state service;
-//! - [`plan`]: whether the version may rise, and every reason why not;
-//! - [`operation`]: the steps of finalizing and aborting, which can be repeated at any point;
-//! - [`fence`]: what a controller may write at which version;
-//! - [`policy`], [`window`]: the operators' file, and when it lets the version rise by itself;
-//! - [`status`]: what operators are told.
+//! - [`version`]: cluster versions, and the range of them that a release supports;
+//! - [`gate`]: the features that a cluster version enables;
+//! - [`records`]: the records in the state service;
+//! - [`plan`]: whether the next version may be activated, and every reason why not;
+//! - [`operation`]: finalizing and aborting, which can be repeated at any point;
+//! - [`fence`]: what a controller may write, and when it must withdraw;
+//! - [`policy`], [`window`]: the operators' file, and its maintenance windows;
+//! - [`status`]: the state of an upgrade as operators see it.
 
 pub mod fence;
 pub mod gate;
@@ -27,7 +28,7 @@
 pub mod window;
 
 pub use fence::Fence;
-pub use gate::{Gate, Gates};
+pub use gate::{FeatureGate, FeatureGates};
 pub use plan::{Hold, Plan};
 pub use policy::UpgradePolicy;
 pub use records::{MemberRecord, SeenRecord, Snapshot, VersionRecord};
--- a/crates/upgrade/src/operation.rs
+++ b/crates/upgrade/src/operation.rs
@@ -1,117 +1,136 @@
-//! The steps of finalizing and aborting an upgrade.
+//! Finalizing and aborting an upgrade, as a state machine without I/O.
 //!
-//! Both read all records, decide, and change one of them by a transaction that hangs on everything
-//! that the decision hung on: the version's record and every controller's. So a controller that comes
-//! or goes meanwhile, or another operator, makes it fail, and it is decided anew. An answer that is
-//! lost is never guessed: the records are read again, and tell whether there is anything left to do.
+//! Both read all records, decide, and change the version record by a compare-and-swap transaction that
+//! compares every record on which the decision depends: finalizing compares the version record and those
+//! of all controllers. So a controller that starts or ends meanwhile, or another operator, makes the
+//! transaction fail, and the operation reads and decides again. When the outcome of a transaction is
+//! indeterminate, the records are read again, and show whether anything is left to do.
 
-use crate::plan::{Asked, Hold, Plan, Timing};
+use crate::plan::{Hold, Initiator, Plan, Timing};
 use crate::policy::UpgradePolicy;
 use crate::records::{member_key, Snapshot, VersionRecord, VERSION};
 use crate::version::ClusterVersion;
 
-/// How often an operation reads and decides at the most.
-const TRIES: usize = 5;
+/// How many times an operation reads the records before it gives up.
+const MAX_ATTEMPTS: usize = 5;
 
-/// What an operator or the policy wants.
+/// What an operation is to achieve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Raise the version by one.
-    Finalize(Asked),
-    /// Call the upgrade to the next version off.
+    /// Activate the next version.
+    Finalize(Initiator),
+    /// Abort the upgrade to the next version, so that no policy finalizes it.
     Abort,
 }
 
-/// A change of the version's record.
+/// A record that a transaction compares.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Condition {
+    /// The key of the record.
+    pub key: String,
+    /// The stamp that it must have; 0 if it must not exist.
+    pub stamp: u64,
+}
+
+/// A compare-and-swap transaction on the version record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Keys, and the stamps that they must have; 0 is an absent one.
-    pub conditions: Vec<(String, u64)>,
+    /// What must hold for the change to be applied.
+    pub conditions: Vec<Condition>,
+    /// The version record to write.
     pub record: VersionRecord,
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Committed {
+pub enum ChangeOutcome {
+    /// It was applied.
     Applied,
-    /// Some record has changed meanwhile.
+    /// A condition did not hold, as some record has changed.
     Conflict,
-    /// It was not carried out.
+    /// The state service refused it.
     Refused,
-    /// There was no answer: it may have been carried out, or may yet be.
-    Unknown,
+    /// There was no response: it may have been applied, or may be applied later.
+    Indeterminate,
 }
 
-/// What an operation asks its driver to do.
+/// What the driver of an operation has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Read all records: [`Operation::read`].
+    /// Read all records, and pass them to [`Operation::read`].
     Read,
-    /// [`Operation::committed`].
+    /// Commit a change, and pass its outcome to [`Operation::committed`].
     Commit(Change),
+    /// Nothing: the operation has ended.
     Finished(Outcome),
 }
 
-/// How an operation has ended.
+/// The outcome of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The version is active, by this operation or by another.
+    /// This version is active, by this operation or by another.
     Finalized(ClusterVersion),
-    /// The upgrade from this version is called off.
-    CalledOff(ClusterVersion),
-    /// Every reason why not.
+    /// The upgrade from this version is aborted.
+    Aborted(ClusterVersion),
+    /// The next version may not be activated, for all of these reasons.
     Refused(Vec<Hold>),
-    /// There is no upgrade to call off: this version is active, and never goes down.
+    /// There is no upgrade to abort: this version is active, and the version never decreases.
     AlreadyFinalized(ClusterVersion),
-    /// The state service did not answer, or the records changed again and again.
-    Unreached,
+    /// The state service was unavailable, or the records changed at every attempt.
+    Undecided,
 }
 
-/// One operation.
+/// One operation: the driver carries out its steps and passes the results back.
 #[derive(Clone, Debug)]
 pub struct Operation {
     request: Request,
     policy: UpgradePolicy,
     timing: Timing,
-    /// The version that was active when it began.
-    began_at: Option<ClusterVersion>,
-    tries: usize,
+    /// The version that was active when the records were first read.
+    initial_version: Option<ClusterVersion>,
+    attempts: usize,
 }
 
 impl Operation {
+    /// Begins an operation; returns it with its first step.
     pub fn begin(request: Request, policy: UpgradePolicy, timing: Timing) -> (Operation, Step) {
         let operation = Operation {
             request,
             policy,
             timing,
-            began_at: None,
-            tries: 0,
+            initial_version: None,
+            attempts: 0,
         };
         (operation, Step::Read)
     }
 
-    /// Takes the records; `None` if they could not be read.
+    /// Continues with the records that were read; `None` if they could not be read.
     pub fn read(&mut self, snapshot: Option<&Snapshot>, now_ms: u64) -> Step {
-        self.tries += 1;
+        self.attempts += 1;
         self.timing.now_ms = now_ms;
         let Some(snapshot) = snapshot else {
-            return self.again();
+            return self.retry();
         };
-        let began_at = *self.began_at.get_or_insert(snapshot.version.active);
+        let initial_version = *self.initial_version.get_or_insert(snapshot.version.active);
         match self.request {
-            Request::Finalize(asked) => self.finalize(asked, snapshot, began_at),
+            Request::Finalize(initiator) => self.finalize(initiator, snapshot, initial_version),
             Request::Abort => abort(snapshot),
         }
     }
 
-    fn finalize(&mut self, asked: Asked, snapshot: &Snapshot, began_at: ClusterVersion) -> Step {
+    fn finalize(
+        &mut self,
+        initiator: Initiator,
+        snapshot: &Snapshot,
+        initial_version: ClusterVersion,
+    ) -> Step {
         let active = snapshot.version.active;
-        // Raised meanwhile, by a change of ours whose answer was lost or by somebody else.
-        if active > began_at {
+        // Activated meanwhile, by our own change whose outcome was indeterminate or by another operation.
+        if active > initial_version {
             return Step::Finished(Outcome::Finalized(active));
         }
-        let plan = Plan::of(snapshot, &self.policy, asked, &self.timing);
-        // Finalized before, and nothing has come since: a repeated step is done.
+        let plan = Plan::of(snapshot, &self.policy, initiator, &self.timing);
+        // Finalized before, and no controller supports a later version: the request is a repetition.
         if plan.next.is_none() && active > ClusterVersion::FIRST {
             return Step::Finished(Outcome::Finalized(active));
         }
@@ -124,8 +143,11 @@
             held: false,
         };
         let members = snapshot.controllers.iter().map(|controller| {
-            let stamp = controller.member.as_ref().map_or(0, |(_, stamp)| *stamp);
-            (member_key(&controller.name), stamp)
+            let member = controller.member.as_ref();
+            Condition {
+                key: member_key(&controller.name),
+                stamp: member.map_or(0, |member| member.stamp),
+            }
         });
         Step::Commit(Change {
             conditions: version_condition(snapshot).chain(members).collect(),
@@ -133,42 +155,42 @@
         })
     }
 
-    /// Takes what became of the change.
-    pub fn committed(&mut self, committed: Committed) -> Step {
-        match (committed, self.request, self.began_at) {
-            (Committed::Applied, Request::Finalize(_), Some(began_at)) => {
-                Step::Finished(Outcome::Finalized(began_at.next()))
+    /// Continues with the outcome of the change.
+    pub fn committed(&mut self, outcome: ChangeOutcome) -> Step {
+        match (outcome, self.request, self.initial_version) {
+            (ChangeOutcome::Applied, Request::Finalize(_), Some(initial_version)) => {
+                Step::Finished(Outcome::Finalized(initial_version.next()))
             }
-            (Committed::Applied, Request::Abort, Some(began_at)) => {
-                Step::Finished(Outcome::CalledOff(began_at))
+            (ChangeOutcome::Applied, Request::Abort, Some(initial_version)) => {
+                Step::Finished(Outcome::Aborted(initial_version))
             }
-            _ => self.again(),
+            _ => self.retry(),
         }
     }
 
-    fn again(&self) -> Step {
-        if self.tries < TRIES {
+    fn retry(&self) -> Step {
+        if self.attempts < MAX_ATTEMPTS {
             Step::Read
         } else {
-            Step::Finished(Outcome::Unreached)
+            Step::Finished(Outcome::Undecided)
         }
     }
 }
 
-fn version_condition(snapshot: &Snapshot) -> impl Iterator<Item = (String, u64)> {
-    std::iter::once((VERSION.to_string(), snapshot.stamp))
+fn version_condition(snapshot: &Snapshot) -> impl Iterator<Item = Condition> {
+    std::iter::once(Condition {
+        key: VERSION.to_string(),
+        stamp: snapshot.stamp,
+    })
 }
 
 fn abort(snapshot: &Snapshot) -> Step {
     let version = snapshot.version;
     if version.held {
-        return Step::Finished(Outcome::CalledOff(version.active));
+        return Step::Finished(Outcome::Aborted(version.active));
     }
-    let knows_later = snapshot.controllers.iter().any(|controller| {
-        let member = controller.member.as_ref();
-        member.is_some_and(|(member, _)| member.versions.newest > version.active)
-    });
-    if !knows_later {
+    let mut controllers = snapshot.controllers.iter();
+    if !controllers.any(|controller| controller.supports_later_than(version.active)) {
         return Step::Finished(Outcome::AlreadyFinalized(version.active));
     }
     let record = VersionRecord {
--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -1,54 +1,76 @@
-//! Whether the cluster version may rise, and every reason why not.
+//! Whether the next cluster version may be activated, and every reason why not.
 
 use crate::policy::{Finalize, UpgradePolicy};
-use crate::records::{Controller, Snapshot};
+use crate::records::{Controller, Member, Snapshot};
 use crate::version::{ClusterVersion, VersionRange};
 use std::fmt;
 
-/// Who wants the version to rise.
+/// Who finalizes the upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Initiator {
     /// An operator, who may do so at any time.
-    ByOperator,
-    /// The leading controller, as the policy says.
-    ByPolicy,
+    Operator,
+    /// A controller, when the policy allows it.
+    Policy,
 }
 
-/// The figures that a plan hangs on besides the records.
+/// The times that a plan depends on besides the records.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// The time of day in milliseconds, and how far it may be off.
+    /// The time of day, in milliseconds since the Unix epoch.
     pub now_ms: u64,
+    /// How far two controllers' times of day may be apart, in milliseconds.
     pub skew_ms: u64,
-    /// How long each controller must have run before the policy may finalize, in seconds.
+    /// The soak time: how long each controller must have run before the policy may finalize, in seconds.
     pub soak_s: f64,
 }
 
-/// Something that keeps the version from rising.
+/// A reason for which the next version may not be activated. Shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// No configured controller runs a release that knows a later version.
+    /// No controller runs a release that supports a later version.
     NothingNew,
-    /// It has no live record: it is down, or runs a release without staged upgrades.
+    /// A controller has no live record: it is down, or runs a release without staged upgrades.
     NotRegistered {
+        /// The controller's name.
         controller: String,
-        /// The release that it was last seen with, and how many seconds ago.
-        seen: Option<(String, u64)>,
+        /// When it was last registered; `None` if it never was.
+        last_seen: Option<LastSeen>,
     },
-    /// Its release does not work at the next version.
+    /// A controller's release does not support the next version.
     CannotFollow {
+        /// The controller's name.
         controller: String,
+        /// The release that it runs.
         release: String,
+        /// The versions that the release supports.
         versions: VersionRange,
     },
-    /// An operator has called the upgrade to the next version off.
+    /// An operator has aborted the upgrade to the next version.
     CalledOff,
-    /// The policy leaves it to an operator.
+    /// The policy leaves finalizing to an operator.
     ByHand,
-    /// A controller has not run for long enough.
-    Soaking { controller: String, left_s: u64 },
-    /// No maintenance window is open; when the next one opens, as a time of day with its zone.
-    OutsideWindows { opens: Option<String> },
+    /// A controller has not run for the soak time.
+    Soaking {
+        /// The controller's name.
+        controller: String,
+        /// How long it still has to run, in seconds.
+        left_s: u64,
+    },
+    /// No maintenance window is open.
+    OutsideWindows {
+        /// When the next one opens, as local time with its zone; `None` if none does within a year.
+        opens: Option<String>,
+    },
+}
+
+/// When a controller was last registered.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LastSeen {
+    /// The release that it ran.
+    pub release: String,
+    /// How long ago that was, in seconds.
+    pub ago_s: u64,
 }
 
 impl fmt::Display for Hold {
@@ -57,14 +79,14 @@
             Hold::NothingNew => write!(out, "no controller runs a release with a later version"),
             Hold::NotRegistered {
                 controller,
-                seen: Some((release, ago_s)),
+                last_seen: Some(LastSeen { release, ago_s }),
             } => write!(
                 out,
                 "{controller} was last heard {ago_s} s ago with release {release}"
             ),
             Hold::NotRegistered {
                 controller,
-                seen: None,
+                last_seen: None,
             } => write!(
                 out,
                 "{controller} has never registered: it is down, or runs a release without staged \
@@ -102,34 +124,39 @@
     }
 }
 
-/// What comes next.
+/// Whether and to which version the cluster can be upgraded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
+    /// The active version.
     pub active: ClusterVersion,
-    /// The version that the upgrade leads to, if any controller knows a later one.
+    /// The version that the upgrade leads to; `None` if no controller supports a later one.
     pub next: Option<ClusterVersion>,
-    /// Why the version may not rise; empty if it may.
+    /// Why the next version may not be activated; empty if it may.
     pub holds: Vec<Hold>,
 }
 
 impl Plan {
-    /// The plan that follows from the records.
-    pub fn of(snapshot: &Snapshot, policy: &UpgradePolicy, asked: Asked, timing: &Timing) -> Plan {
+    /// The plan for a snapshot of the records. The policy is consulted only if it is the initiator.
+    pub fn of(
+        snapshot: &Snapshot,
+        policy: &UpgradePolicy,
+        initiator: Initiator,
+        timing: &Timing,
+    ) -> Plan {
         let active = snapshot.version.active;
-        let newest = |c: &Controller| c.member.as_ref().map(|(member, _)| member.versions.newest);
-        let latest = snapshot.controllers.iter().filter_map(newest).max();
-        let next = latest
-            .filter(|latest| *latest > active)
-            .map(|_| active.next());
+        let supports_later = |controller: &Controller| controller.supports_later_than(active);
+        let has_later = snapshot.controllers.iter().any(supports_later);
+        let next = has_later.then(|| active.next());
         let mut holds = Vec::new();
         match next {
             None => holds.push(Hold::NothingNew),
             Some(next) => {
                 let controllers = snapshot.controllers.iter();
-                holds.extend(controllers.filter_map(|c| controller_hold(c, next, timing.now_ms)));
+                let hold = |controller| controller_hold(controller, next, timing.now_ms);
+                holds.extend(controllers.filter_map(hold));
             }
         }
-        if asked == Asked::ByPolicy {
+        if initiator == Initiator::Policy {
             holds.extend(policy_holds(snapshot, policy, timing));
         }
         Plan {
@@ -139,7 +166,7 @@
         }
     }
 
-    /// The version that may be taken on now.
+    /// The version that may be activated now; `None` if there is a reason why not.
     pub fn ready(&self) -> Option<ClusterVersion> {
         self.next.filter(|_| self.holds.is_empty())
     }
@@ -147,11 +174,14 @@
 
 fn controller_hold(controller: &Controller, next: ClusterVersion, now_ms: u64) -> Option<Hold> {
     let name = controller.name.clone();
-    let Some((member, _)) = &controller.member else {
-        let seen = controller.seen.as_ref();
+    let Some(Member { record: member, .. }) = &controller.member else {
+        let last_seen = controller.seen.as_ref().map(|seen| LastSeen {
+            release: seen.release.clone(),
+            ago_s: seconds_since(seen.at_ms, now_ms),
+        });
         return Some(Hold::NotRegistered {
             controller: name,
-            seen: seen.map(|s| (s.release.clone(), seconds_since(s.at_ms, now_ms))),
+            last_seen,
         });
     };
     (!member.versions.contains(next)).then(|| Hold::CannotFollow {
@@ -171,7 +201,7 @@
         return holds;
     }
     for controller in &snapshot.controllers {
-        let Some((member, _)) = &controller.member else {
+        let Some(Member { record: member, .. }) = &controller.member else {
             continue;
         };
         let ran_s = seconds_since(member.since_ms + timing.skew_ms, timing.now_ms);
@@ -184,7 +214,7 @@
         }
     }
     let (now_ms, skew_ms) = (timing.now_ms, timing.skew_ms);
-    // Whichever clock is right.
+    // A window must be open whichever of the controllers' clocks is right.
     let is_open = [now_ms.saturating_sub(skew_ms), now_ms + skew_ms]
         .iter()
         .all(|at| policy.windows.is_open(*at));
--- a/crates/upgrade/src/policy.rs
+++ b/crates/upgrade/src/policy.rs
@@ -1,27 +1,29 @@
-//! The operators' file: who finalizes an upgrade, and when.
+//! The operators' upgrade policy, an S-expression: who finalizes an upgrade, and when.
 
 use crate::window::{Window, WindowError, Windows};
 use lexpr::Value;
 
-/// Who raises the version.
+/// Who activates the next version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finalize {
     /// An operator, with `stairstage upgrade finalize`.
     ByHand,
-    /// The leading controller, once all have run for the soak time and a window is open.
+    /// The controllers themselves, once all have run for the soak time and a window is open.
     Automatic,
 }
 
-/// What operators may set. Figures are ratios to the platform's settings, so that one file serves any
+/// What operators may set. Figures are ratios to the platform's settings, so that one file fits any
 /// deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpgradePolicy {
+    /// Who activates the next version.
     pub finalize: Finalize,
-    /// How long every controller must have run before the version rises by itself, in `cancel_s`.
+    /// The soak time, for which every controller must have run before the policy finalizes, as a multiple
+    /// of the platform's `cancel_s`.
     pub soak: f64,
-    /// The lease of a controller's record, in report intervals.
+    /// The duration of the lease of a member record, in heartbeat intervals (`report_s`).
     pub member_lease: f64,
-    /// When the version may rise by itself; without any, always.
+    /// When the policy may finalize; without any, always.
     pub windows: Windows,
 }
 
@@ -36,26 +38,83 @@
     }
 }
 
-/// A file that cannot be used.
+/// A policy file that cannot be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum PolicyError {
+    /// The text is not of the right form.
     #[error("{what}")]
-    Malformed { what: String },
+    Malformed {
+        /// What is wrong with it.
+        what: String,
+    },
+    /// A value is not allowed.
     #[error("{field} = {value}: {why}")]
     Invalid {
+        /// The name of the setting.
         field: String,
+        /// Its value, as written.
         value: String,
+        /// The rule that it breaks.
         why: String,
     },
 }
 
+/// The rule that a value breaks.
+#[derive(Debug, thiserror::Error)]
+enum Rule {
+    #[error("must have one value")]
+    OneValue,
+    #[error("must be by-hand or automatic")]
+    FinalizeChoice,
+    #[error("is not a setting")]
+    KnownField,
+    #[error("must be a number")]
+    Number,
+    #[error("is out of range")]
+    InRange,
+    #[error(transparent)]
+    Window(#[from] WindowError),
+}
+
+/// `(NAME VALUE ...)`
+struct Entry<'a> {
+    name: &'a str,
+    values: Vec<&'a Value>,
+}
+
+impl Entry<'_> {
+    fn parse(entry: &Value) -> Result<Entry<'_>, PolicyError> {
+        let mut parts = entry
+            .list_iter()
+            .ok_or_else(|| malformed(format!("{entry}: must be (NAME VALUE ...)")))?;
+        let name = parts.next().and_then(Value::as_symbol);
+        Ok(Entry {
+            name: name.ok_or_else(|| malformed(format!("{entry}: must begin with a name")))?,
+            values: parts.collect(),
+        })
+    }
+
+    fn invalid(&self, rule: &Rule) -> PolicyError {
+        let values: Vec<String> = self.values.iter().map(|value| value.to_string()).collect();
+        PolicyError::Invalid {
+            field: self.name.to_string(),
+            value: values.join(" "),
+            why: rule.to_string(),
+        }
+    }
+}
+
 fn malformed(what: impl Into<String>) -> PolicyError {
     PolicyError::Malformed { what: what.into() }
 }
 
 impl UpgradePolicy {
-    /// Reads `(upgrade (NAME VALUE ...) ...)`; names not given keep their defaults. `now_ms` is the
-    /// time of day: whether windows of several zones overlap depends on the rules of the coming year.
+    /// Parses `(upgrade (NAME VALUE ...) ...)`; names that are left out keep their defaults. `now_ms` is
+    /// the time of day in milliseconds since the Unix epoch: whether windows in different time zones
+    /// overlap depends on the daylight saving transitions of the coming year.
+    ///
+    /// # Errors
+    /// When the text has another form, or a name or value that is not allowed, or windows overlap.
     pub fn parse(text: &str, now_ms: u64) -> Result<UpgradePolicy, PolicyError> {
         let value = lexpr::from_str(text).map_err(|error| malformed(error.to_string()))?;
         let mut list = value
@@ -67,27 +126,10 @@
         let mut policy = UpgradePolicy::default();
         let mut windows = Vec::new();
         for entry in list {
-            let mut parts = entry
-                .list_iter()
-                .ok_or_else(|| malformed(format!("{entry}: must be (NAME VALUE ...)")))?;
-            let name = parts.next().and_then(Value::as_symbol);
-            let name = name.ok_or_else(|| malformed(format!("{entry}: must begin with a name")))?;
-            let values: Vec<&Value> = parts.collect();
-            let invalid = |why: String| PolicyError::Invalid {
-                field: name.to_string(),
-                value: values
-                    .iter()
-                    .map(|v| v.to_string())
-                    .collect::<Vec<_>>()
-                    .join(" "),
-                why,
-            };
-            match name {
-                "window" => windows.push(window(&values).map_err(|e| invalid(e.to_string()))?),
-                _ => policy
-                    .set(name, &values)
-                    .map_err(|why| invalid(why.into()))?,
-            }
+            let entry = Entry::parse(entry)?;
+            policy
+                .apply(&entry, &mut windows)
+                .map_err(|rule| entry.invalid(&rule))?;
         }
         policy.windows = Windows::new(windows, now_ms).map_err(|error| PolicyError::Invalid {
             field: "window".into(),
@@ -97,28 +139,33 @@
         Ok(policy)
     }
 
-    fn set(&mut self, name: &str, values: &[&Value]) -> Result<(), &'static str> {
-        let [value] = values else {
-            return Err("must have one value");
+    /// Applies an entry; windows are collected, as they are checked together.
+    fn apply(&mut self, entry: &Entry, windows: &mut Vec<Window>) -> Result<(), Rule> {
+        if entry.name == "window" {
+            windows.push(window(&entry.values)?);
+            return Ok(());
+        }
+        let [value] = entry.values[..] else {
+            return Err(Rule::OneValue);
         };
-        let (place, low, high) = match name {
+        let (field, min, max) = match entry.name {
             "finalize" => {
                 self.finalize = match value.as_symbol() {
                     Some("by-hand") => Finalize::ByHand,
                     Some("automatic") => Finalize::Automatic,
-                    _ => return Err("must be by-hand or automatic"),
+                    _ => return Err(Rule::FinalizeChoice),
                 };
                 return Ok(());
             }
             "soak" => (&mut self.soak, 0.0, 10_000.0),
             "member-lease" => (&mut self.member_lease, 2.0, 100.0),
-            _ => return Err("is not a setting"),
+            _ => return Err(Rule::KnownField),
         };
-        let number = value.as_f64().ok_or("must be a number")?;
-        if !(low..=high).contains(&number) {
-            return Err("is out of range");
+        let number = value.as_f64().ok_or(Rule::Number)?;
+        if !(min..=max).contains(&number) {
+            return Err(Rule::InRange);
         }
-        *place = number;
+        *field = number;
         Ok(())
     }
 }
--- a/crates/upgrade/src/records.rs
+++ b/crates/upgrade/src/records.rs
@@ -1,35 +1,43 @@
-//! What is kept in the state service. Later releases only add optional fields.
+//! The records in the state service, and a snapshot of them. Later releases may only add optional
+//! fields.
+//!
+//! The *stamp* of a record is the revision of its last change, as compares of a transaction name it; 0
+//! stands for a record that does not exist.
 
 use crate::version::{ClusterVersion, VersionRange};
 use serde::{Deserialize, Serialize};
 
-/// The key of the active version.
+/// The key of the version record.
 pub const VERSION: &str = "cluster/version";
-/// The prefix of the keys of members, and of when they were last seen.
-pub const MEMBER: &str = "cluster/member/";
-pub const SEEN: &str = "cluster/seen/";
+/// The prefix of the keys of member records.
+const MEMBER_PREFIX: &str = "cluster/member/";
+/// The prefix of the keys of last-seen records.
+const SEEN_PREFIX: &str = "cluster/seen/";
 
+/// The key of a controller's [`MemberRecord`].
 pub fn member_key(controller: &str) -> String {
-    format!("{MEMBER}{controller}")
+    format!("{MEMBER_PREFIX}{controller}")
 }
 
+/// The key of a controller's [`SeenRecord`].
 pub fn seen_key(controller: &str) -> String {
-    format!("{SEEN}{controller}")
+    format!("{SEEN_PREFIX}{controller}")
 }
 
-/// The active version. Without a record it is [`ClusterVersion::FIRST`], and nothing is held.
+/// The active version. A cluster without the record is at [`VersionRecord::FIRST`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRecord {
+    /// The version that is active.
     pub active: ClusterVersion,
-    /// When it rose, in milliseconds of the time of day.
+    /// When it was activated, in milliseconds since the Unix epoch.
     pub since_ms: u64,
-    /// An operator has called the upgrade to the next version off.
+    /// Whether an operator has aborted the upgrade to the next version, so that no policy finalizes it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub held: bool,
 }
 
 impl VersionRecord {
-    /// What holds where there is no record.
+    /// What applies while there is no record.
     pub const FIRST: VersionRecord = VersionRecord {
         active: ClusterVersion::FIRST,
         since_ms: 0,
@@ -37,37 +45,62 @@
     };
 }
 
-/// A controller that runs; attached to a lease, so that it goes when the controller does.
+/// A running controller. The record is attached to a lease, and so is removed when the controller ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
+    /// The release that it runs.
     pub release: String,
+    /// The cluster versions that the release supports.
     #[serde(flatten)]
     pub versions: VersionRange,
-    /// When its process registered, in milliseconds of the time of day.
+    /// When its process started, in milliseconds since the Unix epoch.
     pub since_ms: u64,
 }
 
-/// When a controller was last heard of; it stays when the controller goes.
+/// When a controller last renewed its lease. The record outlives the controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenRecord {
+    /// The release that it ran then.
     pub release: String,
+    /// When that was, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// A configured controller, as the records tell of it.
+/// A live member record with its stamp.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Member {
+    /// The record.
+    pub record: MemberRecord,
+    /// The stamp of the record.
+    pub stamp: u64,
+}
+
+/// A controller that the settings name, and its records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Controller {
+    /// Its name in the settings.
     pub name: String,
-    /// Its live record, with the record's stamp.
-    pub member: Option<(MemberRecord, u64)>,
+    /// Its live record; `None` while it is not registered.
+    pub member: Option<Member>,
+    /// When it was last registered; `None` if it never was.
     pub seen: Option<SeenRecord>,
 }
 
-/// All records, as read.
+impl Controller {
+    /// Whether it is registered with a release that supports a later version than this one.
+    pub(crate) fn supports_later_than(&self, version: ClusterVersion) -> bool {
+        let member = self.member.as_ref();
+        member.is_some_and(|member| member.record.versions.newest > version)
+    }
+}
+
+/// All records, read at one revision of the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
+    /// The version record, or what applies without one.
     pub version: VersionRecord,
-    /// The stamp of the version's record; 0 if there is none.
+    /// The stamp of the version record; 0 if there is none.
     pub stamp: u64,
+    /// The controllers that the settings name.
     pub controllers: Vec<Controller>,
 }
--- a/crates/upgrade/src/status.rs
+++ b/crates/upgrade/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of an upgrade, as text or JSON.
+//! The state of an upgrade as operators see it, as text or JSON.
 
 use crate::plan::Plan;
 use crate::records::Snapshot;
@@ -6,40 +6,47 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A configured controller.
+/// A controller that the settings name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ControllerStatus {
+    /// Its name.
     pub name: String,
-    /// What it runs; nothing if it has no live record.
+    /// The release that it runs; `None` if it has no live record.
     pub release: Option<String>,
+    /// The cluster versions that the release supports; `None` if it has no live record.
     pub versions: Option<VersionRange>,
-    /// Seconds since its process registered.
+    /// Seconds since its process started; `None` if it has no live record.
     pub runs_for_s: Option<u64>,
 }
 
 /// The state of the upgrade.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Status {
+    /// The active version.
     pub active: ClusterVersion,
+    /// The version that the upgrade leads to; `None` if no controller supports a later one.
     pub next: Option<ClusterVersion>,
+    /// The controllers that the settings name.
     pub controllers: Vec<ControllerStatus>,
-    /// What keeps the version from rising, in plain words.
+    /// Why the next version may not be activated, as text.
     pub holds: Vec<String>,
-    /// Whether an operator has called the upgrade off.
+    /// Whether an operator has aborted the upgrade.
     pub called_off: bool,
-    /// Whether the release before the next version can come back everywhere.
+    /// Whether all controllers may be rolled back to the release before the next version.
     pub rollback_possible: bool,
 }
 
 impl Status {
+    /// The status of a cluster whose records and plan these are; `now_ms` is the time of day in
+    /// milliseconds since the Unix epoch.
     pub fn of(snapshot: &Snapshot, plan: &Plan, now_ms: u64) -> Status {
         let controllers = snapshot.controllers.iter().map(|controller| {
-            let member = controller.member.as_ref().map(|(member, _)| member);
+            let member = controller.member.as_ref().map(|member| &member.record);
             ControllerStatus {
                 name: controller.name.clone(),
                 release: member.map(|member| member.release.clone()),
                 versions: member.map(|member| member.versions),
-                runs_for_s: member.map(|m| now_ms.saturating_sub(m.since_ms) / 1000),
+                runs_for_s: member.map(|member| now_ms.saturating_sub(member.since_ms) / 1000),
             }
         });
         Status {
--- a/crates/upgrade/src/version.rs
+++ b/crates/upgrade/src/version.rs
@@ -1,18 +1,22 @@
-//! Cluster versions, and the range of them that a release works at.
+//! Cluster versions, and the range of them that a release supports.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What all controllers of a cluster have agreed to write and do. It only rises.
+/// The version of the formats and behaviour that all controllers of a cluster share, independent of
+/// their releases. It never decreases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ClusterVersion(pub u32);
+pub struct ClusterVersion(
+    /// The number in records and output.
+    pub u32,
+);
 
 impl ClusterVersion {
-    /// The version of a cluster that has no record of one.
+    /// The version of a cluster without a version record.
     pub const FIRST: ClusterVersion = ClusterVersion(1);
 
-    /// The version that an upgrade from this one leads to.
+    /// The version that finalizing an upgrade from this one activates.
     pub fn next(self) -> ClusterVersion {
         ClusterVersion(self.0 + 1)
     }
@@ -24,20 +28,23 @@
     }
 }
 
-/// The versions that a release works at, from the oldest to the newest.
+/// The cluster versions that a release supports, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRange {
+    /// The oldest version that it supports.
     pub oldest: ClusterVersion,
+    /// The newest version that it supports.
     pub newest: ClusterVersion,
 }
 
 impl VersionRange {
-    /// The range of this release.
+    /// The range that this release supports.
     pub const OF_THIS_RELEASE: VersionRange = VersionRange {
         oldest: ClusterVersion::FIRST,
         newest: ClusterVersion(2),
     };
 
+    /// Whether a release with this range supports `version`.
     pub fn contains(self, version: ClusterVersion) -> bool {
         (self.oldest..=self.newest).contains(&version)
     }
--- a/crates/upgrade/src/window.rs
+++ b/crates/upgrade/src/window.rs
@@ -1,15 +1,15 @@
-//! Maintenance windows: hours of local time on some days of the week.
+//! Maintenance windows: hours of local time on certain days of the week.
 
 use jiff::civil::{Date, Time, Weekday};
 use jiff::tz::TimeZone;
 use jiff::{Span, Timestamp};
 
-/// Days for which windows are held against each other, and searched for the next opening: all
-/// changes of clocks come up within a year.
+/// Days for which windows are compared with each other, and searched for the next opening: a year and
+/// a week, so that every daylight saving transition is covered.
 const DAYS_AHEAD: usize = 372;
 
-/// From `opens` to `closes` on each day from the first to the last, in local time. One that closes no
-/// later than it opens closes on the next day.
+/// A window that is open from `opens` to `closes` on each day from `first` to `last`, in local time. One
+/// that does not close later than it opens closes on the next day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Window {
     first: Weekday,
@@ -17,28 +17,40 @@
     opens: Time,
     closes: Time,
     zone: TimeZone,
+    /// The window as written, for error messages.
     text: String,
 }
 
 /// A window that cannot be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum WindowError {
+    /// It does not have five parts of the right types.
     #[error("must be FIRST-DAY LAST-DAY \"HH:MM\" \"HH:MM\" \"ZONE\"")]
     Malformed,
+    /// This is not a day of the week.
     #[error("{0} is no day of the week")]
     UnknownDay(String),
+    /// This is not a time of day, with two digits each for hours and minutes.
     #[error("{0} is no time of day such as 20:00")]
     UnknownTime(String),
+    /// The time zone database does not have this zone.
     #[error("{0} is no time zone that is known here")]
     UnknownZone(String),
+    /// It is never open.
     #[error("is empty: it closes as it opens")]
     Empty,
+    /// Two windows overlap within the coming year.
     #[error("overlaps {other}")]
-    Overlap { window: String, other: String },
+    Overlap {
+        /// The later one in the file, as written.
+        window: String,
+        /// The earlier one in the file, as written.
+        other: String,
+    },
 }
 
 impl WindowError {
-    /// The window that it is about, where several were given.
+    /// For an overlap, the window that is refused; empty otherwise.
     pub fn window(&self) -> String {
         match self {
             WindowError::Overlap { window, .. } => window.clone(),
@@ -47,10 +59,18 @@
     }
 }
 
-/// Milliseconds of the time of day.
-type Interval = (i64, i64);
+/// A time for which a window is open, in milliseconds since the Unix epoch.
+#[derive(Clone, Copy)]
+struct Interval {
+    opens_ms: i64,
+    closes_ms: i64,
+}
 
 impl Window {
+    /// Parses a window: its first and last day, its opening and closing time and its time zone.
+    ///
+    /// # Errors
+    /// When a part is not valid, or the window closes when it opens.
     pub fn new(
         first: &str,
         last: &str,
@@ -72,15 +92,15 @@
         Ok(window)
     }
 
-    fn is_on(&self, day: Weekday) -> bool {
+    fn opens_on(&self, day: Weekday) -> bool {
         let since_first = day.since(self.first);
         since_first <= self.last.since(self.first)
     }
 
-    /// When it is open, if it opens on this day. A local time that a change of clocks skips is that
-    /// much later; of one that comes twice it is the first.
-    fn on(&self, day: Date) -> Option<Interval> {
-        if !self.is_on(day.weekday()) {
+    /// The interval that begins on this day, if any. A local time that a daylight saving transition skips
+    /// is later by the skipped time; of one that occurs twice, the first counts.
+    fn interval_on(&self, day: Date) -> Option<Interval> {
+        if !self.opens_on(day.weekday()) {
             return None;
         }
         let closing_day = if self.closes > self.opens {
@@ -88,19 +108,21 @@
         } else {
             day.tomorrow().ok()?
         };
-        let opens = instant(day, self.opens, &self.zone)?;
-        let closes = instant(closing_day, self.closes, &self.zone)?;
-        (opens < closes).then_some((opens, closes))
+        let interval = Interval {
+            opens_ms: instant_ms(day, self.opens, &self.zone)?,
+            closes_ms: instant_ms(closing_day, self.closes, &self.zone)?,
+        };
+        (interval.opens_ms < interval.closes_ms).then_some(interval)
     }
 
-    /// When it is open, from the day before this moment on.
-    fn from(&self, now_ms: u64) -> impl Iterator<Item = Interval> + '_ {
+    /// The intervals that begin on the day before this moment or later, in order.
+    fn intervals_from(&self, now_ms: u64) -> impl Iterator<Item = Interval> + '_ {
         let today = timestamp(now_ms).map(|now| self.zone.to_datetime(now).date());
         let days = today.into_iter().flat_map(|today| {
             let first = today.yesterday().unwrap_or(today);
             first.series(Span::new().days(1)).take(DAYS_AHEAD)
         });
-        days.filter_map(|day| self.on(day))
+        days.filter_map(|day| self.interval_on(day))
     }
 }
 
@@ -127,7 +149,7 @@
     Time::new(number(hour)?, number(minute)?, 0, 0).map_err(|_| unknown())
 }
 
-fn instant(day: Date, time: Time, zone: &TimeZone) -> Option<i64> {
+fn instant_ms(day: Date, time: Time, zone: &TimeZone) -> Option<i64> {
     let local = day.to_datetime(time);
     let zoned = local.to_zoned(zone.clone()).ok()?;
     Some(zoned.timestamp().as_millisecond())
@@ -137,15 +159,19 @@
     Timestamp::from_millisecond(i64::try_from(ms).ok()?).ok()
 }
 
-/// Windows that do not overlap.
+/// The windows of a policy, which do not overlap.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Windows(Vec<Window>);
 
 impl Windows {
-    /// Refuses windows that overlap within the year after `now_ms`.
+    /// Checks that the windows do not overlap; `now_ms` is the time of day in milliseconds since the Unix
+    /// epoch.
+    ///
+    /// # Errors
+    /// When two windows overlap within the year after `now_ms`.
     pub fn new(windows: Vec<Window>, now_ms: u64) -> Result<Windows, WindowError> {
-        for (i, window) in windows.iter().enumerate() {
-            for other in &windows[..i] {
+        for (index, window) in windows.iter().enumerate() {
+            for other in &windows[..index] {
                 if overlap(window, other, now_ms) {
                     return Err(WindowError::Overlap {
                         window: window.text.clone(),
@@ -157,34 +183,38 @@
         Ok(Windows(windows))
     }
 
-    /// Whether one is open. Without any, it always is.
+    /// Whether a window is open at this moment; always, if there are none.
     pub fn is_open(&self, now_ms: u64) -> bool {
         let now = now_ms as i64;
         let is_open = |window: &Window| {
-            let mut soon = window.from(now_ms).take_while(|(opens, _)| *opens <= now);
-            soon.any(|(_, closes)| now < closes)
+            let intervals = window.intervals_from(now_ms);
+            let mut opened = intervals.take_while(|interval| interval.opens_ms <= now);
+            opened.any(|interval| now < interval.closes_ms)
         };
         self.0.is_empty() || self.0.iter().any(is_open)
     }
 
-    /// When the next one opens, in its local time.
+    /// When the next window opens, as its local time with its zone; `None` if none does within a year.
     pub fn next_opening(&self, now_ms: u64) -> Option<String> {
         let now = now_ms as i64;
         let openings = self.0.iter().filter_map(|window| {
-            let (opens, _) = window.from(now_ms).find(|(opens, _)| *opens > now)?;
-            Some((opens, &window.zone))
+            let mut intervals = window.intervals_from(now_ms);
+            let next = intervals.find(|interval| interval.opens_ms > now)?;
+            Some((next.opens_ms, &window.zone))
         });
-        let (opens, zone) = openings.min_by_key(|(opens, _)| *opens)?;
-        let opens = Timestamp::from_millisecond(opens).ok()?;
+        let (opens_ms, zone) = openings.min_by_key(|(opens_ms, _)| *opens_ms)?;
+        let opens = Timestamp::from_millisecond(opens_ms).ok()?;
         Some(opens.to_zoned(zone.clone()).to_string())
     }
 }
 
+/// Whether two windows are ever open together within the year after `now_ms`.
 fn overlap(one: &Window, other: &Window, now_ms: u64) -> bool {
-    let others: Vec<Interval> = other.from(now_ms).collect();
-    let meets = |(opens, closes): Interval| {
-        let after = others.partition_point(|(_, c)| *c <= opens);
-        others.get(after).is_some_and(|(o, _)| *o < closes)
+    let others: Vec<Interval> = other.intervals_from(now_ms).collect();
+    let overlaps_other = |interval: Interval| {
+        let following = others.partition_point(|other| other.closes_ms <= interval.opens_ms);
+        let following = others.get(following);
+        following.is_some_and(|other| other.opens_ms < interval.closes_ms)
     };
-    one.from(now_ms).any(meets)
+    one.intervals_from(now_ms).any(overlaps_other)
 }
--- a/crates/upgrade/tests/histories.rs
+++ b/crates/upgrade/tests/histories.rs
@@ -5,11 +5,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use stairstage_upgrade::fence::WriteFence;
-use stairstage_upgrade::operation::{Change, Committed, Operation, Outcome, Request, Step};
-use stairstage_upgrade::plan::{Asked, Timing};
-use stairstage_upgrade::records::{member_key, Controller, VERSION};
+use stairstage_upgrade::operation::{
+    Change, ChangeOutcome, Condition, Operation, Outcome, Request, Step,
+};
+use stairstage_upgrade::plan::{Initiator, Timing};
+use stairstage_upgrade::records::{member_key, Controller, Member, VERSION};
 use stairstage_upgrade::{
-    ClusterVersion, Gate, MemberRecord, Snapshot, UpgradePolicy, VersionRange, VersionRecord,
+    ClusterVersion, FeatureGate, MemberRecord, Snapshot, UpgradePolicy, VersionRange, VersionRecord,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -67,7 +69,7 @@
 /// A process of a controller.
 struct Process {
     versions: VersionRange,
-    clearance: WriteFence,
+    write_fence: WriteFence,
 }
 
 #[derive(Default)]
@@ -84,7 +86,7 @@
 struct World {
     stamp: u64,
     version: Option<(VersionRecord, u64)>,
-    members: BTreeMap<String, (MemberRecord, u64)>,
+    members: BTreeMap<String, Member>,
     processes: Vec<Option<Process>>,
     operations: Vec<Option<(Operation, Step)>>,
     /// The stamp of the version's record that each operator has read last.
@@ -150,12 +152,12 @@
             .map(name_of)
             .find(|name| member_key(name) == key);
         let member = member.and_then(|name| self.members.get(&name));
-        member.map_or(0, |(_, stamp)| *stamp)
+        member.map_or(0, |member| member.stamp)
     }
 
     /// Carries a change of the version out, if its conditions hold; checks the rules of rises.
     fn apply(&mut self, change: &Change, decided_by: u64) -> bool {
-        let holds = |(key, stamp): &(String, u64)| self.stamp_of(key) == *stamp;
+        let holds = |condition: &Condition| self.stamp_of(&condition.key) == condition.stamp;
         if !change.conditions.iter().all(holds) {
             return false;
         }
@@ -167,7 +169,7 @@
             assert_eq!(after, before.next(), "versions rise one by one");
             for i in 0..CONTROLLERS {
                 let member = self.members.get(&name_of(i));
-                let follows = member.is_some_and(|(m, _)| m.versions.contains(after));
+                let follows = member.is_some_and(|member| member.record.versions.contains(after));
                 assert!(follows, "{} can't follow to {after}", name_of(i));
             }
             self.seen.rises += 1;
@@ -180,17 +182,18 @@
     fn start(&mut self, controller: usize, release: usize) {
         let versions = range_of(release);
         self.stamp += 1;
-        let member = MemberRecord {
+        let record = MemberRecord {
             release: format!("0.{release}"),
             versions,
             since_ms: 0,
         };
+        let stamp = self.stamp;
         self.members
-            .insert(name_of(controller), (member, self.stamp));
-        let clearance = WriteFence::Unread;
+            .insert(name_of(controller), Member { record, stamp });
+        let write_fence = WriteFence::Unread;
         self.processes[controller] = Some(Process {
             versions,
-            clearance,
+            write_fence,
         });
     }
 
@@ -200,9 +203,9 @@
             return;
         };
         let (record, stamp) = (snapshot.version, snapshot.stamp);
-        process.clearance.read(process.versions, &record, stamp);
+        process.write_fence.read(process.versions, &record, stamp);
         let follows = process.versions.contains(record.active);
-        assert_eq!(process.clearance.must_withdraw(), !follows);
+        assert_eq!(process.write_fence.must_withdraw(), !follows);
         self.seen.withdrawn += usize::from(!follows);
     }
 
@@ -212,12 +215,12 @@
         let Some(process) = &mut self.processes[controller] else {
             return;
         };
-        let clearance = process.clearance;
-        if clearance.refusal().is_some() {
+        let write_fence = process.write_fence;
+        if write_fence.refusal().is_some() {
             return;
         }
-        let pipelines = clearance.gates().is_open(Gate::Pipelines);
-        if clearance.stamp() != Some(stamp) {
+        let pipelines = write_fence.gates().is_open(FeatureGate::Pipelines);
+        if write_fence.stamp() != Some(stamp) {
             self.seen.fenced_writes += 1;
             return;
         }
@@ -230,7 +233,7 @@
         let request = if aborts {
             Request::Abort
         } else {
-            Request::Finalize(Asked::ByOperator)
+            Request::Finalize(Initiator::Operator)
         };
         let timing = Timing {
             now_ms: 0,
@@ -262,37 +265,37 @@
         self.operations[operator] = Some((operation, next));
     }
 
-    fn commit(&mut self, operator: usize, change: Change, fate: Fate) -> Committed {
+    fn commit(&mut self, operator: usize, change: Change, fate: Fate) -> ChangeOutcome {
         let decided_by = self.read[operator];
         match fate {
-            Fate::Answered if self.apply(&change, decided_by) => Committed::Applied,
-            Fate::Answered => Committed::Conflict,
+            Fate::Answered if self.apply(&change, decided_by) => ChangeOutcome::Applied,
+            Fate::Answered => ChangeOutcome::Conflict,
             Fate::AnswerLost => {
                 self.apply(&change, decided_by);
-                Committed::Unknown
+                ChangeOutcome::Indeterminate
             }
             Fate::Late => {
                 self.late.push((change, decided_by));
-                Committed::Unknown
+                ChangeOutcome::Indeterminate
             }
-            Fate::Refused => Committed::Refused,
+            Fate::Refused => ChangeOutcome::Refused,
         }
     }
 
     fn finished(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Finalized(version) => assert!(self.active() >= version),
-            Outcome::CalledOff(_) => self.seen.called_off += 1,
+            Outcome::Aborted(_) => self.seen.called_off += 1,
             Outcome::AlreadyFinalized(version) => assert!(self.active() >= version),
             Outcome::Refused(holds) => {
                 assert!(!holds.is_empty(), "a refusal has a reason");
                 self.seen.refused += 1;
             }
-            Outcome::Unreached => {}
+            Outcome::Undecided => {}
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Start {
                 controller,
@@ -363,7 +366,7 @@
     let events = prop::collection::vec(event(), 100..400);
     let played = runner.run(&events, |events| {
         let mut world = World::new();
-        events.into_iter().for_each(|event| world.take(event));
+        events.into_iter().for_each(|event| world.handle(event));
         let mut totals = totals.borrow_mut();
         totals.rises += world.seen.rises;
         totals.fenced_writes += world.seen.fenced_writes;
--- a/crates/upgrade/tests/plans.rs
+++ b/crates/upgrade/tests/plans.rs
@@ -1,7 +1,7 @@
 //! Every reason for which the cluster version does not rise, and the words in which it is told.
 
-use stairstage_upgrade::plan::{Asked, Timing};
-use stairstage_upgrade::records::Controller;
+use stairstage_upgrade::plan::{Initiator, Timing};
+use stairstage_upgrade::records::{Controller, Member};
 use stairstage_upgrade::status::Status;
 use stairstage_upgrade::{
     ClusterVersion, MemberRecord, Plan, SeenRecord, Snapshot, UpgradePolicy, VersionRange,
@@ -18,14 +18,17 @@
 }
 
 fn controller(number: usize, release: &str, range: VersionRange) -> Controller {
-    let member = MemberRecord {
+    let record = MemberRecord {
         release: release.into(),
         versions: range,
         since_ms: NOW_MS - 100_000,
     };
     Controller {
         name: format!("deckhand-{number}"),
-        member: Some((member, 10 + number as u64)),
+        member: Some(Member {
+            record,
+            stamp: 10 + number as u64,
+        }),
         seen: None,
     }
 }
@@ -56,8 +59,8 @@
     UpgradePolicy::parse(text, NOW_MS).expect("a policy")
 }
 
-fn holds(snapshot: &Snapshot, text: &str, asked: Asked) -> Vec<String> {
-    let plan = Plan::of(snapshot, &policy(text), asked, &timing(60.0));
+fn holds(snapshot: &Snapshot, text: &str, initiator: Initiator) -> Vec<String> {
+    let plan = Plan::of(snapshot, &policy(text), initiator, &timing(60.0));
     assert_eq!(plan.ready().is_some(), plan.holds.is_empty());
     plan.holds.iter().map(ToString::to_string).collect()
 }
@@ -67,7 +70,7 @@
     let plan = Plan::of(
         &snapshot(upgraded()),
         &UpgradePolicy::default(),
-        Asked::ByOperator,
+        Initiator::Operator,
         &timing(1e9),
     );
     assert_eq!(plan.ready(), Some(ClusterVersion(2)));
@@ -81,7 +84,7 @@
         release: "0.1".into(),
         at_ms: NOW_MS - 41_500,
     });
-    let told = holds(&snapshot(controllers), "(upgrade)", Asked::ByOperator);
+    let told = holds(&snapshot(controllers), "(upgrade)", Initiator::Operator);
     assert_eq!(
         told,
         ["deckhand-2 was last heard 41 s ago with release 0.1"]
@@ -92,7 +95,7 @@
 fn a_release_without_staged_upgrades_holds_it_up() {
     let mut controllers = upgraded();
     controllers[0].member = None;
-    let told = holds(&snapshot(controllers), "(upgrade)", Asked::ByOperator);
+    let told = holds(&snapshot(controllers), "(upgrade)", Initiator::Operator);
     assert_eq!(told.len(), 1);
     assert!(
         told[0].starts_with("deckhand-0 has never registered"),
@@ -105,7 +108,7 @@
     let mut controllers = upgraded();
     controllers[0] = controller(0, "0.1", versions(1, 1));
     controllers[1] = controller(1, "0.4", versions(3, 4));
-    let told = holds(&snapshot(controllers), "(upgrade)", Asked::ByOperator);
+    let told = holds(&snapshot(controllers), "(upgrade)", Initiator::Operator);
     assert_eq!(
         told,
         [
@@ -120,7 +123,7 @@
     let old: Vec<Controller> = (0..3)
         .map(|i| controller(i, "0.1", versions(1, 1)))
         .collect();
-    let told = holds(&snapshot(old), "(upgrade)", Asked::ByOperator);
+    let told = holds(&snapshot(old), "(upgrade)", Initiator::Operator);
     assert_eq!(told, ["no controller runs a release with a later version"]);
 }
 
@@ -132,7 +135,7 @@
     let plan = Plan::of(
         &snapshot(newest),
         &UpgradePolicy::default(),
-        Asked::ByOperator,
+        Initiator::Operator,
         &timing(0.0),
     );
     assert_eq!(plan.ready(), Some(ClusterVersion(2)));
@@ -140,7 +143,7 @@
 
 #[test]
 fn a_policy_by_hand_leaves_it_to_operators() {
-    let told = holds(&snapshot(upgraded()), "(upgrade)", Asked::ByPolicy);
+    let told = holds(&snapshot(upgraded()), "(upgrade)", Initiator::Policy);
     assert_eq!(told, ["the policy leaves it to an operator"]);
 }
 
@@ -149,13 +152,18 @@
     let mut controllers = upgraded();
     let since_ms = |ran_s: u64| NOW_MS - 1000 * ran_s;
     let ran = |controller: &mut Controller, ran_s| {
-        controller.member.as_mut().expect("a member").0.since_ms = since_ms(ran_s);
+        controller
+            .member
+            .as_mut()
+            .expect("a member")
+            .record
+            .since_ms = since_ms(ran_s);
     };
     ran(&mut controllers[0], 60);
     ran(&mut controllers[1], 61);
     ran(&mut controllers[2], 20);
     let automatic = "(upgrade (finalize automatic))";
-    let told = holds(&snapshot(controllers), automatic, Asked::ByPolicy);
+    let told = holds(&snapshot(controllers), automatic, Initiator::Policy);
     assert_eq!(
         told,
         [
@@ -178,7 +186,7 @@
         (r#"monday thursday "07:00" "09:00""#, false),
     ] {
         let text = format!(r#"(upgrade (finalize automatic) (window {window} "UTC"))"#);
-        let told = holds(&snapshot(upgraded()), &text, Asked::ByPolicy);
+        let told = holds(&snapshot(upgraded()), &text, Initiator::Policy);
         assert_eq!(told.is_empty(), open, "{window}: {told:?}");
         if !open {
             assert!(told[0].contains("the next one opens at"), "{told:?}");
@@ -191,10 +199,10 @@
     let mut called_off = snapshot(upgraded());
     called_off.version.held = true;
     let automatic = "(upgrade (finalize automatic))";
-    let told = holds(&called_off, automatic, Asked::ByPolicy);
+    let told = holds(&called_off, automatic, Initiator::Policy);
     assert_eq!(told.len(), 1);
     assert!(told[0].contains("called the upgrade off"), "{told:?}");
-    assert!(holds(&called_off, automatic, Asked::ByOperator).is_empty());
+    assert!(holds(&called_off, automatic, Initiator::Operator).is_empty());
 }
 
 #[test]
@@ -205,7 +213,7 @@
     let plan = Plan::of(
         &snapshot,
         &policy("(upgrade)"),
-        Asked::ByOperator,
+        Initiator::Operator,
         &timing(0.0),
     );
     let text = Status::of(&snapshot, &plan, NOW_MS).to_string();
--- a/crates/upgrade/tests/records.rs
+++ b/crates/upgrade/tests/records.rs
@@ -4,7 +4,8 @@
 use stairstage_upgrade::fence::{Refusal, WriteFence};
 use stairstage_upgrade::records::{member_key, seen_key, VERSION};
 use stairstage_upgrade::{
-    ClusterVersion, Gate, Gates, MemberRecord, SeenRecord, VersionRange, VersionRecord,
+    ClusterVersion, FeatureGate, FeatureGates, MemberRecord, SeenRecord, VersionRange,
+    VersionRecord,
 };
 
 fn version_record(text: Value) -> VersionRecord {
@@ -53,30 +54,30 @@
 
 #[test]
 fn what_was_read_earlier_takes_nothing_back() {
-    let mut clearance = WriteFence::Unread;
-    assert_eq!(clearance.refusal(), Some(Refusal::VersionUnread));
-    assert!(!clearance.gates().is_open(Gate::Pipelines));
+    let mut write_fence = WriteFence::Unread;
+    assert_eq!(write_fence.refusal(), Some(Refusal::VersionUnread));
+    assert!(!write_fence.gates().is_open(FeatureGate::Pipelines));
     let second = version_record(json!({"active": 2, "since_ms": 5}));
-    clearance.read(range(1, 2), &second, 9);
+    write_fence.read(range(1, 2), &second, 9);
     let late = version_record(json!({"active": 1, "since_ms": 0}));
-    clearance.read(range(1, 2), &late, 8);
-    assert_eq!(clearance.stamp(), Some(9));
-    assert!(clearance.gates().is_open(Gate::Pipelines));
-    assert_eq!(clearance.refusal(), None);
+    write_fence.read(range(1, 2), &late, 8);
+    assert_eq!(write_fence.stamp(), Some(9));
+    assert!(write_fence.gates().is_open(FeatureGate::Pipelines));
+    assert_eq!(write_fence.refusal(), None);
     let third = version_record(json!({"active": 3, "since_ms": 6}));
-    clearance.read(range(1, 2), &third, 10);
-    assert!(clearance.must_withdraw());
-    clearance.read(range(1, 2), &second, 9);
-    assert!(clearance.must_withdraw());
+    write_fence.read(range(1, 2), &third, 10);
+    assert!(write_fence.must_withdraw());
+    write_fence.read(range(1, 2), &second, 9);
+    assert!(write_fence.must_withdraw());
 }
 
 #[test]
 fn where_upgrades_are_not_staged_nothing_is_fenced_and_all_gates_are_open() {
-    let mut clearance = WriteFence::Unstaged;
+    let mut write_fence = WriteFence::Unstaged;
     let later = version_record(json!({"active": 9, "since_ms": 6}));
-    clearance.read(range(1, 2), &later, 10);
-    assert_eq!(clearance, WriteFence::Unstaged);
-    assert_eq!(clearance.stamp(), None);
-    assert_eq!(clearance.gates(), Gates::AllOpen);
-    assert!(clearance.gates().is_open(Gate::Pipelines));
+    write_fence.read(range(1, 2), &later, 10);
+    assert_eq!(write_fence, WriteFence::Unstaged);
+    assert_eq!(write_fence.stamp(), None);
+    assert_eq!(write_fence.gates(), FeatureGates::AllOpen);
+    assert!(write_fence.gates().is_open(FeatureGate::Pipelines));
 }
--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -7,7 +7,7 @@
 use crate::storage::key_value_store::KeyValueStore;
 use clap::{Args, Subcommand, ValueEnum};
 use stairstage_upgrade::operation::{Outcome, Request};
-use stairstage_upgrade::plan::{Asked, Plan};
+use stairstage_upgrade::plan::{Initiator, Plan};
 use stairstage_upgrade::status::Status;
 use stairstage_upgrade::{Hold, Snapshot, UpgradePolicy};
 use std::path::PathBuf;
@@ -72,7 +72,7 @@
         match command {
             UpgradeCommand::Status(_) => context.status(),
             UpgradeCommand::Plan(_) => context.plan(),
-            UpgradeCommand::Finalize(_) => context.execute(Request::Finalize(Asked::ByOperator)),
+            UpgradeCommand::Finalize(_) => context.execute(Request::Finalize(Initiator::Operator)),
             UpgradeCommand::Abort(_) => context.execute(Request::Abort),
         }
     })
@@ -92,16 +92,16 @@
         result.ok().map(|(snapshot, _)| snapshot)
     }
 
-    fn plan_of(&self, snapshot: &Snapshot, asked: Asked) -> Plan {
+    fn plan_of(&self, snapshot: &Snapshot, initiator: Initiator) -> Plan {
         let timing = records::timing(&self.settings, &self.policy, wall_ms());
-        Plan::of(snapshot, &self.policy, asked, &timing)
+        Plan::of(snapshot, &self.policy, initiator, &timing)
     }
 
     fn status(&self) -> ExitCode {
         let Some(snapshot) = self.snapshot() else {
             return ExitCode::FAILURE;
         };
-        let plan = self.plan_of(&snapshot, Asked::ByPolicy);
+        let plan = self.plan_of(&snapshot, Initiator::Policy);
         self.print_status(&Status::of(&snapshot, &plan, wall_ms()));
         ExitCode::SUCCESS
     }
@@ -110,7 +110,7 @@
         let Some(snapshot) = self.snapshot() else {
             return ExitCode::FAILURE;
         };
-        let plan = self.plan_of(&snapshot, Asked::ByOperator);
+        let plan = self.plan_of(&snapshot, Initiator::Operator);
         self.print_status(&Status::of(&snapshot, &plan, wall_ms()));
         match plan.ready() {
             Some(next) => {
@@ -123,10 +123,10 @@
 
     fn execute(&self, request: Request) -> ExitCode {
         let (store, settings) = (&self.store, &self.settings);
-        let outcome = records::carry_out(store, settings, &self.policy, request, wall_ms);
+        let outcome = records::execute(store, settings, &self.policy, request, wall_ms);
         match outcome {
             Outcome::Finalized(version) => self.print_done(&format!("version {version} is active")),
-            Outcome::CalledOff(version) => self.print_done(&format!(
+            Outcome::Aborted(version) => self.print_done(&format!(
                 "the upgrade is called off; version {version} stays active"
             )),
             Outcome::AlreadyFinalized(version) => self.print_refused(&[format!(
@@ -136,7 +136,7 @@
                 let holds: Vec<String> = holds.iter().map(Hold::to_string).collect();
                 self.print_refused(&holds)
             }
-            Outcome::Unreached => {
+            Outcome::Undecided => {
                 eprintln!(
                     "stairstage: not decided: the state service did not answer, or the records changed \
                      meanwhile; try again"
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -5,7 +5,7 @@
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::settings::Settings;
 use crate::storage::records::OpenRecord;
-use stairstage_upgrade::Gate;
+use stairstage_upgrade::FeatureGate;
 
 /// The answer to a submission that is not taken, unless the job was accepted before.
 pub(super) fn refusal(record: &OpenRecord, context: &Context) -> Option<Answer> {
@@ -13,7 +13,7 @@
         return Some(Answer::Later(Reason::NoMachineTypes));
     }
     let waits = !record.spec.waits_on.is_empty();
-    if waits && !context.clearance.gates().is_open(Gate::Pipelines) {
+    if waits && !context.clearance.gates().is_open(FeatureGate::Pipelines) {
         return Some(Answer::Later(Reason::NotFinalized));
     }
     if let Some(why) = cannot_run(&record.spec, &context.settings, &context.types) {
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -1,4 +1,5 @@
-//! Keeps this controller's record alive, follows the active version, and finalizes by the policy.
+//! This controller's membership: keeps its member record alive, follows the active version, and
+//! finalizes by the policy.
 
 use super::records;
 use super::SharedWriteFence;
@@ -9,8 +10,8 @@
 use crate::settings::Settings;
 use crate::storage::key_value_store::{CommitOutcome, KeyValueStore, Renewal, Unavailable};
 use crossbeam::channel::Sender;
-use stairstage_upgrade::operation::{Outcome as Finalized, Request};
-use stairstage_upgrade::plan::{Asked, Plan};
+use stairstage_upgrade::operation::{Outcome, Request};
+use stairstage_upgrade::plan::{Initiator, Plan};
 use stairstage_upgrade::policy::Finalize;
 use stairstage_upgrade::records::{member_key, seen_key, VERSION};
 use stairstage_upgrade::{MemberRecord, SeenRecord, Snapshot, UpgradePolicy, VersionRange};
@@ -18,80 +19,89 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// A lease is renewed so many times in its life.
-const RENEWALS: u32 = 3;
-/// The state service's bounds on leases.
-const SHORTEST_LEASE: Duration = Duration::from_millis(200);
-const LONGEST_LEASE: Duration = Duration::from_secs(600);
-/// Watches that end at once, without news, must not be repeated at once.
-const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// How many times a lease is renewed within its duration.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// The bounds on a lease's duration, within those of the state service.
+const MIN_LEASE: Duration = Duration::from_millis(200);
+const MAX_LEASE: Duration = Duration::from_secs(600);
+/// The shortest time between two rounds, should watches end at once.
+const MIN_ROUND: Duration = Duration::from_millis(100);
 
-struct Member {
+struct Membership {
     settings: Arc<Settings>,
     policy: UpgradePolicy,
     store: KeyValueStore,
-    clearance: SharedWriteFence,
+    write_fence: SharedWriteFence,
     controller: Sender<Message>,
+    /// The lease of the member record, while it is registered.
     lease: Option<u64>,
-    lease_life: Duration,
+    lease_duration: Duration,
+    /// When this process started, in milliseconds since the Unix epoch.
     since_ms: u64,
-    told: Option<Plan>,
+    /// The plan whose holds were last logged.
+    logged_plan: Option<Plan>,
 }
 
-/// Starts it on a thread of its own, if the operators have named a file.
+/// Starts the membership on a thread of its own, if upgrades are staged.
+///
+/// # Errors
+/// When the thread cannot be started.
 pub fn start(
     settings: &Arc<Settings>,
     store: &KeyValueStore,
-    clearance: &SharedWriteFence,
+    write_fence: &SharedWriteFence,
     controller: &Sender<Message>,
 ) -> anyhow::Result<()> {
     let Some(policy) = settings.upgrade.clone() else {
         return Ok(());
     };
-    let life = policy.member_lease * settings.cluster.workers.report_s;
-    let member = Member {
+    let lease_s = policy.member_lease * settings.cluster.workers.report_s;
+    let membership = Membership {
         settings: settings.clone(),
         store: store.clone(),
-        clearance: clearance.clone(),
+        write_fence: write_fence.clone(),
         controller: controller.clone(),
         lease: None,
-        lease_life: Duration::from_secs_f64(life).clamp(SHORTEST_LEASE, LONGEST_LEASE),
+        lease_duration: Duration::from_secs_f64(lease_s).clamp(MIN_LEASE, MAX_LEASE),
         since_ms: wall_ms(),
-        told: None,
+        logged_plan: None,
         policy,
     };
-    spawn("upgrade", move || member.run())
+    spawn("upgrade", move || membership.run())
 }
 
-impl Member {
+impl Membership {
     fn run(mut self) {
         loop {
             let begun = Instant::now();
-            if self.round().is_err() {
-                std::thread::sleep(self.lease_life / (2 * RENEWALS));
+            if self.run_round().is_err() {
+                std::thread::sleep(self.lease_duration / (2 * RENEWALS_PER_LEASE));
             }
-            std::thread::sleep(MIN_PAUSE.saturating_sub(begun.elapsed()));
+            std::thread::sleep(MIN_ROUND.saturating_sub(begun.elapsed()));
         }
     }
 
-    /// Renews the record, reads what others have, and waits for a change of the version until it is
-    /// time to renew again.
-    fn round(&mut self) -> Result<(), Unavailable> {
+    /// Renews the lease, reads all records, and waits for a change of the version record until the lease is
+    /// to be renewed again.
+    fn run_round(&mut self) -> Result<(), Unavailable> {
         let registered = self.keep_registered();
         let controllers = records::configured(&self.settings);
         let (snapshot, revision) = records::read(&self.store, &controllers)?;
-        self.version_read(&snapshot);
+        self.update_write_fence(&snapshot);
         registered?;
         self.finalize_if_due(&snapshot);
-        let hold = self.lease_life / RENEWALS;
-        self.store.watch(VERSION, revision, hold).map(|_| ())
+        let watch_timeout = self.lease_duration / RENEWALS_PER_LEASE;
+        self.store
+            .watch(VERSION, revision, watch_timeout)
+            .map(|_| ())
     }
 
+    /// Renews the lease, or registers again if it has expired.
     fn keep_registered(&mut self) -> Result<(), Unavailable> {
-        let patience = self.lease_life / RENEWALS;
+        let timeout = self.lease_duration / RENEWALS_PER_LEASE;
         if let Some(lease) = self.lease {
-            match self.store.renew(lease, patience) {
-                Renewal::Renewed => return self.note_seen(),
+            match self.store.renew(lease, timeout) {
+                Renewal::Renewed => return self.write_seen_record(),
                 Renewal::Unavailable => return Err(Unavailable),
                 Renewal::Over => self.lease = None,
             }
@@ -100,21 +110,21 @@
     }
 
     fn register(&mut self) -> Result<(), Unavailable> {
-        let lease = self.store.grant(self.lease_life)?;
+        let lease = self.store.grant(self.lease_duration)?;
         let record = MemberRecord {
             release: release(),
             versions: VersionRange::OF_THIS_RELEASE,
             since_ms: self.since_ms,
         };
-        let value = serde_json::to_value(record).expect("plain data");
+        let value = serde_json::to_value(record).expect("serializing plain data cannot fail");
         let key = member_key(&self.settings.name);
         let transaction = Transaction::default().put_leased(key, value, lease);
         match self.store.commit(&transaction) {
             CommitOutcome::Applied(_) => {
                 self.lease = Some(lease);
-                self.note_seen()
+                self.write_seen_record()
             }
-            // A copy that is carried out later goes with its lease.
+            // Should the record be written later after all, it is removed with its lease.
             _ => {
                 self.store.release(lease);
                 Err(Unavailable)
@@ -122,12 +132,12 @@
         }
     }
 
-    fn note_seen(&self) -> Result<(), Unavailable> {
+    fn write_seen_record(&self) -> Result<(), Unavailable> {
         let record = SeenRecord {
             release: release(),
             at_ms: wall_ms(),
         };
-        let value = serde_json::to_value(record).expect("plain data");
+        let value = serde_json::to_value(record).expect("serializing plain data cannot fail");
         let key = seen_key(&self.settings.name);
         match self.store.commit(&Transaction::default().put(key, value)) {
             CommitOutcome::Applied(_) => Ok(()),
@@ -135,49 +145,50 @@
         }
     }
 
-    fn version_read(&self, snapshot: &Snapshot) {
-        if !self.clearance.read(&snapshot.version, snapshot.stamp) {
+    fn update_write_fence(&self, snapshot: &Snapshot) {
+        if !self.write_fence.read(&snapshot.version, snapshot.stamp) {
             return;
         }
-        let clearance = self.clearance.get();
-        match clearance.refusal() {
-            Some(why) => warn!("{why}: withdraws"),
-            None => info!("the cluster is at version {}", snapshot.version.active),
+        let write_fence = self.write_fence.get();
+        match write_fence.refusal() {
+            // The operators' page quotes this line.
+            Some(reason) => warn!("{reason}: withdraws"),
+            None => info!(version = %snapshot.version.active, "cluster version active"),
         }
-        let _ = self.controller.send(Message::WriteFence(clearance));
+        let _ = self.controller.send(Message::WriteFence(write_fence));
     }
 
-    /// Any controller may: the change hangs on all that it was decided by, so that one of them does.
+    /// Every controller tries: the compares of the change let only one of them succeed.
     fn finalize_if_due(&mut self, snapshot: &Snapshot) {
         if self.policy.finalize != Finalize::Automatic {
             return;
         }
         let timing = records::timing(&self.settings, &self.policy, wall_ms());
-        let plan = Plan::of(snapshot, &self.policy, Asked::ByPolicy, &timing);
+        let plan = Plan::of(snapshot, &self.policy, Initiator::Policy, &timing);
         if plan.ready().is_some() {
-            let request = Request::Finalize(Asked::ByPolicy);
+            let request = Request::Finalize(Initiator::Policy);
             let (store, settings) = (&self.store, &self.settings);
-            let outcome = records::carry_out(store, settings, &self.policy, request, wall_ms);
-            if let Finalized::Finalized(version) = outcome {
-                info!("finalized version {version}");
+            let outcome = records::execute(store, settings, &self.policy, request, wall_ms);
+            if let Outcome::Finalized(version) = outcome {
+                info!(%version, "upgrade finalized");
             }
         }
-        self.tell(plan);
+        self.log_holds(plan);
     }
 
-    /// Tells once what holds the upgrade up.
-    fn tell(&mut self, plan: Plan) {
-        let is_news = self.told.as_ref().map(|told| told.next) != Some(plan.next);
-        if is_news {
+    /// Logs, once for each next version, why it is not activated.
+    fn log_holds(&mut self, plan: Plan) {
+        let logged_next = self.logged_plan.as_ref().map(|logged| logged.next);
+        if logged_next != Some(plan.next) {
             for hold in &plan.holds {
-                info!("the cluster version does not rise: {hold}");
+                info!(%hold, "upgrade not finalized");
             }
         }
-        self.told = Some(plan);
+        self.logged_plan = Some(plan);
     }
 }
 
-/// The release that runs here.
+/// The release of this program.
 fn release() -> String {
     env!("CARGO_PKG_VERSION").to_string()
 }
--- a/src/service/upgrade/mod.rs
+++ b/src/service/upgrade/mod.rs
@@ -1,5 +1,5 @@
-//! Staged upgrades, as `stairstage_upgrade` decides them: this controller's record, what it knows of
-//! the active version, and finalization by the policy. Off unless the operators name a file.
+//! Staged upgrades, which `stairstage_upgrade` decides on: this controller's membership, its write fence,
+//! and finalizing by the policy. Off unless the operators name an upgrade policy.
 
 mod member;
 pub mod records;
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -1,22 +1,23 @@
-//! The records of upgrades in the state service, and the operations on them.
+//! The records of upgrades in the state service, and the driver of operations on them.
 
 use crate::protocol::store::{Transaction, VersionedValue};
 use crate::settings::Settings;
 use crate::storage::key_value_store::{CommitOutcome, KeyValueStore, Unavailable};
 use serde::de::DeserializeOwned;
-use stairstage_upgrade::operation::{self, Change, Committed, Operation, Request, Step};
+use stairstage_upgrade::operation::{self, Change, ChangeOutcome, Operation, Request, Step};
 use stairstage_upgrade::plan::Timing;
-use stairstage_upgrade::records::{member_key, seen_key, Controller, VERSION};
+use stairstage_upgrade::records::{member_key, seen_key, Controller, Member, VERSION};
 use stairstage_upgrade::{Snapshot, UpgradePolicy, VersionRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tracing::warn;
 
-/// The prefix of all of them.
-const CLUSTER: &str = "cluster/";
+/// The prefix of the keys of all records of upgrades.
+const RECORD_PREFIX: &str = "cluster/";
+/// Pause after the state service was unavailable or refused a change.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The controllers that the settings name, this one among them.
+/// The names of all controllers in the settings, this one included, in order.
 pub fn configured(settings: &Settings) -> Vec<String> {
     let others = settings.peers.iter().map(|peer| peer.name.clone());
     let mut names: Vec<String> = others.chain([settings.name.clone()]).collect();
@@ -24,16 +25,21 @@
     names
 }
 
-/// All records, and the revision as of which they were read.
+/// Reads all records; returns them with the revision of the state service at which they were read.
+///
+/// # Errors
+/// When the state service is unavailable.
 pub fn read(store: &KeyValueStore, controllers: &[String]) -> Result<(Snapshot, u64), Unavailable> {
-    let (items, revision) = store.list(CLUSTER)?;
+    let (items, revision) = store.list(RECORD_PREFIX)?;
     let items = items.into_iter();
-    let mut records: BTreeMap<String, VersionedValue> = items.map(|i| (i.key.clone(), i)).collect();
-    let version = take::<VersionRecord>(&mut records, VERSION);
+    let mut records: BTreeMap<String, VersionedValue> =
+        items.map(|item| (item.key.clone(), item)).collect();
+    let version = remove_decoded::<VersionRecord>(&mut records, VERSION);
     let controllers = controllers.iter().map(|name| Controller {
         name: name.clone(),
-        member: take(&mut records, &member_key(name)),
-        seen: take(&mut records, &seen_key(name)).map(|(seen, _)| seen),
+        member: remove_decoded(&mut records, &member_key(name))
+            .map(|(record, stamp)| Member { record, stamp }),
+        seen: remove_decoded(&mut records, &seen_key(name)).map(|(seen, _)| seen),
     });
     let controllers = controllers.collect();
     let (version, stamp) = version.unwrap_or((VersionRecord::FIRST, 0));
@@ -45,7 +51,9 @@
     Ok((snapshot, revision))
 }
 
-fn take<T: DeserializeOwned>(
+/// Removes a record from those that were read; returns it decoded, with its stamp. One that cannot be
+/// decoded counts as absent.
+fn remove_decoded<T: DeserializeOwned>(
     records: &mut BTreeMap<String, VersionedValue>,
     key: &str,
 ) -> Option<(T, u64)> {
@@ -53,14 +61,14 @@
     match serde_json::from_value(item.value) {
         Ok(value) => Some((value, item.version)),
         Err(error) => {
-            warn!("{key}: cannot be read: {error}");
+            warn!(key, %error, "cannot decode a record");
             None
         }
     }
 }
 
-/// Carries an operation out.
-pub fn carry_out(
+/// Carries out an operation; blocks until it has ended.
+pub fn execute(
     store: &KeyValueStore,
     settings: &Settings,
     policy: &UpgradePolicy,
@@ -85,7 +93,7 @@
     }
 }
 
-/// The figures of a plan.
+/// The times that a plan depends on, from the settings and the policy.
 pub fn timing(settings: &Settings, policy: &UpgradePolicy, now_ms: u64) -> Timing {
     Timing {
         now_ms,
@@ -94,23 +102,23 @@
     }
 }
 
-fn commit(store: &KeyValueStore, change: Change) -> Committed {
-    let none = Transaction::default();
+fn commit(store: &KeyValueStore, change: Change) -> ChangeOutcome {
+    let empty = Transaction::default();
     let conditions = change.conditions.into_iter();
-    let transaction = conditions.fold(none, |transaction, (key, stamp)| {
-        transaction.version(key, stamp)
+    let transaction = conditions.fold(empty, |transaction, condition| {
+        transaction.version(condition.key, condition.stamp)
     });
-    let value = serde_json::to_value(change.record).expect("plain data");
+    let value = serde_json::to_value(change.record).expect("serializing plain data cannot fail");
     match store.commit(&transaction.put(VERSION, value)) {
-        CommitOutcome::Applied(_) => Committed::Applied,
-        CommitOutcome::Conflict(_) => Committed::Conflict,
+        CommitOutcome::Applied(_) => ChangeOutcome::Applied,
+        CommitOutcome::Conflict(_) => ChangeOutcome::Conflict,
         CommitOutcome::Refused
         | CommitOutcome::Limited
         | CommitOutcome::TooLarge
         | CommitOutcome::NoLease => {
             std::thread::sleep(RETRY_PAUSE);
-            Committed::Refused
+            ChangeOutcome::Refused
         }
-        CommitOutcome::Unknown => Committed::Unknown,
+        CommitOutcome::Unknown => ChangeOutcome::Indeterminate,
     }
 }
--- a/src/service/upgrade/shared.rs
+++ b/src/service/upgrade/shared.rs
@@ -1,33 +1,34 @@
-//! What this controller knows of the active version, shared by the actors that write or answer.
+//! The write fence of this controller, shared by the threads that write records or serve users.
 
 use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::{VersionRange, VersionRecord};
-use std::sync::{Arc, RwLock};
+use std::sync::{Arc, PoisonError, RwLock};
 
-/// The clearance of this process.
+/// The write fence of this process.
 #[derive(Clone)]
 pub struct SharedWriteFence(Arc<RwLock<WriteFence>>);
 
 impl SharedWriteFence {
-    /// `staged` tells whether upgrades are staged at all.
+    /// A fence before the version record has been read; `staged` is whether upgrades are staged at all.
     pub fn new(staged: bool) -> SharedWriteFence {
-        let clearance = if staged {
+        let write_fence = if staged {
             WriteFence::Unread
         } else {
             WriteFence::Unstaged
         };
-        SharedWriteFence(Arc::new(RwLock::new(clearance)))
+        SharedWriteFence(Arc::new(RwLock::new(write_fence)))
     }
 
+    /// What is known of the active version now.
     pub fn get(&self) -> WriteFence {
-        *self.0.read().unwrap_or_else(|e| e.into_inner())
+        *self.0.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in the version's record; whether anything is new.
+    /// Applies a version record that was read, with its stamp; returns whether the fence has changed.
     pub fn read(&self, record: &VersionRecord, stamp: u64) -> bool {
-        let mut clearance = self.0.write().unwrap_or_else(|e| e.into_inner());
-        let before = *clearance;
-        clearance.read(VersionRange::OF_THIS_RELEASE, record, stamp);
-        *clearance != before
+        let mut write_fence = self.0.write().unwrap_or_else(PoisonError::into_inner);
+        let before = *write_fence;
+        write_fence.read(VersionRange::OF_THIS_RELEASE, record, stamp);
+        *write_fence != before
     }
 }
--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -14,7 +14,7 @@
 
 use random::SplitMix64;
 use serde_json::{json, Value};
-use standins::*;
+use standins::{call, small_job, until, Grid, Killed};
 use std::collections::BTreeMap;
 use std::ffi::OsStr;
 use std::path::{Path, PathBuf};
@@ -39,8 +39,8 @@
     /// Whether each runs the present version.
     present: [bool; 3],
     random: SplitMix64,
-    /// What users were told last of each accepted job.
-    told: BTreeMap<String, String>,
+    /// The state that users last got for each accepted job.
+    last_state: BTreeMap<String, String>,
     submitted: usize,
     kills: usize,
     offline: usize,
@@ -57,7 +57,7 @@
             nodes: [None, None, None],
             present: [false; 3],
             random: SplitMix64(SEED),
-            told: BTreeMap::new(),
+            last_state: BTreeMap::new(),
             submitted: 0,
             kills: 0,
             offline: 0,
@@ -86,14 +86,14 @@
         let id = format!("req-{}", self.submitted);
         self.submitted += 1;
         let mut job = small_job(&id);
-        if let Some(needed) = self.told.keys().next_back().filter(|_| waits) {
+        if let Some(needed) = self.last_state.keys().next_back().filter(|_| waits) {
             job["waits_on"] = json!([needed]);
         }
         for _ in 0..20 {
             let front = self.grid.front(self.random.next() as usize % 3);
             match call("POST", &front, "/v2/runs", &job) {
                 Some((200 | 201, _)) => {
-                    self.told.insert(id, "pending".into());
+                    self.last_state.insert(id, "pending".into());
                     return;
                 }
                 Some((400 | 404 | 422, answer)) => panic!("{id}: {answer}"),
@@ -105,7 +105,7 @@
     /// A user asks somewhere about some job that it has no final answer of.
     fn ask(&mut self) {
         let open: Vec<String> = self
-            .told
+            .last_state
             .iter()
             .filter(|(_, state)| *state != "done")
             .map(|(id, _)| id.clone())
@@ -128,7 +128,10 @@
         };
         let state = answer["status"].as_str().unwrap().to_string();
         assert_ne!(state, "cancelled", "{id}: nobody has cancelled it");
-        let before = self.told.insert(id.to_string(), state.clone()).unwrap();
+        let before = self
+            .last_state
+            .insert(id.to_string(), state.clone())
+            .unwrap();
         let went_back = before == "done" && state != "done";
         assert!(!went_back, "{id} went back to {state}");
     }
@@ -188,12 +191,12 @@
         until("every job is done", || {
             self.work();
             (0..20).for_each(|_| self.ask());
-            self.told
+            self.last_state
                 .values()
                 .all(|state| state == "done")
                 .then_some(())
         });
-        let ids: Vec<String> = self.told.keys().cloned().collect();
+        let ids: Vec<String> = self.last_state.keys().cloned().collect();
         for id in ids {
             (0..3).for_each(|node| self.ask_about(&id, node));
         }
@@ -226,8 +229,12 @@
          left offline, {} tasks of {} started again after they had exited",
         begun.elapsed().as_secs(),
         proof.submitted,
-        proof.told.len(),
-        proof.told.values().filter(|state| *state == "done").count(),
+        proof.last_state.len(),
+        proof
+            .last_state
+            .values()
+            .filter(|state| *state == "done")
+            .count(),
         proof.kills,
         proof.offline,
         repeated,
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -4,20 +4,20 @@
 mod standins;
 
 use serde_json::{json, Value};
-use standins::*;
+use standins::{accepted, call, small_job, until, Grid, Killed};
 use std::ffi::OsStr;
 use std::path::Path;
 use std::process::Command;
 
 const BY_HAND: &str = "(upgrade (finalize by-hand) (member-lease 2))";
 
-/// What the command has told, and its exit code.
-struct Told {
+/// The exit code of the command, and its standard output.
+struct CommandOutput {
     code: i32,
     text: String,
 }
 
-fn upgrade(grid: &Grid, policy: &Path, arguments: &[&str]) -> Told {
+fn upgrade(grid: &Grid, policy: &Path, arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
         .arg("upgrade")
         .args(arguments)
@@ -27,7 +27,7 @@
         .arg(policy)
         .output()
         .unwrap();
-    Told {
+    CommandOutput {
         code: output.status.code().unwrap(),
         text: String::from_utf8(output.stdout).unwrap(),
     }
@@ -58,10 +58,10 @@
         grid.start(2),
     ];
     let status = until("two are registered", || {
-        let told = upgrade(&grid, &policy, &["status", "--format", "json"]);
-        let status: Value = serde_json::from_str(&told.text).ok()?;
+        let output = upgrade(&grid, &policy, &["status", "--format", "json"]);
+        let status: Value = serde_json::from_str(&output.text).ok()?;
         let runs = |i: usize| status["controllers"][i]["release"].is_string();
-        (told.code == 0 && runs(0) && runs(1)).then_some(status)
+        (output.code == 0 && runs(0) && runs(1)).then_some(status)
     });
     assert_eq!(status["active"], 1);
     assert_eq!(status["next"], 2);
@@ -110,33 +110,33 @@
     let policy = grid.write_file("upgrade.lisp", automatic);
     let mut nodes = vec![staged(&grid, 0, &policy), staged(&grid, 1, &policy)];
     until("two are registered", || {
-        let told = upgrade(&grid, &policy, &["status"]);
-        (told.text.matches("versions 1 to 2").count() == 2).then_some(())
+        let output = upgrade(&grid, &policy, &["status"]);
+        (output.text.matches("versions 1 to 2").count() == 2).then_some(())
     });
     for _ in 0..2 {
         assert_eq!(upgrade(&grid, &policy, &["abort"]).code, 0);
     }
     nodes.push(staged(&grid, 2, &policy));
-    let told = until("all are registered", || {
-        let told = upgrade(&grid, &policy, &["status"]);
-        (told.text.matches("versions 1 to 2").count() == 3).then_some(told)
+    let output = until("all are registered", || {
+        let output = upgrade(&grid, &policy, &["status"]);
+        (output.text.matches("versions 1 to 2").count() == 3).then_some(output)
     });
     assert!(
-        told.text.contains("called the upgrade off"),
+        output.text.contains("called the upgrade off"),
         "{}",
-        told.text
+        output.text
     );
     assert!(
-        told.text.starts_with("cluster version 1, next 2"),
+        output.text.starts_with("cluster version 1, next 2"),
         "{}",
-        told.text
+        output.text
     );
     assert_eq!(upgrade(&grid, &policy, &["finalize"]).code, 0);
-    let told = upgrade(&grid, &policy, &["status"]);
+    let output = upgrade(&grid, &policy, &["status"]);
     assert!(
-        told.text.starts_with("cluster version 2\n"),
+        output.text.starts_with("cluster version 2\n"),
         "{}",
-        told.text
+        output.text
     );
 }
 
@@ -147,8 +147,8 @@
     let policy = grid.write_file("upgrade.lisp", automatic);
     let _nodes: Vec<Option<Killed>> = (0..3).map(|i| staged(&grid, i, &policy)).collect();
     until("the version rises", || {
-        let told = upgrade(&grid, &policy, &["status"]);
-        told.text.starts_with("cluster version 2\n").then_some(())
+        let output = upgrade(&grid, &policy, &["status"]);
+        output.text.starts_with("cluster version 2\n").then_some(())
     });
 }
 
@@ -197,9 +197,9 @@
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8(output.stderr).unwrap();
+    let output = String::from_utf8(output.stderr).unwrap();
     for part in ["upgrade.lisp", "window", "Indian/Atlantis"] {
-        assert!(told.contains(part), "{part}: {told}");
+        assert!(output.contains(part), "{part}: {output}");
     }
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
     assert_eq!(upgrade(&grid, &policy, &["status"]).code, 0);
