--- a/src/service/controller/leadership.rs
+++ b/src/service/controller/leadership.rs
@@ -11,7 +11,7 @@
 use crate::service::peer_queries::{self, PromiseCollector};
 use crate::service::record_reader::RecordReader;
 use crate::service::spawn;
-use crate::transport::{Reply, Respond};
+use crate::transport::{Reply, Responder};
 use stairstage_upgrade::fence::WriteFence;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -134,7 +134,7 @@
     }
 
     /// A later token than ours exists, so our leadership is over, whatever we know of it.
-    pub(super) fn promise(&mut self, token: u64, respond: Respond) {
+    pub(super) fn promise(&mut self, token: u64, respond: Responder) {
         let ours = match &self.role {
             Role::Follower => 0,
             Role::Recovering { token, .. } => *token,
@@ -197,7 +197,7 @@
     }
 
     /// Tells a leader that hears no worker whether any has reported here of late.
-    pub(super) fn hears_workers(&self, respond: Respond) {
+    pub(super) fn hears_workers(&self, respond: Responder) {
         let lately = self.settings.cluster.workers.report_s;
         let hears = self.heard > 0.0 && self.now() - self.heard < lately;
         respond(Reply::json(if hears { 200 } else { 404 }, &()));
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -27,7 +27,7 @@
 use crate::storage::recent_jobs::EndIndex;
 use crate::storage::records::OpenRecord;
 use crate::transport::peers::Peers;
-use crate::transport::{Reply, Respond};
+use crate::transport::{Reply, Responder};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, TrySendError};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 use tracing::{info, warn};
 
 /// Hands a worker's report to the controller, or answers at once when it has no room.
-pub fn offer_report(inbox: &Sender<Message>, body: Vec<u8>, passed_on: bool, respond: Respond) {
+pub fn offer_report(inbox: &Sender<Message>, body: Vec<u8>, passed_on: bool, respond: Responder) {
     let report: Heartbeat = match serde_json::from_slice(&body) {
         Ok(report) => report,
         Err(error) => {
--- a/src/service/controller/reports.rs
+++ b/src/service/controller/reports.rs
@@ -9,7 +9,7 @@
 use crate::protocol::job::JobState;
 use crate::protocol::worker::{Heartbeat, LeaderRedirect};
 use crate::service::gateway::{self, Task};
-use crate::transport::{Reply, Respond};
+use crate::transport::{Reply, Responder};
 use tracing::warn;
 
 /// Questions to each other controller about cancellations in a report interval.
@@ -23,7 +23,7 @@
         report: Heartbeat,
         body: Vec<u8>,
         passed_on: bool,
-        respond: Respond,
+        respond: Responder,
     ) {
         self.take_own_cancellations();
         let now = self.now();
@@ -53,7 +53,7 @@
     }
 
     /// Sends a worker to the leader, or passes its report on if it may not get through to there.
-    fn redirect(&mut self, report: Heartbeat, body: Vec<u8>, passed_on: bool, respond: Respond) {
+    fn redirect(&mut self, report: Heartbeat, body: Vec<u8>, passed_on: bool, respond: Responder) {
         let now = self.now();
         if !passed_on {
             self.heard = now;
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -13,9 +13,9 @@
 use crate::protocol::cloud::MachineType;
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::Call;
-use crate::transport::peers::{Asked, Kind, Peers};
-use crate::transport::{Reply, Respond};
+use crate::transport::front::ApiRequest;
+use crate::transport::peers::{ForwardedRequest, Kind, Peers};
+use crate::transport::{Reply, Responder};
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -26,12 +26,12 @@
 /// A request in the gateway's stage.
 pub struct Task {
     work: Work,
-    respond: Respond,
+    respond: Responder,
 }
 
 enum Work {
     /// A user's request; `from_peer` when another controller has handed it on.
-    Call { call: Call, from_peer: bool },
+    Call { call: ApiRequest, from_peer: bool },
     /// A poll for which this node can't ask the state service.
     HandOn { job: String },
     /// A worker's report that its sender cannot bring to the leader.
@@ -39,7 +39,7 @@
 }
 
 impl Task {
-    pub fn user(call: Call, respond: Respond) -> Task {
+    pub fn user(call: ApiRequest, respond: Responder) -> Task {
         let from_peer = false;
         Task {
             work: Work::Call { call, from_peer },
@@ -47,7 +47,7 @@
         }
     }
 
-    pub fn peer(call: Call, respond: Respond) -> Task {
+    pub fn peer(call: ApiRequest, respond: Responder) -> Task {
         let from_peer = true;
         Task {
             work: Work::Call { call, from_peer },
@@ -55,14 +55,14 @@
         }
     }
 
-    pub fn hand_on(job: String, respond: Respond) -> Task {
+    pub fn hand_on(job: String, respond: Responder) -> Task {
         Task {
             work: Work::HandOn { job },
             respond,
         }
     }
 
-    pub fn pass_on(leader: String, body: Vec<u8>, respond: Respond) -> Task {
+    pub fn pass_on(leader: String, body: Vec<u8>, respond: Responder) -> Task {
         Task {
             work: Work::PassOn { leader, body },
             respond,
@@ -70,11 +70,11 @@
     }
 }
 
-pub fn call_of(kind: Kind, job: String, body: Vec<u8>) -> Call {
+pub fn call_of(kind: Kind, job: String, body: Vec<u8>) -> ApiRequest {
     match kind {
-        Kind::Submit => Call::Submit(body),
-        Kind::Query => Call::Query(job),
-        Kind::Cancel => Call::Cancel(job),
+        Kind::Submit => ApiRequest::Submit(body),
+        Kind::Query => ApiRequest::Query(job),
+        Kind::Cancel => ApiRequest::Cancel(job),
     }
 }
 
@@ -140,11 +140,13 @@
     /// Brings a worker's report to the leader. While that cannot be reached, its worker had better
     /// try another node.
     fn pass_on(&self, leader: &str, body: Vec<u8>) -> Reply {
-        let not_reached = || Reply::later("the leader is not reached");
+        let not_reached = || Reply::unavailable("the leader is not reached");
         if self.is_avoided(leader) {
             return not_reached();
         }
-        let reply = self.peers.report(leader, body, 2 * LEADER_PATIENCE);
+        let reply = self
+            .peers
+            .forward_heartbeat(leader, body, 2 * LEADER_PATIENCE);
         reply.unwrap_or_else(|| {
             self.avoid(leader);
             not_reached()
@@ -161,9 +163,9 @@
         }
     }
 
-    fn answer(&self, call: &Call, from_peer: bool, respond: Respond) {
+    fn answer(&self, call: &ApiRequest, from_peer: bool, respond: Responder) {
         if let Some(why) = self.clearance.get().refusal() {
-            return respond(Reply::later(&why.to_string()));
+            return respond(Reply::unavailable(&why.to_string()));
         }
         let begun = Instant::now();
         let reply = match self.decide(call, from_peer) {
@@ -183,22 +185,22 @@
         respond(reply);
     }
 
-    fn decide(&self, call: &Call, from_peer: bool) -> Answered {
+    fn decide(&self, call: &ApiRequest, from_peer: bool) -> Answered {
         let context = self.context(from_peer);
         match call {
-            Call::Submit(body) => {
+            ApiRequest::Submit(body) => {
                 let (request, effects) = Request::submission(body, context);
                 self.carry_out(request, effects, Kind::Submit, body)
             }
-            Call::Query(id) => {
+            ApiRequest::Query(id) => {
                 let (request, effects) = Request::query(id.clone(), context);
                 self.carry_out(request, effects, Kind::Query, &[])
             }
-            Call::Cancel(id) => {
+            ApiRequest::Cancel(id) => {
                 let (request, effects) = Request::cancellation(id.clone(), context);
                 self.carry_out(request, effects, Kind::Cancel, &[])
             }
-            Call::Report(_) => Answered::Now(Reply::error(404, "no such path")),
+            ApiRequest::Heartbeat(_) => Answered::Now(Reply::error(404, "no such path")),
         }
     }
 
@@ -228,7 +230,7 @@
                 Effect::Locate => Event::Located(self.locate(request.job())),
                 Effect::Store(call) => Event::Store(store_answer(&self.store, call)),
                 Effect::Ask(peer) => {
-                    let asked = Asked {
+                    let asked = ForwardedRequest {
                         kind,
                         job: request.job(),
                         body,
@@ -264,11 +266,11 @@
         rx.recv_timeout(LEADER_PATIENCE).ok()
     }
 
-    fn ask(&self, peer: &str, asked: &Asked) -> Option<PeerAnswer> {
+    fn ask(&self, peer: &str, asked: &ForwardedRequest) -> Option<PeerAnswer> {
         if self.is_avoided(peer) {
             return None;
         }
-        let Some(reply) = self.peers.ask(peer, asked, LEADER_PATIENCE) else {
+        let Some(reply) = self.peers.forward_request(peer, asked, LEADER_PATIENCE) else {
             debug!("{peer}: no answer to a request about {}", asked.job);
             self.avoid(peer);
             return None;
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -11,7 +11,7 @@
 use crate::protocol::job::JobState;
 use crate::protocol::worker::Heartbeat;
 use crate::storage::records::{EndRecord, OpenRecord};
-use crate::transport::Respond;
+use crate::transport::Responder;
 use crossbeam::channel::Sender;
 use stairstage_upgrade::fence::WriteFence;
 
@@ -22,7 +22,7 @@
         report: Box<Heartbeat>,
         body: Vec<u8>,
         passed_on: bool,
-        respond: Respond,
+        respond: Responder,
     },
     /// What this controller may do at the active version.
     WriteFence(WriteFence),
@@ -56,9 +56,9 @@
     /// Whether other controllers are reached by a leader to which no worker reports.
     PeersProbed(PeerReachability),
     /// Another controller asks whether any worker reports here.
-    HearsWorkers(Respond),
+    HearsWorkers(Responder),
     /// A new leader asks that no report be answered here with a lower token than its own.
-    Promise(u64, Respond),
+    Promise(u64, Responder),
     /// All others have given that promise to this term's leader.
     Promised(u64),
     /// A peer has told which cancellations it has confirmed; `None` is no answer.
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -23,8 +23,8 @@
 use crate::settings::Settings;
 use crate::storage::cancellation_log::CancellationLog;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::{self, Bounds, Call};
-use crate::transport::peers::{PeerCall, Peers};
+use crate::transport::front::{self, ApiRequest, Bounds};
+use crate::transport::peers::{PeerRequest, Peers};
 use crate::transport::runtime::Runtime;
 use crate::transport::Reply;
 use anyhow::Context;
@@ -55,17 +55,19 @@
     let (stage, tasks) = bounded::<Task>(STAGE);
 
     let (peer_inbox, peer_stage) = (inbox.clone(), stage.clone());
-    let peer_calls = move |call: PeerCall, respond| {
+    let peer_calls = move |call: PeerRequest, respond| {
         match call {
-            PeerCall::Ask(kind, job, body) => {
+            PeerRequest::UserRequest { kind, job, body } => {
                 let call = gateway::call_of(kind, job, body);
                 gateway::offer(&peer_stage, Task::peer(call, respond));
             }
-            PeerCall::Report(body) => controller::offer_report(&peer_inbox, body, true, respond),
-            PeerCall::Hears => {
+            PeerRequest::Heartbeat(body) => {
+                controller::offer_report(&peer_inbox, body, true, respond)
+            }
+            PeerRequest::ReceivesHeartbeats => {
                 let _ = peer_inbox.try_send(Message::HearsWorkers(respond));
             }
-            PeerCall::Promise(token) => {
+            PeerRequest::Promise { token } => {
                 let _ = peer_inbox.try_send(Message::Promise(token, respond));
             }
         };
@@ -145,8 +147,8 @@
         clearance: clearance.clone(),
     };
     let controller = Controller::new(settings.clone(), epoch, links);
-    let handler = move |call: Call, respond: crate::transport::Respond| match call {
-        Call::Report(body) => controller::offer_report(&inbox, body, false, respond),
+    let handler = move |call: ApiRequest, respond: crate::transport::Responder| match call {
+        ApiRequest::Heartbeat(body) => controller::offer_report(&inbox, body, false, respond),
         call => gateway::offer(&stage, Task::user(call, respond)),
     };
     let bounds = bounds(&settings);
@@ -189,5 +191,5 @@
 
 /// What is answered when a stage is full.
 pub(crate) fn busy() -> Reply {
-    Reply::later("too much is asked at once")
+    Reply::unavailable("too much is asked at once")
 }
--- a/src/service/peer_queries.rs
+++ b/src/service/peer_queries.rs
@@ -15,7 +15,7 @@
 pub fn probe(peers: &Peers, inbox: &Sender<Message>, within: Duration) {
     let mut reachability = PeerReachability::Unreachable;
     for name in peers.names() {
-        match peers.hears_workers(name, within) {
+        match peers.receives_heartbeats(name, within) {
             Some(true) => {
                 reachability = PeerReachability::ReachableWithWorkers;
                 break;
@@ -44,7 +44,7 @@
         let mut left: Vec<&String> = self.peers.names().collect();
         while self.term.load(Ordering::Relaxed) == self.token {
             left.retain(|name| {
-                let promised = self.peers.promise(name, self.token, 2 * self.pause);
+                let promised = self.peers.request_promise(name, self.token, 2 * self.pause);
                 promised != Some(true)
             });
             if left.is_empty() {
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -9,7 +9,7 @@
 use crate::protocol::job::JobState;
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::Respond;
+use crate::transport::Responder;
 use crossbeam::channel::{bounded, Receiver, RecvTimeoutError, Sender, TrySendError};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
     pub poll: Poll,
     /// Whether another controller has handed it on. It is then handed on no further.
     pub from_peer: bool,
-    pub respond: Respond,
+    pub respond: Responder,
 }
 
 enum Input {
--- a/src/transport/front/mod.rs
+++ b/src/transport/front/mod.rs
@@ -8,14 +8,14 @@
 mod routing;
 mod server;
 
-use super::Respond;
+use super::Responder;
 use std::time::Duration;
 
 pub use server::serve;
 
 /// A request that has been routed and whose body has been read.
 #[derive(Debug, PartialEq)]
-pub enum Call {
+pub enum ApiRequest {
     /// Submit the job that this body describes.
     Submit(Vec<u8>),
     /// Query the state of the job with this id.
@@ -23,23 +23,23 @@
     /// Cancel the job with this id.
     Cancel(String),
     /// A worker's heartbeat with its status, still encoded.
-    Report(Vec<u8>),
+    Heartbeat(Vec<u8>),
 }
 
-impl Call {
+impl ApiRequest {
     /// The kind of request, for log lines.
     pub fn name(&self) -> &'static str {
         match self {
-            Call::Submit(_) => "submission",
-            Call::Query(_) => "query",
-            Call::Cancel(_) => "cancellation",
-            Call::Report(_) => "heartbeat",
+            ApiRequest::Submit(_) => "submission",
+            ApiRequest::Query(_) => "query",
+            ApiRequest::Cancel(_) => "cancellation",
+            ApiRequest::Heartbeat(_) => "heartbeat",
         }
     }
 }
 
 /// Handles a request: responds at once, or keeps the responder until the reply is known.
-pub type Handler = dyn Fn(Call, Respond) + Send + Sync;
+pub type Handler = dyn Fn(ApiRequest, Responder) + Send + Sync;
 /// Whether this node can serve requests; answers the health check.
 pub type Health = dyn Fn() -> bool + Send + Sync;
 
--- a/src/transport/front/routing.rs
+++ b/src/transport/front/routing.rs
@@ -1,6 +1,6 @@
 //! The mapping of methods and paths to requests.
 
-use super::Call;
+use super::ApiRequest;
 use crate::protocol::job::is_job_id;
 use crate::transport::Reply;
 use hyper::Method;
@@ -15,7 +15,7 @@
     /// The submission of a job; the body describes it.
     Submit,
     /// A worker's heartbeat; the body is its status.
-    Report,
+    Heartbeat,
     /// A query for the job with this id.
     Query(String),
     /// The cancellation of the job with this id; the body is ignored.
@@ -26,19 +26,19 @@
     /// Whether the request needs its body to be read.
     pub(super) fn has_body(&self) -> bool {
         match self {
-            Route::Submit | Route::Report | Route::Cancel(_) => true,
+            Route::Submit | Route::Heartbeat | Route::Cancel(_) => true,
             Route::Health | Route::Query(_) => false,
         }
     }
 
     /// The request with its body; `None` for the health check, which the server answers itself.
-    pub(super) fn into_call(self, body: Vec<u8>) -> Option<Call> {
+    pub(super) fn into_request(self, body: Vec<u8>) -> Option<ApiRequest> {
         match self {
             Route::Health => None,
-            Route::Submit => Some(Call::Submit(body)),
-            Route::Report => Some(Call::Report(body)),
-            Route::Query(job) => Some(Call::Query(job)),
-            Route::Cancel(job) => Some(Call::Cancel(job)),
+            Route::Submit => Some(ApiRequest::Submit(body)),
+            Route::Heartbeat => Some(ApiRequest::Heartbeat(body)),
+            Route::Query(job) => Some(ApiRequest::Query(job)),
+            Route::Cancel(job) => Some(ApiRequest::Cancel(job)),
         }
     }
 }
@@ -57,7 +57,7 @@
     match (method, &parts[..]) {
         (&Method::GET, ["healthz"]) => Ok(Route::Health),
         (&Method::POST, ["v2", "runs"]) => Ok(Route::Submit),
-        (&Method::POST, ["agent", "beat"]) => Ok(Route::Report),
+        (&Method::POST, ["agent", "beat"]) => Ok(Route::Heartbeat),
         (&Method::GET, ["v2", "runs", id]) if is_job_id(id) => Ok(Route::Query(id.to_string())),
         (&Method::POST, ["v2", "runs", id, "abort"]) if is_job_id(id) => {
             Ok(Route::Cancel(id.to_string()))
--- a/src/transport/front/server.rs
+++ b/src/transport/front/server.rs
@@ -2,7 +2,7 @@
 
 use super::connection_limits::{ConnectionLimits, ConnectionSlot};
 use super::routing::{is_worker_path, route};
-use super::{Bounds, Call, Handler, Health};
+use super::{ApiRequest, Bounds, Handler, Health};
 use crate::protocol::BODY_LIMIT;
 use crate::transport::runtime::Runtime;
 use crate::transport::Reply;
@@ -133,12 +133,12 @@
         let within_limit = class_slot.is_some();
         if !within_limit && !from_worker {
             return Ok(response(
-                Reply::later("too many connections are open"),
+                Reply::unavailable("too many connections are open"),
                 true,
             ));
         }
-        let reply = match self.read_call(request).await {
-            Ok(call) => self.handle(call).await,
+        let reply = match self.read_request(request).await {
+            Ok(request) => self.handle(request).await,
             Err(reply) => reply,
         };
         let close = !within_limit || reply.status == 413 || reply.status == 408;
@@ -146,33 +146,33 @@
     }
 
     /// Passes a request to the handler and waits for its reply.
-    async fn handle(&self, call: Call) -> Reply {
+    async fn handle(&self, request: ApiRequest) -> Reply {
         let (sender, receiver) = tokio::sync::oneshot::channel();
         let respond = move |reply| {
             let _ = sender.send(reply);
         };
-        (self.handler)(call, Box::new(respond));
+        (self.handler)(request, Box::new(respond));
         receiver
             .await
-            .unwrap_or_else(|_| Reply::later("the request was given up on"))
+            .unwrap_or_else(|_| Reply::unavailable("the request was given up on"))
     }
 
     /// Routes a request and reads its body; the error is the reply where the server can give it itself.
-    async fn read_call(&self, request: Request<Incoming>) -> Result<Call, Reply> {
+    async fn read_request(&self, request: Request<Incoming>) -> Result<ApiRequest, Reply> {
         let route = route(request.method(), request.uri().path())?;
         let body = if route.has_body() {
             self.read_body(request).await?
         } else {
             Vec::new()
         };
-        route.into_call(body).ok_or_else(|| self.health_reply())
+        route.into_request(body).ok_or_else(|| self.health_reply())
     }
 
     fn health_reply(&self) -> Reply {
         if (self.health)() {
             Reply::json(200, &())
         } else {
-            Reply::later("this node is cut off")
+            Reply::unavailable("this node is cut off")
         }
     }
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -38,7 +38,7 @@
     }
 
     /// 503 Service Unavailable: the request may be retried after a second.
-    pub fn later(reason: &str) -> Reply {
+    pub fn unavailable(reason: &str) -> Reply {
         Reply {
             retry_after: Some(1),
             ..Reply::error(503, reason)
@@ -47,4 +47,4 @@
 }
 
 /// Sends the reply to a request; dropping it leaves the request unanswered.
-pub type Respond = Box<dyn FnOnce(Reply) + Send>;
+pub type Responder = Box<dyn FnOnce(Reply) + Send>;
--- a/src/transport/peers/client.rs
+++ b/src/transport/peers/client.rs
@@ -2,7 +2,7 @@
 
 use super::wire::peer_client::PeerClient;
 use super::wire::{AskRequest, CancellationsRequest, HearsRequest, PromiseRequest, ReportRequest};
-use super::{server, Asked, PeerHandler, CALL_TIMEOUT, CONNECT_TIMEOUT};
+use super::{server, ForwardedRequest, PeerHandler, CALL_TIMEOUT, CONNECT_TIMEOUT};
 use crate::storage::cancellation_log::{CancellationLog, CancellationPage, Cursor};
 use crate::transport::runtime::Runtime;
 use crate::transport::Reply;
@@ -75,14 +75,19 @@
     }
 
     /// Forwards a user's request to another controller; `None` if there is no response.
-    pub fn ask(&self, name: &str, asked: &Asked, timeout: Duration) -> Option<Reply> {
+    pub fn forward_request(
+        &self,
+        name: &str,
+        forwarded: &ForwardedRequest,
+        timeout: Duration,
+    ) -> Option<Reply> {
         let mut client = self.client(name)?;
         let request = AskRequest {
-            kind: asked.kind.into(),
-            job: asked.job.to_string(),
-            body: asked.body.to_vec(),
+            kind: forwarded.kind.into(),
+            job: forwarded.job.to_string(),
+            body: forwarded.body.to_vec(),
         };
-        let waits = asked.waits;
+        let waits = forwarded.waits;
         let reply = self.call(timeout, async move {
             if waits {
                 client.ask_waiting(request).await
@@ -98,7 +103,7 @@
     }
 
     /// Forwards a worker's heartbeat to the leader; `None` if there is no response.
-    pub fn report(&self, name: &str, body: Vec<u8>, timeout: Duration) -> Option<Reply> {
+    pub fn forward_heartbeat(&self, name: &str, body: Vec<u8>, timeout: Duration) -> Option<Reply> {
         let mut client = self.client(name)?;
         let request = ReportRequest { body };
         let reply = self.call(timeout, async move { client.report(request).await })?;
@@ -110,7 +115,7 @@
     }
 
     /// Whether workers send heartbeats to another controller; `None` if there is no response.
-    pub fn hears_workers(&self, name: &str, timeout: Duration) -> Option<bool> {
+    pub fn receives_heartbeats(&self, name: &str, timeout: Duration) -> Option<bool> {
         let mut client = self.client(name)?;
         let reply = self.call(timeout, async move { client.hears(HearsRequest {}).await })?;
         Some(reply.workers)
@@ -118,7 +123,7 @@
 
     /// Requests a promise to answer no heartbeat with a lower fencing token; `None` if there is no
     /// response.
-    pub fn promise(&self, name: &str, token: u64, timeout: Duration) -> Option<bool> {
+    pub fn request_promise(&self, name: &str, token: u64, timeout: Duration) -> Option<bool> {
         let mut client = self.client(name)?;
         let request = PromiseRequest { token };
         let reply = self.call(timeout, async move { client.promise(request).await })?;
@@ -152,7 +157,8 @@
 
     /// Whether another controller responds at all.
     pub fn reaches(&self, name: &str, timeout: Duration) -> bool {
-        self.promise(name, server::NO_TOKEN, timeout).is_some()
+        self.request_promise(name, server::NO_TOKEN, timeout)
+            .is_some()
     }
 }
 
--- a/src/transport/peers/mod.rs
+++ b/src/transport/peers/mod.rs
@@ -6,7 +6,7 @@
 mod client;
 mod server;
 
-use super::Respond;
+use super::Responder;
 use std::time::Duration;
 
 /// The generated messages, client and server of `proto/peer.proto`.
@@ -18,21 +18,31 @@
 pub use client::Peers;
 pub use wire::ask_request::Kind;
 
-/// A call by another controller, for this one's handler.
+/// A request of another controller, for this one's handler.
 #[derive(Debug)]
-pub enum PeerCall {
-    /// Handle a user's request that the peer has forwarded: its kind, its job and its body.
-    Ask(Kind, String, Vec<u8>),
+pub enum PeerRequest {
+    /// Handle a user's request that the peer has forwarded.
+    UserRequest {
+        /// Submission, query or cancellation.
+        kind: Kind,
+        /// The id of the job.
+        job: String,
+        /// The body as the user sent it, for a submission.
+        body: Vec<u8>,
+    },
     /// Handle a worker's heartbeat that the peer has forwarded; the body is as the worker sent it.
-    Report(Vec<u8>),
+    Heartbeat(Vec<u8>),
     /// Reply with 200 if workers send their heartbeats to this controller.
-    Hears,
-    /// Promise to answer no heartbeat with a fencing token below this one; 200 is the promise.
-    Promise(u64),
+    ReceivesHeartbeats,
+    /// Promise to answer no heartbeat with a lower fencing token; 200 is the promise.
+    Promise {
+        /// The fencing token of the leader that requests it.
+        token: u64,
+    },
 }
 
 /// A user's request that is forwarded to another controller.
-pub struct Asked<'a> {
+pub struct ForwardedRequest<'a> {
     /// Submission, query or cancellation.
     pub kind: Kind,
     /// The id of the job.
@@ -44,8 +54,8 @@
     pub waits: bool,
 }
 
-/// Handles the calls of other controllers: responds at once, or keeps the responder.
-pub type PeerHandler = dyn Fn(PeerCall, Respond) + Send + Sync;
+/// Handles the requests of other controllers: responds at once, or keeps the responder.
+pub type PeerHandler = dyn Fn(PeerRequest, Responder) + Send + Sync;
 
 /// How long a call between controllers may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
--- a/src/transport/peers/server.rs
+++ b/src/transport/peers/server.rs
@@ -1,10 +1,10 @@
-//! The gRPC server: turns calls into [`PeerCall`]s and replies into messages.
+//! The gRPC server: turns calls into [`PeerRequest`]s, and replies into messages.
 
 use super::wire::peer_server::{Peer, PeerServer};
 use super::wire::{AskReply, AskRequest, HearsReply, HearsRequest};
 use super::wire::{CancellationsReply, CancellationsRequest};
 use super::wire::{PromiseReply, PromiseRequest, ReportReply, ReportRequest};
-use super::{PeerCall, PeerHandler, CALL_TIMEOUT, CONNECT_TIMEOUT, MAX_MESSAGE_BYTES};
+use super::{PeerHandler, PeerRequest, CALL_TIMEOUT, CONNECT_TIMEOUT, MAX_MESSAGE_BYTES};
 use crate::storage::cancellation_log::{CancellationLog, Cursor};
 use crate::transport::runtime::Runtime;
 use crate::transport::Reply;
@@ -46,11 +46,11 @@
 }
 
 impl Service {
-    /// Passes a call to the handler and waits for its reply.
-    async fn call(&self, call: PeerCall) -> Result<Reply, Status> {
+    /// Passes a request to the handler and waits for its reply.
+    async fn handle(&self, request: PeerRequest) -> Result<Reply, Status> {
         let (sender, receiver) = tokio::sync::oneshot::channel();
         (self.handler)(
-            call,
+            request,
             Box::new(move |reply| {
                 let _ = sender.send(reply);
             }),
@@ -66,8 +66,13 @@
 impl Peer for Service {
     async fn ask(&self, request: Request<AskRequest>) -> Result<Response<AskReply>, Status> {
         let request = request.into_inner();
-        let call = PeerCall::Ask(request.kind(), request.job, request.body);
-        let reply = self.call(call).await?;
+        let reply = self
+            .handle(PeerRequest::UserRequest {
+                kind: request.kind(),
+                job: request.job,
+                body: request.body,
+            })
+            .await?;
         Ok(Response::new(AskReply {
             status: reply.status.into(),
             body: reply.body.into_owned(),
@@ -86,8 +91,8 @@
         &self,
         request: Request<ReportRequest>,
     ) -> Result<Response<ReportReply>, Status> {
-        let call = PeerCall::Report(request.into_inner().body);
-        let reply = self.call(call).await?;
+        let body = request.into_inner().body;
+        let reply = self.handle(PeerRequest::Heartbeat(body)).await?;
         Ok(Response::new(ReportReply {
             status: reply.status.into(),
             body: reply.body.into_owned(),
@@ -95,7 +100,7 @@
     }
 
     async fn hears(&self, _: Request<HearsRequest>) -> Result<Response<HearsReply>, Status> {
-        let workers = self.call(PeerCall::Hears).await?.status == 200;
+        let workers = self.handle(PeerRequest::ReceivesHeartbeats).await?.status == 200;
         Ok(Response::new(HearsReply { workers }))
     }
 
@@ -106,7 +111,7 @@
         let token = request.into_inner().token;
         let promised = match token {
             NO_TOKEN => false,
-            token => self.call(PeerCall::Promise(token)).await?.status == 200,
+            token => self.handle(PeerRequest::Promise { token }).await?.status == 200,
         };
         Ok(Response::new(PromiseReply { promised }))
     }
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -19,7 +19,7 @@
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::KeyValueStore as StoreClient;
 use stairstage::storage::records::{OpenRecord, OPEN_PREFIX};
-use stairstage::transport::front::{self, Bounds, Call};
+use stairstage::transport::front::{self, ApiRequest, Bounds};
 use stairstage::transport::runtime::Runtime;
 use stairstage::transport::Reply;
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -309,8 +309,8 @@
     let heard = Arc::new(Mutex::new(BTreeSet::new()));
     let runtime = Runtime::start().unwrap();
     let noted = heard.clone();
-    let handler = move |call, respond: stairstage::transport::Respond| {
-        if let Call::Report(body) = call {
+    let handler = move |call, respond: stairstage::transport::Responder| {
+        if let ApiRequest::Heartbeat(body) = call {
             noted.lock().unwrap().insert(body);
         }
         respond(Reply::json(200, &()));
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -3,7 +3,7 @@
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 use stairstage::transport::peers::wire::peer_server::{Peer, PeerServer};
 use stairstage::transport::peers::wire::*;
-use stairstage::transport::peers::{Asked, Kind, Peers};
+use stairstage::transport::peers::{ForwardedRequest, Kind, Peers};
 use stairstage::transport::runtime::Runtime;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -91,13 +91,13 @@
     let asked = Arc::new(AtomicUsize::new(0));
     let (_runtime, peers) = with_former(asked.clone());
     let ask = |waits: bool| {
-        let asked = Asked {
+        let asked = ForwardedRequest {
             kind: Kind::Submit,
             job: "req-1",
             body: b"{}",
             waits,
         };
-        peers.ask("former", &asked, PATIENCE)
+        peers.forward_request("former", &asked, PATIENCE)
     };
     let taken = answered(|| ask(false));
     assert_eq!(taken.status, 201);
@@ -109,7 +109,7 @@
 #[test]
 fn a_controller_of_the_version_before_says_nothing_of_its_cancellations() {
     let (_runtime, peers) = with_former(Arc::default());
-    answered(|| peers.hears_workers("former", PATIENCE));
+    answered(|| peers.receives_heartbeats("former", PATIENCE));
     let told = peers.cancellations("former", Cursor::default(), PATIENCE);
     assert_eq!(told, None);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -173,7 +173,7 @@
 
 fn serve(bounds: Bounds) -> SocketAddr {
     let runtime = Runtime::start().unwrap();
-    let handler = |_call, respond: stairstage::transport::Respond| respond(Reply::json(200, &()));
+    let handler = |_call, respond: stairstage::transport::Responder| respond(Reply::json(200, &()));
     let any = "127.0.0.1:0".parse().unwrap();
     front::serve(&runtime, any, bounds, Arc::new(handler), Arc::new(|| true)).unwrap()
 }
