--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -54,7 +54,8 @@
     /// The time within which a job satisfies it, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For deadlines: the multiple of the time up to the deadline within which a job satisfies it.
+    /// For deadlines: the multiple of its deadline, counted from submission, within which a job satisfies
+    /// it.
     #[serde(default)]
     pub times: Option<f64>,
 }
