--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -6,7 +6,7 @@
 use crate::protocol::job::{JobKind, JobSpec};
 use crate::settings::Settings;
 use crate::storage::records::OpenRecord;
-use stairstage_upgrade::Gate;
+use stairstage_upgrade::FeatureGate;
 
 /// Tolerance for the rounding of sums of cpus or gpus.
 const LIMIT_TOLERANCE: f64 = 1e-9;
@@ -17,7 +17,8 @@
         return Some(Answer::RetryLater(RetryReason::NoMachineTypes));
     }
     let has_dependencies = !record.spec.waits_on.is_empty();
-    if has_dependencies && !context.write_fence.gates().is_open(Gate::Pipelines) {
+    let gates = context.write_fence.gates();
+    if has_dependencies && !gates.is_open(FeatureGate::Pipelines) {
         return Some(Answer::RetryLater(RetryReason::NotFinalized));
     }
     if let Some(reason) = cannot_run(&record.spec, &context.settings, &context.machine_types) {
--- a/src/service/call_router.rs
+++ b/src/service/call_router.rs
@@ -6,9 +6,9 @@
 use super::request_queue::{RequestQueue, RequestTask};
 use crate::coordination::cluster::heartbeats::HeartbeatSource;
 use crate::protocol::worker::Heartbeat;
-use crate::transport::front::Call;
-use crate::transport::peers::{Kind, PeerCall};
-use crate::transport::{Reply, Respond};
+use crate::transport::front::ApiRequest;
+use crate::transport::peers::{Kind, PeerRequest};
+use crate::transport::{Reply, Responder};
 use crossbeam::channel::{Sender, TrySendError};
 use tracing::warn;
 
@@ -23,26 +23,30 @@
 
 impl CallRouter {
     /// Routes a call of a user or a worker.
-    pub(super) fn route_call(&self, call: Call, respond: Respond) {
+    pub(super) fn route_call(&self, call: ApiRequest, respond: Responder) {
         match call {
-            Call::Report(body) => self.enqueue_heartbeat(body, HeartbeatSource::Worker, respond),
+            ApiRequest::Heartbeat(body) => {
+                self.enqueue_heartbeat(body, HeartbeatSource::Worker, respond)
+            }
             call => self.requests.enqueue(RequestTask::from_user(call, respond)),
         }
     }
 
     /// Routes a call of another controller.
-    pub(super) fn route_peer_call(&self, call: PeerCall, respond: Respond) {
+    pub(super) fn route_peer_call(&self, call: PeerRequest, respond: Responder) {
         match call {
-            PeerCall::Ask(kind, job, body) => {
+            PeerRequest::UserRequest { kind, job, body } => {
                 let call = forwarded_call(kind, job, body);
                 self.requests.enqueue(RequestTask::from_peer(call, respond));
             }
-            PeerCall::Report(body) => self.enqueue_heartbeat(body, HeartbeatSource::Peer, respond),
-            PeerCall::Hears => {
+            PeerRequest::Heartbeat(body) => {
+                self.enqueue_heartbeat(body, HeartbeatSource::Peer, respond)
+            }
+            PeerRequest::ReceivesHeartbeats => {
                 let message = Message::ReceivesHeartbeats { respond };
                 let _ = self.inbox.try_send(message);
             }
-            PeerCall::Promise(token) => {
+            PeerRequest::Promise { token } => {
                 let message = Message::PromiseRequested { token, respond };
                 let _ = self.inbox.try_send(message);
             }
@@ -50,7 +54,7 @@
     }
 
     /// Enqueues a worker's heartbeat for the controller, or answers at once when its inbox is full.
-    fn enqueue_heartbeat(&self, body: Vec<u8>, source: HeartbeatSource, respond: Respond) {
+    fn enqueue_heartbeat(&self, body: Vec<u8>, source: HeartbeatSource, respond: Responder) {
         let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
@@ -75,10 +79,10 @@
 }
 
 /// A user's request as another controller has forwarded it.
-fn forwarded_call(kind: Kind, job: String, body: Vec<u8>) -> Call {
+fn forwarded_call(kind: Kind, job: String, body: Vec<u8>) -> ApiRequest {
     match kind {
-        Kind::Submit => Call::Submit(body),
-        Kind::Query => Call::Query(job),
-        Kind::Cancel => Call::Cancel(job),
+        Kind::Submit => ApiRequest::Submit(body),
+        Kind::Query => ApiRequest::Query(job),
+        Kind::Cancel => ApiRequest::Cancel(job),
     }
 }
--- a/src/service/controller/peer_probe.rs
+++ b/src/service/controller/peer_probe.rs
@@ -4,7 +4,7 @@
 use crate::service::messages::PeerReachability;
 use crate::service::peer_queries;
 use crate::service::threads::spawn;
-use crate::transport::{Reply, Respond};
+use crate::transport::{Reply, Responder};
 use std::time::Duration;
 use tracing::warn;
 
@@ -48,7 +48,7 @@
     }
 
     /// Answers a leader that receives no heartbeats whether this node has received any lately.
-    pub(super) fn answer_receives_heartbeats(&self, respond: Respond) {
+    pub(super) fn answer_receives_heartbeats(&self, respond: Responder) {
         let recent_s = self.settings.cluster.workers.report_s;
         let silence_s = self.now() - self.last_heartbeat_at;
         let receives = self.last_heartbeat_at > 0.0 && silence_s < recent_s;
--- a/src/service/controller/promises.rs
+++ b/src/service/controller/promises.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use crate::service::peer_queries::PromiseCollector;
 use crate::service::threads::spawn;
-use crate::transport::{Reply, Respond};
+use crate::transport::{Reply, Responder};
 use std::time::Duration;
 use tracing::warn;
 
@@ -13,7 +13,7 @@
 impl Controller {
     /// Gives the promise unless this node holds a higher token. A later token than ours exists, so
     /// that our leadership is over, whatever we know of it.
-    pub(super) fn answer_promise(&mut self, token: u64, respond: Respond) {
+    pub(super) fn answer_promise(&mut self, token: u64, respond: Responder) {
         let own_token = self.role.token();
         let is_promised = token >= own_token;
         self.promised_token = self.promised_token.max(token);
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -18,9 +18,9 @@
 };
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::Call;
-use crate::transport::peers::{Asked, Kind, Peers};
-use crate::transport::{Reply, Respond};
+use crate::transport::front::ApiRequest;
+use crate::transport::peers::{ForwardedRequest, Kind, Peers};
+use crate::transport::{Reply, Responder};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -96,11 +96,14 @@
     /// Forwards a worker's heartbeat to the leader. While the leader cannot be reached, the worker
     /// had better try another node.
     fn forward_heartbeat(&self, leader: &str, body: Vec<u8>) -> Reply {
-        let unreachable = || Reply::later("the leader is not reached");
+        let unreachable = || Reply::unavailable("the leader is not reached");
         if self.unresponsive_peers.contains(leader) {
             return unreachable();
         }
-        let reply = self.handles.peers.report(leader, body, 2 * LEADER_TIMEOUT);
+        let reply = self
+            .handles
+            .peers
+            .forward_heartbeat(leader, body, 2 * LEADER_TIMEOUT);
         reply.unwrap_or_else(|| {
             self.unresponsive_peers.insert(leader);
             unreachable()
@@ -117,9 +120,9 @@
         }
     }
 
-    fn answer(&self, call: &Call, from_peer: bool, respond: Respond) {
+    fn answer(&self, call: &ApiRequest, from_peer: bool, respond: Responder) {
         if let Some(refusal) = self.handles.write_fence.get().refusal() {
-            return respond(Reply::later(&refusal.to_string()));
+            return respond(Reply::unavailable(&refusal.to_string()));
         }
         let started_at = Instant::now();
         let reply = match self.process(call, from_peer) {
@@ -144,22 +147,22 @@
         respond(reply);
     }
 
-    fn process(&self, call: &Call, from_peer: bool) -> Outcome {
+    fn process(&self, call: &ApiRequest, from_peer: bool) -> Outcome {
         let context = self.context(from_peer);
         match call {
-            Call::Submit(body) => {
+            ApiRequest::Submit(body) => {
                 let (request, effects) = Request::submission(body, context);
                 self.execute(request, effects, Kind::Submit, body)
             }
-            Call::Query(id) => {
+            ApiRequest::Query(id) => {
                 let (request, effects) = Request::query(id.clone(), context);
                 self.execute(request, effects, Kind::Query, &[])
             }
-            Call::Cancel(id) => {
+            ApiRequest::Cancel(id) => {
                 let (request, effects) = Request::cancellation(id.clone(), context);
                 self.execute(request, effects, Kind::Cancel, &[])
             }
-            Call::Report(_) => Outcome::Reply(Reply::error(404, "no such path")),
+            ApiRequest::Heartbeat(_) => Outcome::Reply(Reply::error(404, "no such path")),
         }
     }
 
@@ -191,7 +194,7 @@
                     RequestEvent::Store(execute_store_call(&self.handles.store, call))
                 }
                 RequestEffect::Forward(peer) => {
-                    let asked = Asked {
+                    let asked = ForwardedRequest {
                         kind,
                         job: request.job(),
                         body,
@@ -239,11 +242,15 @@
         located.recv_timeout(LEADER_TIMEOUT).ok()
     }
 
-    fn ask_peer(&self, peer: &str, asked: &Asked) -> Option<PeerAnswer> {
+    fn ask_peer(&self, peer: &str, asked: &ForwardedRequest) -> Option<PeerAnswer> {
         if self.unresponsive_peers.contains(peer) {
             return None;
         }
-        let Some(reply) = self.handles.peers.ask(peer, asked, LEADER_TIMEOUT) else {
+        let Some(reply) = self
+            .handles
+            .peers
+            .forward_request(peer, asked, LEADER_TIMEOUT)
+        else {
             debug!(peer, job = asked.job, "forwarded request unanswered");
             self.unresponsive_peers.insert(peer);
             return None;
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -12,7 +12,7 @@
 use crate::protocol::job::JobState;
 use crate::protocol::worker::Heartbeat;
 use crate::storage::records::{EndRecord, OpenRecord};
-use crate::transport::Respond;
+use crate::transport::Responder;
 use crossbeam::channel::Sender;
 use stairstage_upgrade::fence::WriteFence;
 
@@ -71,14 +71,14 @@
     /// Another controller asks whether this one receives heartbeats directly from workers.
     ReceivesHeartbeats {
         /// Where the reply goes.
-        respond: Respond,
+        respond: Responder,
     },
     /// A new leader asks for the promise that no heartbeat is answered here with a lower token.
     PromiseRequested {
         /// The new leader's token.
         token: u64,
         /// Where the reply goes.
-        respond: Respond,
+        respond: Responder,
     },
     /// All other controllers have given that promise to the leader of this term.
     PromisesCollected {
@@ -103,7 +103,7 @@
     /// Whether the worker or another controller has sent it.
     pub source: HeartbeatSource,
     /// Where the reply goes.
-    pub respond: Respond,
+    pub respond: Responder,
 }
 
 /// The outcome of an operation of the [`IoThreadPool`](super::io_thread_pool::IoThreadPool).
--- a/src/service/peer_queries/promise_collector.rs
+++ b/src/service/peer_queries/promise_collector.rs
@@ -29,7 +29,7 @@
         let mut outstanding: Vec<&String> = self.peers.names().collect();
         while self.term.load(Ordering::Relaxed) == self.token {
             outstanding.retain(|name| {
-                let promised = self.peers.promise(name, self.token, 2 * self.pause);
+                let promised = self.peers.request_promise(name, self.token, 2 * self.pause);
                 promised != Some(true)
             });
             if outstanding.is_empty() {
--- a/src/service/peer_queries/reachability.rs
+++ b/src/service/peer_queries/reachability.rs
@@ -10,7 +10,7 @@
 pub fn probe(peers: &Peers, inbox: &Sender<Message>, timeout: Duration) {
     let mut reachability = PeerReachability::Unreachable;
     for name in peers.names() {
-        match peers.hears_workers(name, timeout) {
+        match peers.receives_heartbeats(name, timeout) {
             Some(true) => {
                 reachability = PeerReachability::ReachableWithWorkers;
                 break;
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -11,7 +11,7 @@
 use crate::protocol::job::JobState;
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::Respond;
+use crate::transport::Responder;
 use crossbeam::channel::{bounded, Receiver, RecvTimeoutError, Sender, TrySendError};
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
     /// Whether another controller has forwarded it. It is then forwarded no further.
     pub from_peer: bool,
     /// Where the reply goes.
-    pub respond: Respond,
+    pub respond: Responder,
 }
 
 enum Input {
--- a/src/service/replies.rs
+++ b/src/service/replies.rs
@@ -5,7 +5,7 @@
 
 /// The reply to a request for which a bounded queue has no room.
 pub(crate) fn busy() -> Reply {
-    Reply::later("too much is asked at once")
+    Reply::unavailable("too much is asked at once")
 }
 
 /// Turns a decided answer into the reply that the transport sends.
--- a/src/service/request_queue.rs
+++ b/src/service/request_queue.rs
@@ -1,21 +1,21 @@
 //! The bounded queue of requests that the gateways' threads serve.
 
 use super::replies::busy;
-use crate::transport::front::Call;
-use crate::transport::Respond;
+use crate::transport::front::ApiRequest;
+use crate::transport::Responder;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 
 /// A request in the queue, and where its reply goes.
 pub struct RequestTask {
     pub(super) work: RequestWork,
-    pub(super) respond: Respond,
+    pub(super) respond: Responder,
 }
 
 /// What is to be done for a request.
 pub(super) enum RequestWork {
     /// Answer a user's request.
     Answer {
-        call: Call,
+        call: ApiRequest,
         /// Whether another controller has forwarded it. It is then forwarded no further.
         from_peer: bool,
     },
@@ -27,7 +27,7 @@
 
 impl RequestTask {
     /// A request that a user has sent to this node.
-    pub fn from_user(call: Call, respond: Respond) -> RequestTask {
+    pub fn from_user(call: ApiRequest, respond: Responder) -> RequestTask {
         let from_peer = false;
         RequestTask {
             work: RequestWork::Answer { call, from_peer },
@@ -36,7 +36,7 @@
     }
 
     /// A user's request that another controller has forwarded.
-    pub fn from_peer(call: Call, respond: Respond) -> RequestTask {
+    pub fn from_peer(call: ApiRequest, respond: Responder) -> RequestTask {
         let from_peer = true;
         RequestTask {
             work: RequestWork::Answer { call, from_peer },
@@ -45,7 +45,7 @@
     }
 
     /// A poll to forward to a controller that can ask the state service.
-    pub fn forward_poll(job: String, respond: Respond) -> RequestTask {
+    pub fn forward_poll(job: String, respond: Responder) -> RequestTask {
         RequestTask {
             work: RequestWork::ForwardPoll { job },
             respond,
@@ -53,7 +53,7 @@
     }
 
     /// A worker's heartbeat, as it was received, to forward to the leader.
-    pub fn forward_heartbeat(leader: String, body: Vec<u8>, respond: Respond) -> RequestTask {
+    pub fn forward_heartbeat(leader: String, body: Vec<u8>, respond: Responder) -> RequestTask {
         RequestTask {
             work: RequestWork::ForwardHeartbeat { leader, body },
             respond,
