--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobSpec;
 use stairstage::storage::records::OpenRecord;
-use standins::*;
+use standins::{accepted, call, small_job, until, Grid, Killed};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -1,6 +1,13 @@
 //! A leader whose machines are all full.
 
-use super::*;
+use super::{each_effect, manager, parsed, report_of, shown, starts, submission, worker_report};
+use serde_json::Value;
+use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
+use stairstage::coordination::manager::ClusterManager;
+use stairstage::protocol::store::{Transaction, WriteOperation};
+use stairstage::protocol::worker::{TaskState, TaskStatus};
+use stairstage::storage::records::OpenRecord;
+use std::collections::BTreeMap;
 
 /// A leader of many machines, each full of running tasks.
 pub(crate) struct FullFleet {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,10 +14,13 @@
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::job::JobSpec;
 use stairstage::protocol::store::{Compare, Page, Transaction, VersionedValue, WriteOperation};
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, Heartbeat, TaskState, TaskStatus};
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{
+    completion_key, end_key, parse_completion_key, placement_key, EndRecord, OpenRecord,
+    StoredCompletions, StoredPlacements, COMPLETION_PREFIX, OPEN_PREFIX, PLACEMENT_PREFIX,
+};
 use stairstage_upgrade::fence::WriteFence;
 use std::collections::BTreeMap;
 use std::ops::Bound;
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::*;
+use common::{
+    carry_out, launched, machine_type, manager, parsed, report, report_of, shown, starts,
+    submission, worker_report,
+};
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::coordination::manager::ClusterManager;
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::*;
+use common::{
+    manager, parsed, report, report_of, request_context, submission, submit, Store, SETTINGS,
+};
 use serde_json::json;
 use stairstage::coordination::cluster::{Effect as CoreEffect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use stairstage::coordination::state::Name;
 use stairstage::protocol::job::{JobSpec, JobState};
-use stairstage::storage::records::*;
+use stairstage::storage::records::end_key;
 use std::collections::BTreeMap;
 
 /// Seconds that a job may be left waiting though it could run, once all troubles are over.
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -8,7 +8,7 @@
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::protocol::cloud::Rent;
 use stairstage::protocol::store::Transaction;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{CommandBatch, Heartbeat};
 use stairstage::storage::records::LEADER_KEY;
 
 impl World {
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -7,7 +7,7 @@
 use stairstage::coordination::state::Name;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{CommandBatch, Heartbeat, HeartbeatResponse};
 use stairstage::storage::records::OpenRecord;
 
 /// A sender of direct commands gives up on an answer after this time, and so does one of writes.
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState};
 
 /// Jobs that a history may submit.
 pub(crate) const JOBS: u8 = 9;
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -1,6 +1,8 @@
 //! A machine with its worker, as the protocol describes them.
 
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{
+    Cause, Command, CommandBatch, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+};
 use std::collections::BTreeMap;
 
 /// Processors of a machine.
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -13,9 +13,9 @@
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{CommandBatch, Heartbeat};
 use stairstage::settings::Settings;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{end_key, open_key, OpenRecord, LEADER_KEY, OPEN_PREFIX};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -4,15 +4,17 @@
 #[path = "common/standins.rs"]
 mod standins;
 
-use common::full_fleet::*;
-use common::http::*;
-use common::*;
+use common::full_fleet::{
+    full_fleet, job_of_machine, machine_number, reports_without_news, FullFleet, LargestWrite,
+};
+use common::http::send;
+use common::{answered, carry_out, core_with_token, report_of, starts, worker_report, SETTINGS};
 use crossbeam::channel::bounded;
 use serde_json::json;
 use stairstage::coordination::cluster::recovery::Records;
 use stairstage::coordination::cluster::{CommandOutcome, Effect};
 use stairstage::protocol::store::VersionedValue;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState};
 use stairstage::service::cloud_client::CloudClient;
 use stairstage::service::messages::{AcceptedJob, Message};
 use stairstage::service::record_reader::RecordReader;
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::*;
+use common::{each_effect, manager, parsed, report_of, shown, starts, submission};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::*;
+use common::{request_context, SETTINGS};
 use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
     Context, LocalJobView, Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -2,7 +2,10 @@
 
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 use stairstage::transport::peers::wire::peer_server::{Peer, PeerServer};
-use stairstage::transport::peers::wire::*;
+use stairstage::transport::peers::wire::{
+    AskReply, AskRequest, CancellationsReply, CancellationsRequest, HearsReply, HearsRequest,
+    PromiseReply, PromiseRequest, ReportReply, ReportRequest,
+};
 use stairstage::transport::peers::{ForwardedRequest, Kind, Peers};
 use stairstage::transport::runtime::Runtime;
 use std::net::{SocketAddr, TcpListener};
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -2,14 +2,17 @@
 
 mod common;
 
-use common::*;
+use common::{
+    core_with_token, each_effect, machine_type, manager, parsed, shown, starts, submission,
+    worker_report, Store, SETTINGS,
+};
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::job::{JobSpec, JobState};
 use stairstage::protocol::store::{Transaction, WriteOperation};
-use stairstage::protocol::worker::*;
-use stairstage::storage::records::*;
+use stairstage::protocol::worker::{Cause, TaskState};
+use stairstage::storage::records::{end_key, open_key, OpenRecord, LEADER_KEY, OPEN_PREFIX};
 use std::collections::BTreeMap;
 
 /// A manager with the records that it writes, and the ends that it has looked up.
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -1,13 +1,13 @@
 //! A clock-free play of the scheduler over generated loads: more work than room, floods of small
 //! jobs, deadlines that cannot be met. Everybody is served, and the largest begin in time.
 
-use crate::common::*;
+use crate::common::{manager, parsed, shown, submission};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, Heartbeat, TaskState};
 use stairstage::storage::records::OpenRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -7,8 +7,8 @@
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::store::Transaction;
-use stairstage::protocol::worker::*;
-use stairstage::storage::records::*;
+use stairstage::protocol::worker::CommandBatch;
+use stairstage::storage::records::LEADER_KEY;
 
 /// A write whose answer is under way.
 pub(super) struct PendingWrite {
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -5,7 +5,7 @@
 use stairstage::coordination::cluster::HeartbeatOutcome;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::parse_task;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, TaskState};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Seconds between two looks at the cloud's list.
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -6,7 +6,7 @@
 use crate::workload::JobPlan;
 use stairstage::protocol::job::{parse_task, JobState};
 use stairstage::protocol::store::Transaction;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of a job.
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -2,7 +2,9 @@
 
 use crate::workload::JobPlan;
 use stairstage::protocol::job::parse_task;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{
+    Cause, Command, CommandBatch, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a fetch of an image takes, and how long a task runs before it fails.
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,12 +2,14 @@
 
 mod common;
 
-use common::full_fleet::*;
-use common::http::*;
-use common::*;
+use common::full_fleet::{
+    carry_out_all, effect_bytes, full_fleet, reports_without_news, FullFleet,
+};
+use common::http::{answer, send};
+use common::{machine_type, parsed, report_of, shown, starts, submission, submit, SETTINGS};
 use stairstage::coordination::cluster::Effect;
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
 use stairstage::settings::Settings;
 use stairstage::storage::records::OpenRecord;
 use stairstage::transport::front::{self, Bounds};
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::*;
+use common::{launched, manager, report, report_of, shown, starts, submit};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, TaskState, TaskStatus};
 
 #[test]
 fn no_launch_leaves_before_its_place_is_recorded() {
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -2,11 +2,14 @@
 
 mod common;
 
-use common::*;
+use common::{
+    answered, carry_out, core_with_token, manager, out_of_reach, parsed, shown, starts, submission,
+    submit, worker_report,
+};
 use stairstage::coordination::cluster::heartbeats::HeartbeatSource;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -2,14 +2,17 @@
 
 mod common;
 
-use common::*;
+use common::{
+    answered, carry_out, core_with_token, each_effect, launched, manager, out_of_reach, parsed,
+    report, shown, starts, submission, submit, worker_report,
+};
 use stairstage::coordination::cluster::heartbeat_routing::{Redirects, Route};
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::WriteOperation;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, TaskState};
 use stairstage::settings::Workers;
 use stairstage::storage::records::OpenRecord;
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::*;
+use common::{
+    each_effect, launched, machine_type, manager, parsed, report, shown, starts, submission,
+    worker_report, Refusal, Store, SETTINGS,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
@@ -12,9 +15,13 @@
 use stairstage::coordination::state::{AllocationId, Placement, PlacementRecord};
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState};
 use stairstage::settings::Settings;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{
+    end_key, open_key, parse_completion_key, CompletionShards, EndRecord, OpenRecord,
+    StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_BYTES, LEADER_KEY,
+    PLACEMENT_PREFIX,
+};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
