--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -7,21 +7,21 @@
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobSpec;
 use stairstage::storage::records::OpenRecord;
-use standins::{accepted, call, small_job, until, Grid, Killed};
+use standins::{accepted, call, small_job, until, ControllerProcess, Entry, Grid, Lease};
 use std::sync::atomic::Ordering;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 #[test]
 fn a_job_outlives_the_leader_that_started_it() {
     let grid = Grid::new("outlives");
-    let mut nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let worker = &grid.worker;
-    let report = || grid.report_to(&[0, 1, 2]);
+    let send_heartbeats = || grid.send_heartbeats(&[0, 1, 2]);
     let job = small_job("req-1");
     let submitted = accepted(&grid.front(0), &job);
     assert!(submitted == 201 || submitted == 200, "{submitted}");
     until("both tasks run", || {
-        report();
+        send_heartbeats();
         (worker.lock().unwrap().tasks.len() == 2).then_some(())
     });
     let leader = until("there is a leader", || grid.leader());
@@ -29,13 +29,13 @@
     let other = &grid.front((leader + 1) % 3);
     let token = worker.lock().unwrap().token;
     until("another node leads", || {
-        report();
+        send_heartbeats();
         (worker.lock().unwrap().token > token).then_some(())
     });
     assert_eq!(accepted(other, &job), 200, "a repeat is known");
     worker.lock().unwrap().finish = true;
     let told = until("the job is done", || {
-        report();
+        send_heartbeats();
         let (_, answer) = call("GET", other, "/v2/runs/req-1", &Value::Null)?;
         (answer["status"] == "done").then_some(answer)
     });
@@ -53,7 +53,7 @@
     // All controllers restart while the cloud is down: the machine types are on record.
     grid.cloud_down.store(true, Ordering::Relaxed);
     nodes.clear();
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let another = small_job("req-3");
     until("a job is accepted without the cloud", || {
         call("POST", other, "/v2/runs", &another).filter(|a| a.0 == 201 || a.0 == 200)
@@ -67,22 +67,22 @@
 #[test]
 fn a_leader_that_hears_no_worker_hands_over_to_one_that_does() {
     let grid = Grid::new("deaf");
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     accepted(&grid.front(0), &small_job("req-1"));
     until("both tasks run", || {
-        grid.report_to(&[0, 1, 2]);
+        grid.send_heartbeats(&[0, 1, 2]);
         (grid.worker.lock().unwrap().tasks.len() == 2).then_some(())
     });
-    let deaf = until("there is a leader", || grid.leader());
-    let others: Vec<usize> = (0..3).filter(|i| *i != deaf).collect();
+    let cut_off = until("there is a leader", || grid.leader());
+    let others: Vec<usize> = (0..3).filter(|i| *i != cut_off).collect();
     // The leader answers its peers and holds its lease; the worker only gets through to them.
     until("another node leads", || {
-        grid.report_to(&others);
-        grid.leader().filter(|leader| *leader != deaf)
+        grid.send_heartbeats(&others);
+        grid.leader().filter(|leader| *leader != cut_off)
     });
     until("the worker follows it", || {
-        grid.report_to(&others);
-        let token = grid.state.lock().unwrap().keys.get("leader")?.1;
+        grid.send_heartbeats(&others);
+        let token = grid.state.lock().unwrap().keys.get("leader")?.version;
         (grid.worker.lock().unwrap().token == token).then_some(())
     });
     assert_eq!(grid.worker.lock().unwrap().starts.len(), 2, "none twice");
@@ -95,19 +95,23 @@
     {
         let mut state = grid.state.lock().unwrap();
         state.revision = 7;
-        let record = (json!({"node": "n0"}), 7, Some(7));
+        let record = Entry {
+            value: json!({"node": "n0"}),
+            version: 7,
+            lease: Some(7),
+        };
         state.keys.insert("leader".into(), record);
-        let life = (Instant::now(), Duration::from_secs(3600));
-        state.leases.insert(7, life);
+        let lease = Lease::new(Duration::from_secs(3600));
+        state.leases.insert(7, lease);
     }
     let _node = grid.start(0);
     until("the worker is answered with a newer token", || {
-        grid.report_to(&[0]);
+        grid.send_heartbeats(&[0]);
         (grid.worker.lock().unwrap().token > 7).then_some(())
     });
     accepted(&grid.front(0), &small_job("req-1"));
     until("a task runs", || {
-        grid.report_to(&[0]);
+        grid.send_heartbeats(&[0]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
     });
 }
@@ -115,17 +119,17 @@
 #[test]
 fn a_job_whose_news_was_lost_is_found_by_reading_the_records_anew() {
     let grid = Grid::new("reread");
-    let _nodes: Vec<Option<Killed>> = (0..2).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..2).map(|i| grid.start(i)).collect();
     let leader = until("there is a leader", || grid.leader());
     until("the worker is known", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().token > 0).then_some(())
     });
-    grid.watch_deaf.store(true, Ordering::Relaxed);
+    grid.job_changes_lost.store(true, Ordering::Relaxed);
     // Recorded by the other node: the leader's watch would tell of it.
     accepted(&grid.front(1 - leader), &small_job("req-1"));
     until("a task runs", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
     });
     assert_eq!(grid.leader(), Some(leader), "by no other leader's reading");
@@ -156,12 +160,12 @@
 #[test]
 fn a_leader_without_the_state_service_stops_what_another_controller_has_confirmed_as_cancelled() {
     let grid = Grid::new("refused");
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     accepted(&grid.front(0), &small_job("req-1"));
     accepted(&grid.front(0), &small_job("req-2"));
     let leader = until("there is a leader", || grid.leader());
     until("all tasks run", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().tasks.len() == 4).then_some(())
     });
     // Nobody else is elected before the state service is down for all.
@@ -173,15 +177,12 @@
     });
     grid.state_down.store(true, Ordering::Relaxed);
     until("its tasks are stopped", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         let worker = grid.worker.lock().unwrap();
-        let left = worker
-            .tasks
-            .keys()
-            .all(|(task, _)| task.starts_with("req-2/"));
+        let left = worker.tasks.keys().all(|id| id.task.starts_with("req-2/"));
         left.then_some(())
     });
-    grid.report_to(&[leader]);
+    grid.send_heartbeats(&[leader]);
     assert_eq!(
         grid.worker.lock().unwrap().tasks.len(),
         2,
@@ -199,9 +200,9 @@
 #[test]
 fn pipelines_go_through_any_node_and_outlive_the_leader() {
     let grid = Grid::new("pipelines");
-    let mut nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let worker = &grid.worker;
-    let report = |nodes: &[usize]| grid.report_to(nodes);
+    let report = |nodes: &[usize]| grid.send_heartbeats(nodes);
     let state = |i: usize, id: &str| {
         let (status, answer) = call(
             "GET",
@@ -295,7 +296,12 @@
         state.revision = 9;
         let mut put = |key: &str, value: Value| {
             let lease = (key == "leader").then_some(7);
-            state.keys.insert(key.into(), (value, 9, lease));
+            let entry = Entry {
+                value,
+                version: 9,
+                lease,
+            };
+            state.keys.insert(key.into(), entry);
         };
         put("leader", json!({"node": "n9"}));
         put("end/req-1", json!({"state": "cancelled"}));
@@ -303,8 +309,8 @@
         put("open/req-3", spec("req-3", &["req-2", "req-1"]));
         put("open/req-4", spec("req-4", &["req-3"]));
         put("open/req-5", spec("req-5", &["req-2"]));
-        let life = (Instant::now(), Duration::from_secs(3600));
-        state.leases.insert(7, life);
+        let lease = Lease::new(Duration::from_secs(3600));
+        state.leases.insert(7, lease);
     }
     let _node = grid.start(0);
     let poll = |id: &str| {
--- a/tests/common/standins.rs
+++ b/tests/common/standins.rs
@@ -16,19 +16,44 @@
 /// Keys in one page of a list at the most.
 const MAX_PAIRS: usize = 1000;
 
+/// A key's value, the revision that wrote it, and the lease that it goes with.
+pub(crate) struct Entry {
+    pub value: Value,
+    pub version: u64,
+    pub lease: Option<u64>,
+}
+
+/// A lease, which lives for so long after its last renewal.
+pub(crate) struct Lease {
+    pub renewed_at: Instant,
+    pub life: Duration,
+}
+
+impl Lease {
+    /// A lease that is granted now.
+    pub(crate) fn new(life: Duration) -> Lease {
+        Lease {
+            renewed_at: Instant::now(),
+            life,
+        }
+    }
+}
+
 /// Keys with values, versions and leases; what the protocol says of them, without limits on rates.
 #[derive(Default)]
-pub(crate) struct State {
-    pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    pub leases: BTreeMap<u64, (Instant, Duration)>,
+pub(crate) struct KeyValueStore {
+    pub keys: BTreeMap<String, Entry>,
+    pub leases: BTreeMap<u64, Lease>,
+    /// All changes so far, as watches show them.
     changes: Vec<Value>,
     pub revision: u64,
 }
 
-impl State {
-    fn expire(&mut self) {
+impl KeyValueStore {
+    /// Keys go with the leases that they are on.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over = |l: &(Instant, Duration)| now > l.0 + l.1;
+        let over = |l: &Lease| now > l.renewed_at + l.life;
         let ended: Vec<u64> = self
             .leases
             .iter()
@@ -37,7 +62,7 @@
             .collect();
         for lease in ended {
             self.leases.remove(&lease);
-            let keys = self.keys.iter().filter(|(_, v)| v.2 == Some(lease));
+            let keys = self.keys.iter().filter(|(_, v)| v.lease == Some(lease));
             for key in keys.map(|(k, _)| k.clone()).collect::<Vec<_>>() {
                 self.revision += 1;
                 self.change(&json!({"delete": key}));
@@ -45,11 +70,16 @@
         }
     }
 
+    /// Applies a write or a deletion at the present revision.
     fn change(&mut self, change: &Value) {
         let stamp = self.revision;
         if let Some(key) = change["write"].as_str() {
-            let value = (change["v"].clone(), stamp, change["mooring"].as_u64());
-            self.keys.insert(key.into(), value);
+            let entry = Entry {
+                value: change["v"].clone(),
+                version: stamp,
+                lease: change["mooring"].as_u64(),
+            };
+            self.keys.insert(key.into(), entry);
             self.changes
                 .push(json!({"write": key, "v": change["v"], "stamp": stamp}));
         } else if let Some(key) = change["delete"].as_str() {
@@ -58,11 +88,12 @@
         }
     }
 
+    /// Applies a transaction if all versions are as it expects.
     fn transact(&mut self, body: &Value) -> (u16, Value) {
         let mut failed = Vec::new();
         for c in body["if"].as_array().into_iter().flatten() {
             let key = c["key"].as_str().unwrap();
-            if self.keys.get(key).map_or(0, |v| v.1) != c["stamp"].as_u64().unwrap() {
+            if self.keys.get(key).map_or(0, |v| v.version) != c["stamp"].as_u64().unwrap() {
                 failed.push(key.to_string());
             }
         }
@@ -82,79 +113,92 @@
         self.change(&json!({"write": key, "v": value}));
     }
 
+    /// Answers one call, as the protocol describes them.
     pub(crate) fn answer(&mut self, method: &Method, url: &str, body: &Value) -> (u16, Value) {
-        self.expire();
+        self.expire_leases();
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
-        let parameter = |name: &str| {
-            let pairs = query.split('&').filter_map(|p| p.split_once('='));
-            pairs
-                .filter(|p| p.0 == name)
-                .map(|p| p.1.to_string())
-                .next()
-        };
-        let under = parameter("under").unwrap_or_default();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (method, &parts[..]) {
             (Method::Post, ["txn"]) => self.transact(body),
-            (Method::Post, ["leases"]) => {
-                self.revision += 1;
-                let life = Duration::from_millis(body["life_ms"].as_u64().unwrap());
-                self.leases.insert(self.revision, (Instant::now(), life));
-                (200, json!({"mooring": self.revision}))
-            }
-            (Method::Post, ["leases", id, "extend"]) => {
-                match self.leases.get_mut(&id.parse().unwrap()) {
-                    Some(lease) => {
-                        lease.0 = Instant::now();
-                        (200, json!({}))
-                    }
-                    None => (404, json!({})),
-                }
-            }
-            (Method::Get, ["changes"]) => {
-                let after: u64 = parameter("after").unwrap().parse().unwrap();
-                let key = |c: &Value| {
-                    c["write"]
-                        .as_str()
-                        .or(c["delete"].as_str())
-                        .unwrap()
-                        .to_string()
-                };
-                let fresh =
-                    |c: &&Value| c["stamp"].as_u64() > Some(after) && key(c).starts_with(&under);
-                let news: Vec<Value> = self.changes.iter().filter(fresh).cloned().collect();
-                (200, json!({"tally": self.revision, "news": news}))
-            }
-            (Method::Get, ["store"]) => {
-                let after = parameter("after").unwrap_or_default();
-                let limit = parameter("limit").and_then(|n| n.parse().ok());
-                let limit = limit.unwrap_or(MAX_PAIRS).min(MAX_PAIRS);
-                let mut pairs: Vec<Value> = self
-                    .keys
-                    .iter()
-                    .filter(|(k, _)| k.starts_with(&under) && **k > after)
-                    .map(|(k, v)| json!({"key": k, "v": v.0, "stamp": v.1}))
-                    .take(limit + 1)
-                    .collect();
-                let truncated = pairs.len() > limit;
-                pairs.truncate(limit);
-                (
-                    200,
-                    json!({"pairs": pairs, "truncated": truncated, "tally": self.revision}),
-                )
-            }
-            (Method::Get, ["store", ..]) => {
-                let key = &path["/store/".len()..];
-                match self.keys.get(key) {
-                    Some((value, stamp, _)) => {
-                        (200, json!({"key": key, "v": value, "stamp": stamp}))
-                    }
-                    None => (404, json!({"tally": self.revision})),
-                }
-            }
+            (Method::Post, ["leases"]) => self.grant_lease(body),
+            (Method::Post, ["leases", id, "extend"]) => self.extend_lease(id),
+            (Method::Get, ["changes"]) => self.changes(query),
+            (Method::Get, ["store"]) => self.page(query),
+            (Method::Get, ["store", ..]) => self.read(&path["/store/".len()..]),
             _ => (400, json!({})),
         }
     }
+
+    fn grant_lease(&mut self, body: &Value) -> (u16, Value) {
+        self.revision += 1;
+        let life = Duration::from_millis(body["life_ms"].as_u64().unwrap());
+        self.leases.insert(self.revision, Lease::new(life));
+        (200, json!({"mooring": self.revision}))
+    }
+
+    fn extend_lease(&mut self, id: &str) -> (u16, Value) {
+        match self.leases.get_mut(&id.parse().unwrap()) {
+            Some(lease) => {
+                lease.renewed_at = Instant::now();
+                (200, json!({}))
+            }
+            None => (404, json!({})),
+        }
+    }
+
+    /// Changes under a prefix that came after a revision.
+    fn changes(&self, query: &str) -> (u16, Value) {
+        let under = parameter(query, "under").unwrap_or_default();
+        let after: u64 = parameter(query, "after").unwrap().parse().unwrap();
+        let key = |c: &Value| {
+            c["write"]
+                .as_str()
+                .or(c["delete"].as_str())
+                .unwrap()
+                .to_string()
+        };
+        let fresh = |c: &&Value| c["stamp"].as_u64() > Some(after) && key(c).starts_with(&under);
+        let news: Vec<Value> = self.changes.iter().filter(fresh).cloned().collect();
+        (200, json!({"tally": self.revision, "news": news}))
+    }
+
+    /// A page of the keys under a prefix that come after a key.
+    fn page(&self, query: &str) -> (u16, Value) {
+        let under = parameter(query, "under").unwrap_or_default();
+        let after = parameter(query, "after").unwrap_or_default();
+        let limit = parameter(query, "limit").and_then(|n| n.parse().ok());
+        let limit = limit.unwrap_or(MAX_PAIRS).min(MAX_PAIRS);
+        let mut pairs: Vec<Value> = self
+            .keys
+            .iter()
+            .filter(|(k, _)| k.starts_with(&under) && **k > after)
+            .map(|(k, v)| json!({"key": k, "v": v.value, "stamp": v.version}))
+            .take(limit + 1)
+            .collect();
+        let truncated = pairs.len() > limit;
+        pairs.truncate(limit);
+        let page = json!({"pairs": pairs, "truncated": truncated, "tally": self.revision});
+        (200, page)
+    }
+
+    fn read(&self, key: &str) -> (u16, Value) {
+        match self.keys.get(key) {
+            Some(entry) => (
+                200,
+                json!({"key": key, "v": entry.value, "stamp": entry.version}),
+            ),
+            None => (404, json!({"tally": self.revision})),
+        }
+    }
+}
+
+/// The value of a query's parameter.
+fn parameter(query: &str, name: &str) -> Option<String> {
+    let pairs = query.split('&').filter_map(|p| p.split_once('='));
+    pairs
+        .filter(|p| p.0 == name)
+        .map(|p| p.1.to_string())
+        .next()
 }
 
 /// Serves `answer` from a few threads; a watch without news is asked again for a while.
@@ -175,6 +219,7 @@
     address
 }
 
+/// Answers one request; holds back a watch without news for a while.
 pub(crate) fn respond(
     mut request: Request,
     answer: &dyn Fn(&Method, &str, &Value) -> (u16, Value),
@@ -195,25 +240,36 @@
     let _ = request.respond(response);
 }
 
+/// One attempt of a task.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptId {
+    pub task: String,
+    pub attempt: u64,
+}
+
 /// The one machine: its tasks run until they are told to be done.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub token: u64,
     sequence: u64,
-    pub tasks: BTreeMap<(String, u64), &'static str>,
+    /// The state of each attempt, in the protocol's words.
+    pub tasks: BTreeMap<AttemptId, &'static str>,
+    /// Whether all tasks are done by the next heartbeat.
     pub finish: bool,
+    /// The tasks that were started, in their order.
     pub starts: Vec<String>,
 }
 
 impl Worker {
-    pub(crate) fn report(&mut self, endpoint: SocketAddr) -> Value {
+    /// The next heartbeat, with the address where direct commands arrive.
+    pub(crate) fn heartbeat(&mut self, endpoint: SocketAddr) -> Value {
         self.sequence += 1;
         if self.finish {
             self.tasks.values_mut().for_each(|t| *t = "exited");
         }
-        let task = |((task, attempt), state): (&(String, u64), &&str)| {
+        let task = |(id, state): (&AttemptId, &&str)| {
             let cause = (*state == "exited").then_some("done");
-            json!({"leg": task, "sailing": attempt, "status": state, "cause": cause})
+            json!({"leg": id.task, "sailing": id.attempt, "status": state, "cause": cause})
         };
         let tasks: Vec<Value> = self.tasks.iter().map(task).collect();
         json!({"vessel": "m-1", "endpoint": endpoint.to_string(), "hull": "g8", "berth": "z",
@@ -221,24 +277,25 @@
             "recall_s": null, "legs": tasks})
     }
 
-    pub(crate) fn run(&mut self, answer: &Value) -> bool {
+    /// Carries out a response to a heartbeat, or a direct command, unless its token is outdated.
+    pub(crate) fn execute(&mut self, answer: &Value) -> bool {
         let token = answer["helm"].as_u64().unwrap();
         if token < self.token {
             return false;
         }
         self.token = token;
         for signal in answer["signals"].as_array().unwrap() {
-            let key = (
-                signal["leg"].as_str().unwrap().to_string(),
-                signal["sailing"].as_u64().unwrap(),
-            );
+            let id = AttemptId {
+                task: signal["leg"].as_str().unwrap().to_string(),
+                attempt: signal["sailing"].as_u64().unwrap(),
+            };
             match signal["signal"].as_str().unwrap() {
-                "launch" if !self.tasks.contains_key(&key) => {
-                    self.starts.push(key.0.clone());
-                    self.tasks.insert(key, "running");
+                "launch" if !self.tasks.contains_key(&id) => {
+                    self.starts.push(id.task.clone());
+                    self.tasks.insert(id, "running");
                 }
                 "stop" | "forget" => {
-                    self.tasks.remove(&key);
+                    self.tasks.remove(&id);
                 }
                 _ => {}
             }
@@ -247,9 +304,10 @@
     }
 }
 
-pub(crate) struct Killed(Child);
+/// The process of a controller, which is killed when this is dropped.
+pub(crate) struct ControllerProcess(Child);
 
-impl Drop for Killed {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -282,6 +340,7 @@
     }
 }
 
+/// Calls a server by HTTP: the status and the body, or nothing if there was no response.
 pub(crate) fn call(method: &str, address: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
     let request = ureq::request(method, &format!("http://{address}{path}"));
     let request = request.timeout(Duration::from_secs(3));
@@ -311,18 +370,70 @@
     }
 }
 
+/// The name of a controller's settings file.
 fn settings_name(i: usize) -> String {
     format!("{i}.toml")
 }
 
+/// Serves the state service to one controller; it answers 503 while any of `down` is set.
+fn serve_state(
+    state: &Arc<Mutex<KeyValueStore>>,
+    down: [Arc<AtomicBool>; 2],
+    job_changes_lost: &Arc<AtomicBool>,
+) -> SocketAddr {
+    let (state, job_changes_lost) = (state.clone(), job_changes_lost.clone());
+    serve(move |method, url, body| {
+        if down.iter().any(|d| d.load(Ordering::Relaxed)) {
+            return (503, json!({"error": "trouble"}));
+        }
+        let (status, mut answer) = state.lock().unwrap().answer(method, url, body);
+        if job_changes_lost.load(Ordering::Relaxed) && url.starts_with("/changes?under=open/") {
+            answer["news"] = json!([]);
+        }
+        (status, answer)
+    })
+}
+
+/// Serves a cloud with one type of machine and none of them to rent.
+fn serve_cloud(down: &Arc<AtomicBool>) -> SocketAddr {
+    let down = down.clone();
+    serve(move |_, url, _| match url.split('?').next().unwrap() {
+        _ if down.load(Ordering::Relaxed) => (503, json!({"error": "trouble"})),
+        "/machine_types" => (
+            200,
+            json!({"hulls": [{"sku": "g8", "cpus": 8, "gpus": 0, "mem_gb": 64,
+            "cache_gb": 50, "pull_gb_per_s": 1.0, "price": 1.0, "market_price": 0.4,
+            "startup_s": 30, "berths": ["z"]}]}),
+        ),
+        "/machines/return" => (200, json!({})),
+        _ => (503, json!({"error": "no capacity"})),
+    })
+}
+
+/// Serves the worker's own address, where direct commands arrive.
+fn serve_worker(worker: &Arc<Mutex<Worker>>) -> SocketAddr {
+    let worker = worker.clone();
+    let endpoint = Arc::new(Mutex::new(None));
+    let own_endpoint = endpoint.clone();
+    let address = serve(move |_, _, body| {
+        let mut worker = worker.lock().unwrap();
+        let status = if worker.execute(body) { 200 } else { 409 };
+        let address = own_endpoint.lock().unwrap().unwrap();
+        (status, worker.heartbeat(address))
+    });
+    *endpoint.lock().unwrap() = Some(address);
+    address
+}
+
 /// What a grid's controllers speak to, and where they listen.
 pub(crate) struct Grid {
-    pub state: Arc<Mutex<State>>,
+    pub state: Arc<Mutex<KeyValueStore>>,
+    /// Whether the state service refuses everybody.
     pub state_down: Arc<AtomicBool>,
     /// Which of the controllers the state service refuses alone.
     pub state_refuses: [Arc<AtomicBool>; 3],
     /// Whether no change of an open job reaches those who watch for it.
-    pub watch_deaf: Arc<AtomicBool>,
+    pub job_changes_lost: Arc<AtomicBool>,
     pub cloud_down: Arc<AtomicBool>,
     pub worker: Arc<Mutex<Worker>>,
     worker_address: SocketAddr,
@@ -337,52 +448,22 @@
 impl Grid {
     /// `name` keeps the settings files of tests apart.
     pub(crate) fn new(name: &'static str) -> Grid {
-        let state = Arc::new(Mutex::new(State::default()));
+        let state = Arc::new(Mutex::new(KeyValueStore::default()));
         let state_down = Arc::new(AtomicBool::new(false));
-        let watch_deaf = Arc::new(AtomicBool::new(false));
+        let job_changes_lost = Arc::new(AtomicBool::new(false));
         let state_refuses: [Arc<AtomicBool>; 3] = Default::default();
-        let state_addresses = state_refuses.clone().map(|refuses| {
-            let (kept, down, deaf) = (state.clone(), state_down.clone(), watch_deaf.clone());
-            serve(move |method, url, body| {
-                if down.load(Ordering::Relaxed) || refuses.load(Ordering::Relaxed) {
-                    return (503, json!({"error": "trouble"}));
-                }
-                let mut state = kept.lock().unwrap();
-                let (status, mut answer) = state.answer(method, url, body);
-                if deaf.load(Ordering::Relaxed) && url.starts_with("/changes?under=open/") {
-                    answer["news"] = json!([]);
-                }
-                (status, answer)
-            })
-        });
+        let state_addresses = state_refuses
+            .clone()
+            .map(|refuses| serve_state(&state, [state_down.clone(), refuses], &job_changes_lost));
         let cloud_down = Arc::new(AtomicBool::new(false));
-        let down = cloud_down.clone();
-        let cloud_address = serve(move |_, url, _| match url.split('?').next().unwrap() {
-            _ if down.load(Ordering::Relaxed) => (503, json!({"error": "trouble"})),
-            "/machine_types" => (
-                200,
-                json!({"hulls": [{"sku": "g8", "cpus": 8, "gpus": 0, "mem_gb": 64,
-                "cache_gb": 50, "pull_gb_per_s": 1.0, "price": 1.0, "market_price": 0.4,
-                "startup_s": 30, "berths": ["z"]}]}),
-            ),
-            "/machines/return" => (200, json!({})),
-            _ => (503, json!({"error": "no capacity"})),
-        });
+        let cloud_address = serve_cloud(&cloud_down);
         let worker = Arc::new(Mutex::new(Worker::default()));
-        let endpoint = Arc::new(Mutex::new(None));
-        let (orders_worker, orders_endpoint) = (worker.clone(), endpoint.clone());
-        let worker_address = serve(move |_, _, body| {
-            let mut worker = orders_worker.lock().unwrap();
-            let status = if worker.run(body) { 200 } else { 409 };
-            let address = orders_endpoint.lock().unwrap().unwrap();
-            (status, worker.report(address))
-        });
-        *endpoint.lock().unwrap() = Some(worker_address);
+        let worker_address = serve_worker(&worker);
         let grid = Grid {
             state,
             state_down,
             state_refuses,
-            watch_deaf,
+            job_changes_lost,
             cloud_down,
             worker,
             worker_address,
@@ -396,12 +477,12 @@
     }
 
     /// Starts one of the three controllers.
-    pub(crate) fn start(&self, i: usize) -> Option<Killed> {
+    pub(crate) fn start(&self, i: usize) -> Option<ControllerProcess> {
         self.start_with(i, &[])
     }
 
     /// The same, with further arguments.
-    pub(crate) fn start_with(&self, i: usize, arguments: &[&OsStr]) -> Option<Killed> {
+    pub(crate) fn start_with(&self, i: usize, arguments: &[&OsStr]) -> Option<ControllerProcess> {
         let program = Path::new(env!("CARGO_BIN_EXE_stairstage"));
         self.start_program(program, i, arguments)
     }
@@ -412,7 +493,7 @@
         program: &Path,
         i: usize,
         arguments: &[&OsStr],
-    ) -> Option<Killed> {
+    ) -> Option<ControllerProcess> {
         let child = Command::new(program)
             .args(["serve", "--config"])
             .arg(self.settings_file(i))
@@ -421,7 +502,7 @@
             .stdin(Stdio::null())
             .spawn()
             .unwrap();
-        Some(Killed(child))
+        Some(ControllerProcess(child))
     }
 
     /// The settings of one of the controllers.
@@ -462,21 +543,23 @@
         path
     }
 
+    /// Where a file of this grid's own is.
     fn path(&self, name: &str) -> PathBuf {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         folder.join(format!("{}-{name}", self.name))
     }
 
+    /// The address where users and workers reach a controller.
     pub(crate) fn front(&self, i: usize) -> String {
         format!("127.0.0.1:{}", self.ports[i].0)
     }
 
-    /// The worker reports to some of the nodes; only the leader answers with commands.
-    pub(crate) fn report_to(&self, nodes: &[usize]) {
+    /// The worker sends a heartbeat to each of these nodes; only the leader answers with commands.
+    pub(crate) fn send_heartbeats(&self, nodes: &[usize]) {
         for i in nodes {
-            let body = self.worker.lock().unwrap().report(self.worker_address);
+            let body = self.worker.lock().unwrap().heartbeat(self.worker_address);
             if let Some((200, answer)) = call("POST", &self.front(*i), "/agent/beat", &body) {
-                self.worker.lock().unwrap().run(&answer);
+                self.worker.lock().unwrap().execute(&answer);
             }
         }
     }
@@ -484,15 +567,17 @@
     /// Lets no lease end, however long nobody renews it.
     pub(crate) fn keep_leases(&self) {
         let mut state = self.state.lock().unwrap();
-        for (_, life) in state.leases.values_mut() {
-            *life = Duration::from_secs(3600);
+        for lease in state.leases.values_mut() {
+            lease.life = Duration::from_secs(3600);
         }
     }
 
     /// Which node the leader's record names.
     pub(crate) fn leader(&self) -> Option<usize> {
         let state = self.state.lock().unwrap();
-        let name = state.keys.get("leader")?.0["node"].as_str()?.to_string();
+        let name = state.keys.get("leader")?.value["node"]
+            .as_str()?
+            .to_string();
         name[1..].parse().ok()
     }
 }
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -232,10 +232,14 @@
 
 #[test]
 fn all_open_jobs_are_read_anew_in_one_message() {
-    let mut state = standins::State::default();
+    let mut state = standins::KeyValueStore::default();
     for i in 0..LARGEST {
         state.revision += 1;
-        let record = (json!(job_of_machine(i)), state.revision, None);
+        let record = standins::Entry {
+            value: json!(job_of_machine(i)),
+            version: state.revision,
+            lease: None,
+        };
         state.keys.insert(format!("{OPEN_PREFIX}req-{i}"), record);
     }
     let state = Mutex::new(state);
--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -14,7 +14,7 @@
 
 use random::SplitMix64;
 use serde_json::{json, Value};
-use standins::{call, small_job, until, Grid, Killed};
+use standins::{call, small_job, until, ControllerProcess, Grid};
 use std::collections::BTreeMap;
 use std::ffi::OsStr;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     grid: Grid,
     former: PathBuf,
     policy: PathBuf,
-    nodes: [Option<Killed>; 3],
+    nodes: [Option<ControllerProcess>; 3],
     /// Whether each runs the present version.
     present: [bool; 3],
     random: SplitMix64,
@@ -139,7 +139,7 @@
     /// The machine's tasks are done as soon as they have run for a report.
     fn work(&mut self) {
         self.grid.worker.lock().unwrap().finish = true;
-        self.grid.report_to(&[0, 1, 2]);
+        self.grid.send_heartbeats(&[0, 1, 2]);
     }
 
     /// A controller ends, and comes back with one of the two versions, or stays away until later.
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -4,7 +4,7 @@
 mod standins;
 
 use serde_json::{json, Value};
-use standins::{accepted, call, small_job, until, Grid, Killed};
+use standins::{accepted, call, small_job, until, ControllerProcess, Grid};
 use std::ffi::OsStr;
 use std::path::Path;
 use std::process::Command;
@@ -33,7 +33,7 @@
     }
 }
 
-fn staged(grid: &Grid, i: usize, policy: &Path) -> Option<Killed> {
+fn staged(grid: &Grid, i: usize, policy: &Path) -> Option<ControllerProcess> {
     grid.start_with(i, &[OsStr::new("--upgrade"), policy.as_os_str()])
 }
 
@@ -51,7 +51,7 @@
 fn new_behaviour_is_off_until_every_controller_has_the_release_and_an_operator_finalizes() {
     let grid = Grid::new("staged");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
-    let mut nodes: Vec<Option<Killed>> = vec![
+    let mut nodes: Vec<Option<ControllerProcess>> = vec![
         staged(&grid, 0, &policy),
         staged(&grid, 1, &policy),
         // A release without staged upgrades.
@@ -145,7 +145,8 @@
     let grid = Grid::new("automatic");
     let automatic = "(upgrade (finalize automatic) (soak 0.001) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| staged(&grid, i, &policy)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> =
+        (0..3).map(|i| staged(&grid, i, &policy)).collect();
     until("the version rises", || {
         let output = upgrade(&grid, &policy, &["status"]);
         output.text.starts_with("cluster version 2\n").then_some(())
@@ -156,7 +157,8 @@
 fn controllers_withdraw_from_a_cluster_that_has_gone_beyond_their_release() {
     let grid = Grid::new("withdraws");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| staged(&grid, i, &policy)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> =
+        (0..3).map(|i| staged(&grid, i, &policy)).collect();
     until("there is a leader", || grid.leader());
     until("all are healthy", || {
         (0..3).all(|i| healthy(&grid, i)).then_some(())
