--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -197,89 +197,121 @@
     job
 }
 
-#[test]
-fn pipelines_go_through_any_node_and_outlive_the_leader() {
-    let grid = Grid::new("pipelines");
-    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
-    let worker = &grid.worker;
-    let report = |nodes: &[usize]| grid.send_heartbeats(nodes);
-    let state = |i: usize, id: &str| {
-        let (status, answer) = call(
-            "GET",
-            &grid.front(i),
-            &format!("/v2/runs/{id}"),
-            &Value::Null,
-        )?;
-        (status == 200).then(|| answer["status"].as_str().unwrap().to_string())
-    };
-    let submit = |i: usize, job: &Value| accepted(&grid.front(i), job);
-    // A try that was accepted may have gone unanswered: the next one is told that it is known.
-    let take = |i: usize, job: &Value| assert_eq!(submit(i, job) / 100, 2);
-    // What was never accepted cannot be waited for, nor can the job itself.
-    assert_eq!(submit(1, &waiting("req-2", &["req-1"])), 422);
-    assert_eq!(submit(1, &waiting("req-2", &["req-2"])), 422);
-    assert_eq!(submit(1, &waiting("req-2", &["nothing"])), 400);
+/// The state of a job as a node tells it, if it does.
+fn job_state(grid: &Grid, node: usize, id: &str) -> Option<String> {
+    let path = format!("/v2/runs/{id}");
+    let (status, answer) = call("GET", &grid.front(node), &path, &Value::Null)?;
+    (status == 200).then(|| answer["status"].as_str().unwrap().to_string())
+}
+
+/// A node accepts a job. A try that was accepted may have gone unanswered: the next one is told
+/// that it is known.
+fn submit(grid: &Grid, node: usize, job: &Value) {
+    assert_eq!(accepted(&grid.front(node), job) / 100, 2);
+}
+
+/// The tasks of all jobs that were started, in their order.
+fn starts(grid: &Grid) -> Vec<String> {
+    grid.worker.lock().unwrap().starts.clone()
+}
+
+fn has_started(grid: &Grid, id: &str) -> bool {
+    let starts = starts(grid);
+    starts.iter().any(|s| s.starts_with(&format!("{id}/")))
+}
+
+/// What was never accepted cannot be waited for, nor can the job itself, nor too many jobs.
+fn check_impossible_dependencies_are_refused(grid: &Grid) {
+    let front = &grid.front(1);
+    assert_eq!(accepted(front, &waiting("req-2", &["req-1"])), 422);
+    assert_eq!(accepted(front, &waiting("req-2", &["req-2"])), 422);
+    assert_eq!(accepted(front, &waiting("req-2", &["nothing"])), 400);
     // More than a record can hold: the answer names the bound, and asks nobody first.
     let many: Vec<String> = (100..2000).map(|n| format!("req-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    let path = &grid.front(1);
     let (status, told) = until("an answer", || {
-        call("POST", path, "/v2/runs", &waiting("req-2", &many)).filter(|a| a.0 < 500)
+        call("POST", front, "/v2/runs", &waiting("req-2", &many)).filter(|a| a.0 < 500)
     });
     assert_eq!(status, 400);
     assert!(
         told["error"].as_str().unwrap().contains("of at most 13926"),
         "{told}"
     );
-    take(0, &small_job("req-1"));
-    take(1, &waiting("req-2", &["req-1"]));
-    take(2, &waiting("req-3", &["req-2", "req-1"]));
-    assert_eq!(submit(0, &waiting("req-3", &["req-9"])), 200, "is known");
-    let started = |id: &str| {
-        let starts = worker.lock().unwrap().starts.clone();
-        starts.iter().any(|s| s.starts_with(&format!("{id}/")))
-    };
+}
+
+/// A pipeline of three jobs, submitted to one node each, is done in its order though the leader
+/// ends. Returns the nodes that are left.
+fn check_a_pipeline_outlives_the_leader(
+    grid: &Grid,
+    nodes: &mut [Option<ControllerProcess>],
+) -> Vec<usize> {
+    submit(grid, 0, &small_job("req-1"));
+    submit(grid, 1, &waiting("req-2", &["req-1"]));
+    submit(grid, 2, &waiting("req-3", &["req-2", "req-1"]));
+    let repeated = accepted(&grid.front(0), &waiting("req-3", &["req-9"]));
+    assert_eq!(repeated, 200, "is known");
     until("the first runs", || {
-        report(&[0, 1, 2]);
-        started("req-1").then_some(())
+        grid.send_heartbeats(&[0, 1, 2]);
+        has_started(grid, "req-1").then_some(())
     });
     let leader = until("there is a leader", || grid.leader());
     nodes[leader] = None;
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-    assert!(!started("req-2") && !started("req-3"));
-    worker.lock().unwrap().finish = true;
+    assert!(!has_started(grid, "req-2") && !has_started(grid, "req-3"));
+    grid.worker.lock().unwrap().finish = true;
     until("the last is done", || {
-        report(&others);
-        (state(others[0], "req-3")? == "done").then_some(())
+        grid.send_heartbeats(&others);
+        (job_state(grid, others[0], "req-3")? == "done").then_some(())
     });
-    let order: Vec<String> = worker.lock().unwrap().starts.clone();
+    let order = starts(grid);
     let first = |id: &str| order.iter().position(|s| s.starts_with(id)).unwrap();
     let last = |id: &str| order.iter().rposition(|s| s.starts_with(id)).unwrap();
     assert!(last("req-1/") < first("req-2/") && last("req-2/") < first("req-3/"));
+    others
+}
 
-    worker.lock().unwrap().finish = false;
-    let (a, b) = (others[0], others[1]);
-    take(a, &small_job("req-4"));
-    take(b, &waiting("req-5", &["req-4"]));
-    take(a, &waiting("req-6", &["req-5", "req-3"]));
+/// Jobs that need a cancelled one are cancelled too, whichever of two nodes is asked.
+fn check_dependents_of_a_cancelled_job_are_cancelled(grid: &Grid, a: usize, b: usize) {
+    grid.worker.lock().unwrap().finish = false;
+    submit(grid, a, &small_job("req-4"));
+    submit(grid, b, &waiting("req-5", &["req-4"]));
+    submit(grid, a, &waiting("req-6", &["req-5", "req-3"]));
     until("the cancellation is taken", || {
         call("POST", &grid.front(b), "/v2/runs/req-4/abort", &json!({})).filter(|a| a.0 == 200)
     });
-    for (i, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
+    for (node, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
         until("what needs it is cancelled", || {
-            report(&others);
-            (state(i, id)? == "cancelled").then_some(())
+            grid.send_heartbeats(&[a, b]);
+            (job_state(grid, node, id)? == "cancelled").then_some(())
         });
     }
-    // One that comes later is accepted, and cancelled at once.
-    take(a, &waiting("req-7", &["req-6"]));
-    let told = until("a node tells", || state(b, "req-7"));
+}
+
+/// A job that is submitted after the one that it needs was cancelled.
+fn check_late_dependents_of_a_cancelled_job(grid: &Grid, a: usize, b: usize) {
+    // It is accepted, and cancelled at once.
+    submit(grid, a, &waiting("req-7", &["req-6"]));
+    let told = until("a node tells", || job_state(grid, b, "req-7"));
     assert_eq!(told, "cancelled");
-    assert_eq!(submit(b, &waiting("req-7", &["req-6"])), 200);
-    assert!(!started("req-5") && !started("req-6"));
+    let repeated = accepted(&grid.front(b), &waiting("req-7", &["req-6"]));
+    assert_eq!(repeated, 200);
+    assert!(!has_started(grid, "req-5") && !has_started(grid, "req-6"));
     // A cancelled one does not hide another that was never accepted, whichever is named first.
-    assert_eq!(submit(a, &waiting("req-8", &["req-6", "req-9"])), 422);
-    assert_eq!(submit(b, &waiting("req-8", &["req-0", "req-6"])), 422);
+    let hidden_last = accepted(&grid.front(a), &waiting("req-8", &["req-6", "req-9"]));
+    assert_eq!(hidden_last, 422);
+    let hidden_first = accepted(&grid.front(b), &waiting("req-8", &["req-0", "req-6"]));
+    assert_eq!(hidden_first, 422);
+}
+
+#[test]
+fn pipelines_go_through_any_node_and_outlive_the_leader() {
+    let grid = Grid::new("pipelines");
+    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
+    check_impossible_dependencies_are_refused(&grid);
+    let others = check_a_pipeline_outlives_the_leader(&grid, &mut nodes);
+    let (a, b) = (others[0], others[1]);
+    check_dependents_of_a_cancelled_job_are_cancelled(&grid, a, b);
+    check_late_dependents_of_a_cancelled_job(&grid, a, b);
 }
 
 #[test]
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -239,133 +239,167 @@
         }
     }
 
+    /// Plays a step; the leader decides after it.
     pub(crate) fn apply(&mut self, step: Step) {
+        let seconds = |tenths: u8| f64::from(tenths) / 10.0;
         match step {
-            Step::Pass(tenths) => {
-                self.pass(f64::from(tenths) / 10.0);
-                let now = self.now;
-                self.manager().tick(now);
-            }
+            Step::Pass(tenths) => self.pass_and_tick(seconds(tenths)),
             Step::Report {
                 worker,
                 answer_lost,
-            } => {
-                self.report(worker as usize, answer_lost, false);
-            }
+            } => self.report(worker as usize, answer_lost, false),
             Step::ReportToFormer { worker } => self.report(worker as usize, false, true),
-            Step::Deaf { worker, on } => self.workers[worker as usize].deaf = on,
-            Step::Restart { worker } => {
-                // Commands that were under way died with its connections: a worker without a
-                // memory could tell no copy of them from the first (see `docs/questions.md`).
-                let w = &mut self.workers[worker as usize];
-                w.restart(self.now);
-                self.held.retain(|(name, _)| *name != w.name);
-            }
-            Step::Copy(n) => {
-                if !self.sent.is_empty() {
-                    let copy = self.sent[n as usize * 7 % self.sent.len()].clone();
-                    let now = self.now;
-                    self.manager().heartbeat(&copy, now);
-                }
-            }
-            Step::LateWrite(n) => {
-                if !self.late.is_empty() {
-                    let txn = self.late[n as usize % self.late.len()].clone();
-                    let _ = self.store.commit(&txn);
-                }
-            }
-            Step::Finish { worker } => {
-                let w = &self.workers[worker as usize];
-                let mut running = w
-                    .tasks
-                    .iter()
-                    .filter(|(_, t)| t.state == TaskState::Running);
-                let ends = |task: &str| !self.jobs[split(task).0].is_service();
-                if let Some(((task, _), _)) = running.find(|((task, _), _)| ends(task)) {
-                    self.finish(&task.clone());
-                }
-            }
-            Step::Fail { worker } => {
-                let w = &mut self.workers[worker as usize];
-                let running = w.tasks.values_mut().find(|t| t.state == TaskState::Running);
-                if let Some(t) = running {
-                    t.state = TaskState::Exited;
-                    t.cause = Some(Cause::Error);
-                }
-            }
+            Step::Copy(n) => self.deliver_copy(n as usize),
+            Step::Finish { worker } => self.finish_one(worker as usize),
+            Step::Fail { worker } => self.fail_one(worker as usize),
             Step::Cut { worker, on } => self.workers[worker as usize].cut = on,
+            Step::Deaf { worker, on } => self.workers[worker as usize].deaf = on,
+            Step::Mute { worker, on } => self.workers[worker as usize].mute = on,
+            Step::Hang { worker, on: true } => self.workers[worker as usize].hung = true,
+            Step::Hang { worker, on: false } => self.resume(worker as usize),
+            Step::Restart { worker } => self.restart_worker(worker as usize),
+            Step::Fall(bits) => self.lose_machines(bits),
+            Step::ZoneCut {
+                bits,
+                on,
+                with_former,
+            } => self.cut_machines(bits, on, with_former),
+            Step::LateWrite(n) => self.write_late(n as usize),
             Step::Hold(on) => self.holding = on,
-            Step::Replay(n) => {
-                if !self.held.is_empty() {
-                    let (name, orders) = self.held[n as usize % self.held.len()].clone();
-                    if let Some(worker) = self.worker_named(&name) {
-                        self.deliver(worker, &orders);
-                    }
-                }
-            }
+            Step::Replay(n) => self.replay_commands(n as usize),
             Step::Writes(fate) => self.next_write = fate,
             Step::Submit {
                 number,
                 waits_on,
                 looks,
             } => self.submit_number(number, waits_on, looks),
-            Step::Production => {
-                if self.store.value_bytes > self.settings.cluster.state.record_bytes() {
-                    self.store.led_by_production(2048);
-                    self.elect();
-                }
-            }
-            Step::Limits => {
-                let next = &self.settings.cluster.state.next;
-                // Descriptions and the ends of jobs are written by other nodes, which check them.
-                self.store.value_bytes = (next.value_kb.unwrap() * 1024.0) as usize;
-                self.store.txn_ops = next.txn_ops.unwrap();
-            }
             Step::Cancel(n) => self.cancel(&format!("req-{n}")),
+            Step::Production => self.let_production_lead(),
+            Step::Limits => self.tighten_limits(),
             Step::NewLeader => self.elect(),
-            Step::Fall(bits) => {
-                for (i, w) in self.workers.iter_mut().enumerate() {
-                    if bits & (1 << i) != 0 {
-                        w.die();
-                    }
-                }
-            }
-            Step::ZoneCut {
-                bits,
-                on,
-                with_former,
-            } => {
-                for (i, w) in self.workers.iter_mut().enumerate() {
-                    if bits & (1 << i) != 0 {
-                        w.cut = on;
-                        w.with_former = with_former;
-                    }
-                }
-                if on && with_former {
-                    self.elect();
-                    self.live_on(bits);
-                }
-            }
             Step::StandStill { worker, tenths } => {
-                self.stand_still(worker as usize, f64::from(tenths) / 10.0);
+                self.stand_still(worker as usize, seconds(tenths));
             }
-            // Who promises leads no more, nor answers reports.
-            Step::Promise => {
-                self.formers.clear();
-                let now = self.now;
-                self.manager().peers_promised(now);
-            }
-            Step::Isolate { tenths } => self.isolate_leader(f64::from(tenths) / 10.0),
+            Step::Promise => self.promise(),
+            Step::Isolate { tenths } => self.isolate_leader(seconds(tenths)),
             Step::TellFormers => self.tell_formers(),
-            Step::Mute { worker, on } => self.workers[worker as usize].mute = on,
-            Step::Hang { worker, on: true } => self.workers[worker as usize].hung = true,
-            Step::Hang { worker, on: false } => self.resume(worker as usize),
         }
         let now = self.now;
         self.manager().step(now);
         self.effects();
     }
 
+    /// Time passes; the leader takes its slower decisions then.
+    fn pass_and_tick(&mut self, seconds: f64) {
+        self.pass(seconds);
+        let now = self.now;
+        self.manager().tick(now);
+    }
+
+    /// A copy of one of the reports that were sent before reaches the leader.
+    fn deliver_copy(&mut self, n: usize) {
+        if !self.sent.is_empty() {
+            let copy = self.sent[n * 7 % self.sent.len()].clone();
+            let now = self.now;
+            self.manager().heartbeat(&copy, now);
+        }
+    }
+
+    /// A transaction that may be carried out late is.
+    fn write_late(&mut self, n: usize) {
+        if !self.late.is_empty() {
+            let txn = self.late[n % self.late.len()].clone();
+            let _ = self.store.commit(&txn);
+        }
+    }
+
+    /// Direct commands that were held back, or carried out before, arrive.
+    fn replay_commands(&mut self, n: usize) {
+        if !self.held.is_empty() {
+            let (name, orders) = self.held[n % self.held.len()].clone();
+            if let Some(worker) = self.worker_named(&name) {
+                self.deliver(worker, &orders);
+            }
+        }
+    }
+
+    /// Commands that were under way died with the worker's connections: a worker without a memory
+    /// could tell no copy of them from the first (see `docs/questions.md`).
+    fn restart_worker(&mut self, worker: usize) {
+        let w = &mut self.workers[worker];
+        w.restart(self.now);
+        self.held.retain(|(name, _)| *name != w.name);
+    }
+
+    /// A running task of a worker fails.
+    fn fail_one(&mut self, worker: usize) {
+        let w = &mut self.workers[worker];
+        let running = w.tasks.values_mut().find(|t| t.state == TaskState::Running);
+        if let Some(t) = running {
+            t.state = TaskState::Exited;
+            t.cause = Some(Cause::Error);
+        }
+    }
+
+    /// A running task of a worker, which is no replica of a service, completes.
+    fn finish_one(&mut self, worker: usize) {
+        let w = &self.workers[worker];
+        let mut running = w
+            .tasks
+            .iter()
+            .filter(|(_, t)| t.state == TaskState::Running);
+        let ends = |task: &str| !self.jobs[split(task).0].is_service();
+        if let Some(((task, _), _)) = running.find(|((task, _), _)| ends(task)) {
+            self.finish(&task.clone());
+        }
+    }
+
+    /// The machines whose bits are set stop with all that is on them.
+    fn lose_machines(&mut self, bits: u8) {
+        for (i, w) in self.workers.iter_mut().enumerate() {
+            if bits & (1 << i) != 0 {
+                w.die();
+            }
+        }
+    }
+
+    /// The version in production leads for a moment, as long as the limits are the old ones.
+    fn let_production_lead(&mut self) {
+        if self.store.value_bytes > self.settings.cluster.state.record_bytes() {
+            self.store.led_by_production(2048);
+            self.elect();
+        }
+    }
+
+    /// The state service has its new limits.
+    fn tighten_limits(&mut self) {
+        let next = &self.settings.cluster.state.next;
+        // Descriptions and the ends of jobs are written by other nodes, which check them.
+        self.store.value_bytes = (next.value_kb.unwrap() * 1024.0) as usize;
+        self.store.txn_ops = next.txn_ops.unwrap();
+    }
+
+    /// The other controllers promise: who promises leads no more, nor answers reports.
+    fn promise(&mut self) {
+        self.formers.clear();
+        let now = self.now;
+        self.manager().peers_promised(now);
+    }
+
+    /// The zone of the machines whose bits are set is cut off, or is back.
+    fn cut_machines(&mut self, bits: u8, on: bool, with_former: bool) {
+        for (i, w) in self.workers.iter_mut().enumerate() {
+            if bits & (1 << i) != 0 {
+                w.cut = on;
+                w.with_former = with_former;
+            }
+        }
+        if on && with_former {
+            self.elect();
+            self.live_on(bits);
+        }
+    }
+
     /// Every third job is an array, a service that outranks the others, or a gang.
     pub(crate) fn submit_number(&mut self, n: u8, waits_on: u16, looks: bool) {
         let id = format!("req-{n}");
