--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -1,6 +1,8 @@
 //! A leader whose machines are all full.
 
-use super::{each_effect, manager, parsed, report_of, shown, starts, submission, worker_report};
+use super::{
+    each_effect, heartbeat_from, manager, parsed, shown, starts, submission, worker_heartbeat,
+};
 use serde_json::Value;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
@@ -54,7 +56,7 @@
 pub(crate) fn full_fleet(machines: u32) -> FullFleet {
     let mut manager = manager();
     for i in 0..machines {
-        report_of(&mut manager, &format!("m-{i}"), 1, None, Vec::new(), 0.0);
+        heartbeat_from(&mut manager, &format!("m-{i}"), 1, None, Vec::new(), 0.0);
     }
     for i in 0..machines {
         manager.job_accepted(job_of_machine(i), u64::from(i) + 1, 0, 0.0);
@@ -78,10 +80,10 @@
             }
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => {
-                let started = starts(&orders.commands);
+                let started = starts(&batch.commands);
                 tasks[machine_number(machine)].extend(shown(&started, TaskState::Running, None));
             }
             _ => {}
@@ -89,7 +91,7 @@
         assert!(now < 600.0, "the fleet does not fill");
     }
     for (i, tasks) in tasks.iter().enumerate() {
-        report_of(&mut manager, &format!("m-{i}"), 2, None, tasks.clone(), now);
+        heartbeat_from(&mut manager, &format!("m-{i}"), 2, None, tasks.clone(), now);
     }
     manager.step(now + 1.0);
     manager.take_effects();
@@ -111,8 +113,8 @@
     match effect {
         Effect::Write { transaction, .. } => serde_json::to_vec(transaction).unwrap().len(),
         Effect::SendCommands {
-            commands: orders, ..
-        } => serde_json::to_vec(orders).unwrap().len(),
+            commands: batch, ..
+        } => serde_json::to_vec(batch).unwrap().len(),
         _ => 0,
     }
 }
@@ -127,7 +129,7 @@
             }
             // Its answer shows nothing that is not known.
             Effect::SendCommands { machine, .. } => {
-                let known = worker_report(&machine, 0, 1, Vec::new());
+                let known = worker_heartbeat(&machine, 0, 1, Vec::new());
                 manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
             }
             _ => {}
@@ -135,9 +137,9 @@
     });
 }
 
-/// What twenty reports of a machine cost in which nothing is new: looks at machines and places, and bytes
+/// What twenty heartbeats of a machine cost in which nothing is new: looks at machines and places, and bytes
 /// of what is answered and sent.
-pub(crate) fn reports_without_news(
+pub(crate) fn heartbeats_without_news(
     manager: &mut ClusterManager,
     tasks: &[Vec<TaskStatus>],
     now: f64,
@@ -145,7 +147,7 @@
     let before = manager.machines_examined();
     let mut bytes = 0;
     for sequence in 0..20 {
-        let answer = report_of(manager, "m-7", 3 + sequence, None, tasks[7].clone(), now);
+        let answer = heartbeat_from(manager, "m-7", 3 + sequence, None, tasks[7].clone(), now);
         bytes += serde_json::to_vec(&answer).unwrap().len();
         manager.step(now);
         bytes += manager
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -70,11 +70,11 @@
 "#;
 
 /// What a user's request finds at a node that may write so much.
-pub(crate) fn request_context(clearance: WriteFence) -> Context {
+pub(crate) fn request_context(write_fence: WriteFence) -> Context {
     Context {
         settings: Arc::new(Settings::parse("test", SETTINGS).unwrap()),
         machine_types: Arc::new(vec![machine_type()]),
-        write_fence: clearance,
+        write_fence,
         peers: vec!["b".into(), "c".into()],
         from_peer: false,
         now_ms: 0,
@@ -82,10 +82,10 @@
 }
 
 pub(crate) fn manager() -> ClusterManager {
-    core_with_token(1)
+    manager_with_token(1)
 }
 
-pub(crate) fn core_with_token(token: u64) -> ClusterManager {
+pub(crate) fn manager_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
     let mut manager = ClusterManager::new(settings, token, 0.0);
     manager.set_lease_valid_until(f64::INFINITY);
@@ -113,17 +113,17 @@
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, 0.0);
 }
 
-pub(crate) fn report(
+pub(crate) fn heartbeat(
     manager: &mut ClusterManager,
     sequence: u64,
     tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    report_of(manager, "m-1", sequence, None, tasks, now)
+    heartbeat_from(manager, "m-1", sequence, None, tasks, now)
 }
 
-/// A report of a machine of the only type, in its worker's first incarnation.
-pub(crate) fn worker_report(
+/// A heartbeat of a machine of the only type, in its worker's first incarnation.
+pub(crate) fn worker_heartbeat(
     machine: &str,
     sequence: u64,
     token: u64,
@@ -143,7 +143,7 @@
     }
 }
 
-pub(crate) fn report_of(
+pub(crate) fn heartbeat_from(
     manager: &mut ClusterManager,
     machine: &str,
     sequence: u64,
@@ -151,9 +151,9 @@
     tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    let mut report = worker_report(machine, sequence, 1, tasks);
-    report.notice_s = notice_s;
-    match manager.heartbeat(&report, now) {
+    let mut heartbeat = worker_heartbeat(machine, sequence, 1, tasks);
+    heartbeat.notice_s = notice_s;
+    match manager.heartbeat(&heartbeat, now) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
@@ -197,10 +197,10 @@
     let mut launched = Vec::new();
     carry_out(manager, now, |_, effect| {
         if let Effect::SendCommands {
-            commands: orders, ..
+            commands: batch, ..
         } = effect
         {
-            launched.extend(starts(&orders.commands));
+            launched.extend(starts(&batch.commands));
         }
     });
     launched
@@ -410,10 +410,10 @@
     carry_out(manager, now, |manager, effect| match effect {
         Effect::SendCommands {
             machine,
-            commands: orders,
+            commands: batch,
             ..
         } => {
-            launches.extend(starts(&orders.commands).into_iter().map(|s| s.0));
+            launches.extend(starts(&batch.commands).into_iter().map(|s| s.0));
             manager.commands_answered(&machine, CommandOutcome::Unknown, now);
         }
         Effect::ReturnMachines(names) => {
@@ -425,9 +425,13 @@
     (launches, returned)
 }
 
-/// Hands in a report; returns what its answer launches.
-pub(crate) fn answered(manager: &mut ClusterManager, report: &Heartbeat, now: f64) -> Vec<String> {
-    match manager.heartbeat(report, now) {
+/// Hands in a heartbeat; returns what its answer launches.
+pub(crate) fn answered(
+    manager: &mut ClusterManager,
+    heartbeat: &Heartbeat,
+    now: f64,
+) -> Vec<String> {
+    match manager.heartbeat(heartbeat, now) {
         HeartbeatOutcome::Answer(answer) => {
             starts(&answer.commands).into_iter().map(|s| s.0).collect()
         }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    carry_out, launched, machine_type, manager, parsed, report, report_of, shown, starts,
-    submission, worker_report,
+    carry_out, heartbeat, heartbeat_from, launched, machine_type, manager, parsed, shown, starts,
+    submission, worker_heartbeat,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
@@ -24,7 +24,7 @@
         zones: vec!["z".into(), "y".into()],
         ..machine_type()
     }]);
-    report(&mut manager, 1, Vec::new(), 0.0);
+    heartbeat(&mut manager, 1, Vec::new(), 0.0);
     manager
 }
 
@@ -43,7 +43,7 @@
     let mut rents = Vec::new();
     for second in 1..5 {
         let now = f64::from(second);
-        report(manager, 1 + second as u64, Vec::new(), now);
+        heartbeat(manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
         carry_out(manager, now, |_, effect| {
             if let Effect::RentMachines(rent) = effect {
@@ -104,7 +104,7 @@
             assert_eq!(rent.zone, "y", "at {second} s");
             manager.machines_rented(&rent.request, Some(Vec::new()), now);
         }
-        report(&mut manager, 1 + second as u64, Vec::new(), now);
+        heartbeat(&mut manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
         carry_out(&mut manager, now, |_, effect| {
             if let Effect::RentMachines(rent) = effect {
@@ -159,7 +159,7 @@
             let now = self.now;
             for machine in (0..SMALL_MACHINES).map(|i| format!("m-{i}")) {
                 if !self.returned.contains(&machine) {
-                    report_of(
+                    heartbeat_from(
                         &mut self.manager,
                         &machine,
                         now as u64,
@@ -207,16 +207,16 @@
     assert!(large.count() > 0, "the first job wants larger machines");
 }
 
-/// What a report in the second incarnation of the only machine's worker is answered.
+/// What a heartbeat in the second incarnation of the only machine's worker is answered.
 fn answer_in_second_incarnation(
     manager: &mut ClusterManager,
     sequence: u64,
     tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    let mut report = worker_report("m-1", sequence, 1, tasks);
-    report.incarnation = 2;
-    match manager.heartbeat(&report, now) {
+    let mut heartbeat = worker_heartbeat("m-1", sequence, 1, tasks);
+    heartbeat.incarnation = 2;
+    match manager.heartbeat(&heartbeat, now) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
@@ -230,7 +230,7 @@
     manager.job_accepted(OpenRecord::accepted(parsed(&job), 0), 1, 0, 0.0);
     let first = launched(&mut manager, 0.5);
     assert_eq!(first.len(), 1);
-    report(
+    heartbeat(
         &mut manager,
         2,
         shown(&first, TaskState::Running, None),
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    manager, parsed, report, report_of, request_context, submission, submit, Store, SETTINGS,
+    heartbeat, heartbeat_from, manager, parsed, request_context, submission, submit, Store,
+    SETTINGS,
 };
 use serde_json::json;
 use stairstage::coordination::cluster::{Effect as CoreEffect, WriteOutcome};
@@ -30,7 +31,7 @@
     }
 }
 
-fn clearance(active: u32) -> WriteFence {
+fn write_fence(active: u32) -> WriteFence {
     let range = VersionRange::OF_THIS_RELEASE;
     WriteFence::Read(Fence::new(range, &record(active), STAMP))
 }
@@ -51,8 +52,8 @@
 /// A leader with a job that waits to be launched, and the first write for it.
 fn leader_with_a_write() -> (ClusterManager, u64, Transaction) {
     let mut manager = manager();
-    manager.set_write_fence(clearance(1));
-    report(&mut manager, 1, Vec::new(), 1.0);
+    manager.set_write_fence(write_fence(1));
+    heartbeat(&mut manager, 1, Vec::new(), 1.0);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     let (id, transaction) = next_write(&mut manager, 1.0).expect("places are recorded");
     (manager, id, transaction)
@@ -76,7 +77,7 @@
     assert_eq!(stamp_in(&transaction), Some(STAMP));
     assert!(transaction.compares.iter().any(|c| c.key == LEADER_KEY));
     let mut unstaged = manager();
-    report(&mut unstaged, 1, Vec::new(), 1.0);
+    heartbeat(&mut unstaged, 1, Vec::new(), 1.0);
     submit(&mut unstaged, "req-1", "sweep", "normal", None, 1);
     let (_, transaction) = next_write(&mut unstaged, 1.0).unwrap();
     assert_eq!(stamp_in(&transaction), None);
@@ -115,10 +116,10 @@
     let settings = Settings::parse("test", SETTINGS).unwrap();
     let most = CONDITIONS_A_CHANGE * settings.cluster.state.changes();
     let mut manager = manager();
-    manager.set_write_fence(clearance(1));
+    manager.set_write_fence(write_fence(1));
     for machine in 0..most {
         let name = format!("m-{machine}");
-        report_of(&mut manager, &name, 1, None, Vec::new(), 1.0);
+        heartbeat_from(&mut manager, &name, 1, None, Vec::new(), 1.0);
     }
     for job in 0..2 * most {
         submit(
@@ -155,7 +156,7 @@
 fn a_submission_at_an_old_version_is_turned_away_and_never_called_known() {
     let body = submission("req-1", "sweep", "normal", 4).to_string();
     let (mut request, effects) =
-        Request::submission(body.as_bytes(), request_context(clearance(1)));
+        Request::submission(body.as_bytes(), request_context(write_fence(1)));
     assert_eq!(stamp_in(committed(&effects)), Some(STAMP));
     let answer = request.on_event(version_raised());
     assert!(is_turned_away(&answer), "{answer:?}");
@@ -163,7 +164,7 @@
 
 #[test]
 fn a_cancellation_at_an_old_version_is_turned_away() {
-    let (mut request, _) = Request::cancellation("req-1".into(), request_context(clearance(1)));
+    let (mut request, _) = Request::cancellation("req-1".into(), request_context(write_fence(1)));
     let mut store = Store::default();
     let body = submission("req-1", "sweep", "normal", 4);
     let open = json!({"spec": serde_json::to_value(parsed(&body)).unwrap(), "at_ms": 0});
@@ -184,12 +185,12 @@
 #[test]
 fn a_job_that_waits_is_taken_from_the_version_on_that_all_controllers_know() {
     let body = waiting_submission();
-    let (_, closed) = Request::submission(body.as_bytes(), request_context(clearance(1)));
+    let (_, closed) = Request::submission(body.as_bytes(), request_context(write_fence(1)));
     assert!(
         matches!(closed[..], [RequestEffect::Store(StoreCall::Read(_))]),
         "{closed:?}"
     );
-    for open in [clearance(2), WriteFence::Unstaged] {
+    for open in [write_fence(2), WriteFence::Unstaged] {
         let (_, effects) = Request::submission(body.as_bytes(), request_context(open));
         let asks_for_needed = committed(&effects).compares.iter();
         let keys: Vec<&str> = asks_for_needed.map(|c| c.key.as_str()).collect();
@@ -200,7 +201,7 @@
 #[test]
 fn a_job_that_waits_and_was_accepted_before_is_known_at_any_version() {
     let body = waiting_submission();
-    let (mut request, _) = Request::submission(body.as_bytes(), request_context(clearance(1)));
+    let (mut request, _) = Request::submission(body.as_bytes(), request_context(write_fence(1)));
     request.on_event(RequestEvent::Store(StoreAnswer::Read(Ok(None))));
     let mut store = Store::default();
     let end = json!({"state": "done"});
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -9,7 +9,7 @@
 use stairstage::storage::records::end_key;
 use std::collections::BTreeMap;
 
-/// Seconds that a job may be left waiting though it could run, once all troubles are over.
+/// Seconds that a job may be left waiting though it could run, once all faults are over.
 const LONGEST_WAIT_S: f64 = 90.0;
 
 /// Whether a description lets its tasks use a machine, by its type, zone and kind.
@@ -95,7 +95,7 @@
         used
     }
 
-    /// Once all troubles are over, no job is left waiting for long while its team is under its limit
+    /// Once all faults are over, no job is left waiting for long while its team is under its limit
     /// and machines that fit have room.
     pub(crate) fn check_nothing_left_waiting(&mut self) {
         let able: Vec<String> = self
@@ -121,7 +121,7 @@
         let job = &self.jobs[id];
         let there = self.workers.iter().filter(|w| !w.gone);
         let runs = there.clone().any(|w| w.live().any(|t| split(t).0 == id));
-        if job.told.is_some() || job.is_complete() || runs || self.is_taken_back(id) {
+        if job.told.is_some() || job.is_complete() || runs || self.is_cancelled_by_user(id) {
             return false;
         }
         let spec = &job.spec;
@@ -154,7 +154,7 @@
     }
 
     /// No task of a cancelled job is left on the machine at `until`, if that is too late.
-    pub(crate) fn check_rest_of_cancelled(&self, w: &Worker, until: f64) {
+    pub(crate) fn check_cancelled_tasks_stopped(&self, w: &Worker, until: f64) {
         for task in w.live() {
             self.check_cancelled(task, &self.jobs[split(task).0], until);
         }
@@ -173,7 +173,7 @@
         assert!(before.is_none_or(|b| b == state), "went_back: {id}");
         match state {
             JobState::Done => assert!(self.is_complete(id), "not_done: {id}"),
-            _ => assert!(self.is_taken_back(id), "nobody has cancelled {id}"),
+            _ => assert!(self.is_cancelled_by_user(id), "nobody has cancelled {id}"),
         }
         let recorded = &self.store.item(&end_key(id)).expect("recorded").value;
         assert_eq!(recorded["state"], json!(state), "{id} is told first");
--- a/tests/histories/combinations/cancellations.rs
+++ b/tests/histories/combinations/cancellations.rs
@@ -76,12 +76,12 @@
 }
 
 /// The state service is down for all, for longer than a cancellation may take.
-fn outage_longer_than_a_cancellation(world: &mut World, mut trouble: impl FnMut(&mut World)) {
+fn outage_longer_than_a_cancellation(world: &mut World, mut fault: impl FnMut(&mut World)) {
     world.store_is_down = true;
     let outage_s = world.settings.cluster.workers.cancel_s * world.between(1.1, 2.0);
     let trouble_s = world.between(0.0, outage_s / 2.0);
     world.run_for(trouble_s);
-    trouble(world);
+    fault(world);
     world.run_for(outage_s - trouble_s);
     world.store_is_down = false;
     world.replace_leader();
--- a/tests/histories/combinations/leaders.rs
+++ b/tests/histories/combinations/leaders.rs
@@ -41,9 +41,9 @@
 #[test]
 fn controllers_hand_over_and_back_then_all_end_and_one_returns_while_jobs_run() {
     let faults = Faults {
-        slow_answers: 0.2,
+        slow_responses: 0.2,
         slow_commands: 0.3,
-        kept_reports: 0.2,
+        kept_heartbeats: 0.2,
         kept_s: (0.0, 2.0),
         ..Faults::default()
     };
@@ -59,7 +59,7 @@
                 world.run_busy(until_back_s);
             }
             world.end_leader();
-            world.formers.clear();
+            world.former_leaders.clear();
             world.cancel_some(0.1);
             let away_s = world.between(0.25, 20.0);
             world.run_busy(away_s);
@@ -72,7 +72,7 @@
 fn all_controllers_are_away_for_longer_than_a_lease() {
     let faults = Faults {
         late_commands: 0.2,
-        kept_reports: 0.2,
+        kept_heartbeats: 0.2,
         kept_s: (0.0, 3.0),
         ..Faults::default()
     };
@@ -158,9 +158,9 @@
             for _ in 0..3 {
                 let i = world.some_worker();
                 if world.chance(0.5) {
-                    world.workers[i].cut = true
+                    world.workers[i].partitioned = true
                 } else {
-                    world.workers[i].deaf = true
+                    world.workers[i].inbound_lost = true
                 }
             }
             world.cloud_is_down = world.chance(0.5);
@@ -191,7 +191,7 @@
             for _ in 0..2 {
                 let i = world.some_worker();
                 if world.chance(0.5) {
-                    world.workers[i].cut = true
+                    world.workers[i].partitioned = true
                 } else {
                     world.workers[i].hung = true
                 }
--- a/tests/histories/combinations/machines.rs
+++ b/tests/histories/combinations/machines.rs
@@ -36,7 +36,7 @@
             if world.chance(0.5) {
                 world.workers[i].die()
             } else {
-                world.workers[i].cut = true
+                world.workers[i].partitioned = true
             }
             world.run_busy(3.0);
             if world.chance(0.3) {
@@ -53,7 +53,7 @@
             world.submit_some(4);
             for _ in 0..3 {
                 let i = world.some_worker();
-                world.workers[i].mute = true;
+                world.workers[i].heartbeats_lost = true;
             }
             world.cloud_is_down = world.chance(0.5);
             world.run_busy(9.0);
@@ -103,7 +103,7 @@
 #[test]
 fn machines_hang_and_resume_within_or_after_their_lease() {
     let faults = Faults {
-        lost_answers: 0.1,
+        lost_responses: 0.1,
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
--- a/tests/histories/combinations/messages.rs
+++ b/tests/histories/combinations/messages.rs
@@ -7,8 +7,8 @@
 #[test]
 fn reports_held_back_until_a_new_leader_has_acted() {
     let faults = Faults {
-        kept_reports: 0.3,
-        held_reports: 0.1,
+        kept_heartbeats: 0.3,
+        late_heartbeats: 0.1,
         kept_s: (2.0, 12.0),
         ..Faults::default()
     };
@@ -26,7 +26,7 @@
 #[test]
 fn old_reports_reach_every_controller_as_a_new_leader_begins() {
     let faults = Faults {
-        kept_reports: 0.4,
+        kept_heartbeats: 0.4,
         kept_s: (0.0, 0.5),
         ..Faults::default()
     };
@@ -44,7 +44,7 @@
 #[test]
 fn old_reports_arrive_after_newer_ones() {
     let faults = Faults {
-        copied_reports: 0.5,
+        copied_heartbeats: 0.5,
         late_commands: 0.2,
         ..Faults::default()
     };
@@ -58,7 +58,7 @@
             if world.chance(0.5) {
                 world.cut_zone("y", false)
             } else {
-                world.workers.iter_mut().for_each(|w| w.cut = true)
+                world.workers.iter_mut().for_each(|w| w.partitioned = true)
             }
             world.run_busy(14.0);
             world.reconnect_all();
@@ -76,7 +76,7 @@
     let faults = Faults {
         late_commands: 0.4,
         slow_commands: 0.3,
-        lost_command_answers: 0.2,
+        lost_command_responses: 0.2,
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
@@ -97,9 +97,9 @@
 #[test]
 fn commands_overtake_slow_answers_to_reports() {
     let faults = Faults {
-        slow_answers: 0.5,
+        slow_responses: 0.5,
         slow_commands: 0.7,
-        lost_command_answers: 0.1,
+        lost_command_responses: 0.1,
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
--- a/tests/histories/combinations/mixed.rs
+++ b/tests/histories/combinations/mixed.rs
@@ -1,4 +1,4 @@
-//! Troubles of every kind, one after the other.
+//! Faults of every kind, one after the other.
 
 use super::{LEADER_LEASE_S, SEEDS};
 use crate::network::Faults;
@@ -9,13 +9,13 @@
     let faults = Faults {
         slow_commands: 0.3,
         late_commands: 0.1,
-        lost_command_answers: 0.05,
-        copied_reports: 0.1,
-        kept_reports: 0.05,
+        lost_command_responses: 0.05,
+        copied_heartbeats: 0.1,
+        kept_heartbeats: 0.05,
         kept_s: (0.0, 6.0),
-        held_reports: 0.05,
-        slow_answers: 0.1,
-        lost_answers: 0.05,
+        late_heartbeats: 0.05,
+        slow_responses: 0.1,
+        lost_responses: 0.05,
         slow_writes: 0.1,
         unanswered_writes: 0.05,
         late_writes: 0.05,
@@ -28,9 +28,9 @@
             world.cancel_some(0.1);
             let i = world.some_worker();
             match (world.between(0.0, 12.0)) as u32 {
-                0 => world.workers[i].cut = true,
-                1 => world.workers[i].deaf = true,
-                2 => world.workers[i].mute = true,
+                0 => world.workers[i].partitioned = true,
+                1 => world.workers[i].inbound_lost = true,
+                2 => world.workers[i].heartbeats_lost = true,
                 3 => world.workers[i].hung = true,
                 4 => world.workers[i].die(),
                 5 => world.isolate_leader(LEADER_LEASE_S),
--- a/tests/histories/combinations/mod.rs
+++ b/tests/histories/combinations/mod.rs
@@ -1,4 +1,4 @@
-//! Troubles that meet, each meeting a short history that is played with many seeds.
+//! Faults that meet, each meeting a short history that is played with many seeds.
 
 mod cancellations;
 mod leaders;
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -16,30 +16,30 @@
         self.workers.iter().position(|w| w.name == name)
     }
 
-    /// Delivers direct commands: whether they were executed, and the worker's report.
+    /// Delivers direct commands: whether they were executed, and the worker's heartbeat.
     pub(crate) fn deliver(
         &mut self,
         worker: usize,
-        orders: &CommandBatch,
+        batch: &CommandBatch,
     ) -> Option<(bool, Heartbeat)> {
         let (w, now) = (&mut self.workers[worker], self.now);
         if !w.is_up(now) {
             return None;
         }
-        let fits = w.accepts(orders);
+        let fits = w.accepts(batch);
         let mut started = Vec::new();
         if fits {
-            w.token = orders.token;
-            started = w.run(&orders.commands, now);
+            w.token = batch.token;
+            started = w.run(&batch.commands, now);
         }
-        let report = w.report();
+        let heartbeat = w.heartbeat();
         self.check_starts(worker, &started);
-        Some((fits, report))
+        Some((fits, heartbeat))
     }
 
     /// Carries out what the leader and former leaders have decided.
     pub(crate) fn effects(&mut self) {
-        let all = self.leader.iter().chain(&self.formers);
+        let all = self.leader.iter().chain(&self.former_leaders);
         let ids: Vec<u64> = all.map(Leader::id).collect();
         for id in ids {
             while let Some(leader) = self.controller(id) {
@@ -60,41 +60,41 @@
             Effect::Write { id, transaction } => self.write(from, id, transaction),
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => match self.network {
-                Some(_) => self.send_orders(from, &machine, orders),
-                None => self.order_at_once(from, &machine, &orders),
+                Some(_) => self.send_commands(from, &machine, batch),
+                None => self.send_commands_at_once(from, &machine, &batch),
             },
             Effect::ReturnMachines(names) => {
                 let confirmed = !self.cloud_is_down;
                 if confirmed {
                     self.given_back(&names);
                 }
-                self.with_core(from, |manager| {
+                self.with_controller(from, |manager| {
                     manager.machines_returned(&names, confirmed, now)
                 });
             }
             Effect::RentMachines(rent) => {
                 let names = (!self.cloud_is_down).then(|| self.rent(&rent));
-                self.with_core(from, |manager| {
+                self.with_controller(from, |manager| {
                     manager.machines_rented(&rent.request, names, now)
                 });
             }
             Effect::RaiseToken => {
                 let token = self.raise_token(from);
-                self.with_core(from, |manager| manager.token_raised(token, now));
+                self.with_controller(from, |manager| manager.token_raised(token, now));
             }
             Effect::JobEnded { id, state } => self.told(&id, state),
             Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
-                self.with_core(from, |manager| manager.ends_found(ends, now));
+                self.with_controller(from, |manager| manager.ends_found(ends, now));
             }
         }
     }
 
     /// Hands something to a controller, if it still lives.
-    pub(crate) fn with_core(
+    pub(crate) fn with_controller(
         &mut self,
         id: u64,
         act: impl FnOnce(&mut stairstage::coordination::manager::ClusterManager),
@@ -116,7 +116,7 @@
         let reaches_store = self.controller(from).is_some_and(|l| l.reaches_store);
         if !reaches_store {
             let now = self.now;
-            return self.with_core(from, |manager| {
+            return self.with_controller(from, |manager| {
                 manager.write_finished(id, WriteOutcome::Rejected, now)
             });
         }
@@ -134,10 +134,10 @@
             _ => self.store.reread(&transaction),
         };
         if fate != WriteFate::Lost {
-            self.late.push(transaction);
+            self.late_transactions.push(transaction);
         }
         let now = self.now;
-        self.with_core(from, |manager| manager.write_finished(id, written, now));
+        self.with_controller(from, |manager| manager.write_finished(id, written, now));
     }
 
     pub(crate) fn check_size(&self, transaction: &Transaction, result: &Result<u64, Refusal>) {
@@ -148,28 +148,33 @@
     }
 
     /// Direct commands arrive at once, or not at all.
-    fn order_at_once(&mut self, from: u64, machine: &str, orders: &CommandBatch) {
+    fn send_commands_at_once(&mut self, from: u64, machine: &str, batch: &CommandBatch) {
         let worker = self.worker_named(machine).expect("a machine");
         // A copy of what is carried out may come again later.
-        self.held.push((machine.to_string(), orders.clone()));
+        self.repeatable_commands
+            .push((machine.to_string(), batch.clone()));
         let w = &self.workers[worker];
-        let result = if self.holding || w.cut || w.deaf || w.hung {
+        let result = if self.commands_held || w.partitioned || w.inbound_lost || w.hung {
             CommandOutcome::Unknown
         } else {
-            self.ordered(worker, orders)
+            self.execute_commands(worker, batch)
         };
         let now = self.now;
-        self.with_core(from, |manager| {
+        self.with_controller(from, |manager| {
             manager.commands_answered(&machine.into(), result, now)
         });
     }
 
     /// Delivers direct commands, and says what their sender hears of it.
-    pub(crate) fn ordered(&mut self, worker: usize, orders: &CommandBatch) -> CommandOutcome {
-        match self.deliver(worker, orders) {
+    pub(crate) fn execute_commands(
+        &mut self,
+        worker: usize,
+        batch: &CommandBatch,
+    ) -> CommandOutcome {
+        match self.deliver(worker, batch) {
             None => CommandOutcome::NotSent,
-            Some((true, report)) => CommandOutcome::Executed(report),
-            Some((false, report)) => CommandOutcome::Rejected(Some(report)),
+            Some((true, heartbeat)) => CommandOutcome::Executed(heartbeat),
+            Some((false, heartbeat)) => CommandOutcome::Rejected(Some(heartbeat)),
         }
     }
 
@@ -201,27 +206,31 @@
         names
     }
 
-    /// A worker sends a report to the leader, or to the one before, and is answered at once.
-    pub(crate) fn report(&mut self, i: usize, answer_lost: bool, to_former: bool) {
+    /// A worker sends a heartbeat to the leader, or to the one before, and is answered at once.
+    pub(crate) fn heartbeat(&mut self, i: usize, response_lost: bool, to_former: bool) {
         let sent = self.now;
         let w = &self.workers[i];
-        if w.gone || w.hung || w.mute || w.cut && !(to_former && w.with_former) {
+        if w.gone
+            || w.hung
+            || w.heartbeats_lost
+            || w.partitioned && !(to_former && w.with_former_leader)
+        {
             return;
         }
-        let hears = if to_former {
-            self.formers.last_mut()
+        let receiver = if to_former {
+            self.former_leaders.last_mut()
         } else {
             self.leader.as_mut()
         };
         let workers = &self.settings.cluster.workers;
-        let Some(leader) = hears.filter(|l| l.may_renew(sent, workers)) else {
+        let Some(leader) = receiver.filter(|l| l.may_renew(sent, workers)) else {
             return;
         };
-        let report = self.workers[i].own_report(sent);
-        self.sent.push(report.clone());
-        if let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&report, sent) {
+        let heartbeat = self.workers[i].own_heartbeat(sent);
+        self.sent_heartbeats.push(heartbeat.clone());
+        if let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&heartbeat, sent) {
             let w = &mut self.workers[i];
-            if !answer_lost && !w.deaf && answer.token >= w.token {
+            if !response_lost && !w.inbound_lost && answer.token >= w.token {
                 let started = w.take(&answer, sent, sent);
                 assert!(
                     !to_former || started.is_empty(),
--- a/tests/histories/generated.rs
+++ b/tests/histories/generated.rs
@@ -17,10 +17,10 @@
     let mut world = world();
     world.submit_number(0, 0, true);
     for worker in 0..3 {
-        let answer_lost = false;
-        world.apply(Step::Report {
+        let response_lost = false;
+        world.apply(Step::Heartbeat {
             worker,
-            answer_lost,
+            response_lost,
         });
     }
     for step in steps {
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -18,12 +18,12 @@
 const LATE_COMMAND_S: (f64, f64) = (2.0, 16.0);
 const LATE_WRITE_S: (f64, f64) = (2.0, 12.0);
 const SLOW_WRITE_S: (f64, f64) = (0.2, 0.9);
-/// Answers to reports may take longer than a worker waits.
-const SLOW_ANSWER_S: (f64, f64) = (0.3, 4.5);
-/// Copies of reports arrive until well over a lease later.
-const LATE_REPORT_S: (f64, f64) = (2.0, 30.0);
+/// Responses to heartbeats may take longer than a worker waits.
+const SLOW_RESPONSE_S: (f64, f64) = (0.3, 4.5);
+/// Copies of heartbeats arrive until well over a lease later.
+const LATE_HEARTBEAT_S: (f64, f64) = (2.0, 30.0);
 /// How long news of jobs takes to the leader.
-const NEWS_S: (f64, f64) = (0.0, 0.5);
+const ANNOUNCEMENT_S: (f64, f64) = (0.0, 0.5);
 /// When a machine that was rented is up.
 const BOOT_S: (f64, f64) = (0.5, 2.0);
 
@@ -35,18 +35,18 @@
     /// Direct commands that get no answer and are carried out once, late.
     pub late_commands: f64,
     /// Direct commands that are carried out at once and get no answer.
-    pub lost_command_answers: f64,
-    /// Reports of which a copy arrives again, after newer ones, at every controller.
-    pub copied_reports: f64,
-    /// Reports of which a copy is kept until the next leader begins, and arrives at every controller.
-    pub kept_reports: f64,
+    pub lost_command_responses: f64,
+    /// Heartbeats of which a copy arrives again, after newer ones, at every controller.
+    pub copied_heartbeats: f64,
+    /// Heartbeats of which a copy is kept until the next leader begins, and arrives at every controller.
+    pub kept_heartbeats: f64,
     /// How soon after the election those arrive, at the least and at the most.
     pub kept_s: (f64, f64),
-    /// Reports that arrive late, and nowhere before.
-    pub held_reports: f64,
-    /// Answers to reports that are slow, or lost.
-    pub slow_answers: f64,
-    pub lost_answers: f64,
+    /// Heartbeats that arrive late, and nowhere before.
+    pub late_heartbeats: f64,
+    /// Responses to heartbeats that are slow, or lost.
+    pub slow_responses: f64,
+    pub lost_responses: f64,
     /// Writes that are slow, that are carried out at once without an answer, or late.
     pub slow_writes: f64,
     pub unanswered_writes: f64,
@@ -58,7 +58,7 @@
 pub(crate) enum Message {
     Command {
         machine: Name,
-        orders: CommandBatch,
+        batch: CommandBatch,
         /// Who still waits for its answer.
         answer_to: Option<u64>,
     },
@@ -67,7 +67,7 @@
         machine: Name,
         result: CommandOutcome,
     },
-    Report(Heartbeat),
+    Heartbeat(Heartbeat),
     HeartbeatResponse {
         machine: String,
         incarnation: u64,
@@ -129,8 +129,8 @@
         self.random.between(BOOT_S.0, BOOT_S.1)
     }
 
-    pub(crate) fn most_news_delay_s(&self) -> f64 {
-        NEWS_S.1
+    pub(crate) fn max_announcement_delay_s(&self) -> f64 {
+        ANNOUNCEMENT_S.1
     }
 
     /// What arrives by now, in the order in which it does.
@@ -143,46 +143,46 @@
         due.into_iter().map(|d| d.message).collect()
     }
 
-    /// Copies of a report that arrive besides itself.
-    pub(crate) fn copy(&mut self, report: &Heartbeat, now: f64) {
-        if self.random.chance(self.faults.copied_reports) {
-            let copy = Message::Report(report.clone());
-            self.send_within(now, LATE_REPORT_S, copy);
+    /// Copies of a heartbeat that arrive besides itself.
+    pub(crate) fn copy(&mut self, heartbeat: &Heartbeat, now: f64) {
+        if self.random.chance(self.faults.copied_heartbeats) {
+            let copy = Message::Heartbeat(heartbeat.clone());
+            self.send_within(now, LATE_HEARTBEAT_S, copy);
         }
-        if self.random.chance(self.faults.kept_reports) {
-            self.kept.push(report.clone());
+        if self.random.chance(self.faults.kept_heartbeats) {
+            self.kept.push(heartbeat.clone());
         }
     }
 
-    /// Whether a report is held up; then it arrives late.
-    pub(crate) fn holds(&mut self, report: &Heartbeat, now: f64) -> bool {
-        let held = self.random.chance(self.faults.held_reports);
+    /// Whether a heartbeat is held up; then it arrives late.
+    pub(crate) fn holds(&mut self, heartbeat: &Heartbeat, now: f64) -> bool {
+        let held = self.random.chance(self.faults.late_heartbeats);
         if held {
-            let late = Message::Report(report.clone());
-            self.send_within(now, LATE_REPORT_S, late);
+            let late = Message::Heartbeat(heartbeat.clone());
+            self.send_within(now, LATE_HEARTBEAT_S, late);
         }
         held
     }
 
-    /// Whether the answer to a report is lost; else for how long it is under way.
-    pub(crate) fn answer_delay_s(&mut self) -> Option<f64> {
-        if self.random.chance(self.faults.lost_answers) {
+    /// Whether the response to a heartbeat is lost; else for how long it is under way.
+    pub(crate) fn response_delay_s(&mut self) -> Option<f64> {
+        if self.random.chance(self.faults.lost_responses) {
             return None;
         }
-        let slow = self.random.chance(self.faults.slow_answers);
-        let delay = self.random.between(SLOW_ANSWER_S.0, SLOW_ANSWER_S.1);
+        let slow = self.random.chance(self.faults.slow_responses);
+        let delay = self.random.between(SLOW_RESPONSE_S.0, SLOW_RESPONSE_S.1);
         Some(if slow { delay } else { 0.0 })
     }
 
     /// A leader begins: reports that were kept for this moment arrive.
     pub(crate) fn release_kept(&mut self, now: f64) {
-        for report in std::mem::take(&mut self.kept) {
-            self.send_within(now, self.faults.kept_s, Message::Report(report));
+        for heartbeat in std::mem::take(&mut self.kept) {
+            self.send_within(now, self.faults.kept_s, Message::Heartbeat(heartbeat));
         }
     }
 
-    fn news(&mut self, now: f64, message: Message) {
-        self.send_within(now, NEWS_S, message);
+    fn announce(&mut self, now: f64, message: Message) {
+        self.send_within(now, ANNOUNCEMENT_S, message);
     }
 }
 
@@ -191,45 +191,49 @@
         self.network.as_mut().expect("a timed history")
     }
 
-    pub(crate) fn job_is_news(&mut self, record: OpenRecord, version: u64) {
+    pub(crate) fn announce_job(&mut self, record: OpenRecord, version: u64) {
         let now = self.now;
         match &mut self.network {
-            Some(network) => network.news(now, Message::JobsAccepted(Box::new(record), version)),
-            None => self.news_arrives(|manager| manager.job_accepted(record, version, 0, now)),
+            Some(network) => {
+                network.announce(now, Message::JobsAccepted(Box::new(record), version))
+            }
+            None => {
+                self.announcement_arrives(|manager| manager.job_accepted(record, version, 0, now))
+            }
         }
     }
 
-    pub(crate) fn end_is_news(&mut self, id: &str) {
+    pub(crate) fn announce_end(&mut self, id: &str) {
         let now = self.now;
         let state = JobState::Cancelled;
         match &mut self.network {
-            Some(network) => network.news(now, Message::JobsEnded(id.to_string(), state)),
-            None => self.news_arrives(|manager| manager.job_end_recorded(id, state, now)),
+            Some(network) => network.announce(now, Message::JobsEnded(id.to_string(), state)),
+            None => self.announcement_arrives(|manager| manager.job_end_recorded(id, state, now)),
         }
     }
 
     /// Sends direct commands; the way there, or back, may be interrupted.
-    pub(crate) fn send_orders(&mut self, from: u64, machine: &Name, orders: CommandBatch) {
+    pub(crate) fn send_commands(&mut self, from: u64, machine: &Name, batch: CommandBatch) {
         let now = self.now;
         let Some(i) = self.worker_named(machine) else {
-            return self.with_core(from, |manager| {
+            return self.with_controller(from, |manager| {
                 manager.commands_answered(machine, CommandOutcome::NotSent, now)
             });
         };
         let faults = self.net().faults;
         let late = self.net().random.chance(faults.late_commands);
-        let answer_lost = self.net().random.chance(faults.lost_command_answers);
+        let response_lost = self.net().random.chance(faults.lost_command_responses);
         let slow = self.net().random.chance(faults.slow_commands);
         let w = &mut self.workers[i];
-        if w.is_up(now) && (w.cut || w.deaf || w.hung) {
+        if w.is_up(now) && (w.partitioned || w.inbound_lost || w.hung) {
             // What a cut holds up, and what comes to a machine that hangs, arrives in the end.
-            if !w.deaf {
-                w.held.push(orders);
+            if !w.inbound_lost {
+                w.held.push(batch);
             }
         } else if late || slow {
             let command = Message::Command {
                 machine: machine.clone(),
-                orders,
+                batch,
                 answer_to: (!late).then_some(from),
             };
             let delay_s = if late { LATE_COMMAND_S } else { SLOW_COMMAND_S };
@@ -238,9 +242,9 @@
                 return;
             }
         } else {
-            let result = self.ordered(i, &orders);
-            if !answer_lost {
-                return self.with_core(from, |manager| {
+            let result = self.execute_commands(i, &batch);
+            if !response_lost {
+                return self.with_controller(from, |manager| {
                     manager.commands_answered(machine, result, now)
                 });
             }
@@ -298,7 +302,7 @@
         };
         let now = self.now;
         if let Some(to) = answer {
-            self.with_core(to.leader, |manager| {
+            self.with_controller(to.leader, |manager| {
                 manager.write_finished(to.write, written, now)
             });
         }
@@ -318,19 +322,19 @@
         match message {
             Message::Command {
                 machine,
-                orders,
+                batch,
                 answer_to,
-            } => self.command_arrives(&machine, orders, answer_to),
+            } => self.command_arrives(&machine, batch, answer_to),
             Message::CommandAnswer {
                 to,
                 machine,
                 result,
-            } => self.with_core(to, |manager| {
+            } => self.with_controller(to, |manager| {
                 manager.commands_answered(&machine, result, now)
             }),
-            Message::Report(report) => {
-                for leader in self.leader.iter_mut().chain(&mut self.formers) {
-                    leader.manager.heartbeat(&report, now);
+            Message::Heartbeat(heartbeat) => {
+                for leader in self.leader.iter_mut().chain(&mut self.former_leaders) {
+                    leader.manager.heartbeat(&heartbeat, now);
                 }
             }
             Message::HeartbeatResponse {
@@ -345,7 +349,7 @@
                 let awaited = w.incarnation == incarnation
                     && w.awaited.is_some_and(|a| a.sequence == sequence);
                 if awaited && !w.hung && w.is_up(now) {
-                    self.accept_answer(i, &answer, sent);
+                    self.accept_response(i, &answer, sent);
                 }
             }
             Message::Write {
@@ -354,21 +358,21 @@
             } => self.carry_out_write(transaction, answer),
             Message::NoWriteAnswer { to, transaction } => {
                 let written = self.store.reread(&transaction);
-                self.with_core(to.leader, |manager| {
+                self.with_controller(to.leader, |manager| {
                     manager.write_finished(to.write, written, now)
                 });
             }
-            Message::JobsAccepted(record, version) => self.news_arrives(|manager| {
+            Message::JobsAccepted(record, version) => self.announcement_arrives(|manager| {
                 manager.job_accepted(*record, version, 0, now);
             }),
             Message::JobsEnded(id, state) => {
-                self.news_arrives(|manager| manager.job_end_recorded(&id, state, now))
+                self.announcement_arrives(|manager| manager.job_end_recorded(&id, state, now))
             }
         }
     }
 
     /// News of jobs comes from the state service.
-    fn news_arrives(
+    fn announcement_arrives(
         &mut self,
         tell: impl FnOnce(&mut stairstage::coordination::manager::ClusterManager),
     ) {
@@ -377,18 +381,18 @@
         }
     }
 
-    fn command_arrives(&mut self, machine: &Name, orders: CommandBatch, answer_to: Option<u64>) {
+    fn command_arrives(&mut self, machine: &Name, batch: CommandBatch, answer_to: Option<u64>) {
         let now = self.now;
         let i = self.worker_named(machine).expect("a machine");
         let w = &mut self.workers[i];
-        let (result, delay_s) = if w.hung || w.cut {
-            w.held.push(orders);
+        let (result, delay_s) = if w.hung || w.partitioned {
+            w.held.push(batch);
             (
                 CommandOutcome::Unknown,
                 (COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S),
             )
         } else {
-            (self.ordered(i, &orders), SLOW_COMMAND_S)
+            (self.execute_commands(i, &batch), SLOW_COMMAND_S)
         };
         if let Some(to) = answer_to {
             let machine = machine.clone();
@@ -401,13 +405,13 @@
         }
     }
 
-    /// A worker takes the answer to its last report.
-    pub(crate) fn accept_answer(&mut self, i: usize, answer: &HeartbeatResponse, sent: f64) {
+    /// A worker takes the response to its last heartbeat.
+    pub(crate) fn accept_response(&mut self, i: usize, answer: &HeartbeatResponse, sent: f64) {
         let now = self.now;
         let w = &mut self.workers[i];
         w.awaited = None;
         if answer.token < w.token {
-            w.next_report = now + RETRY_S;
+            w.next_heartbeat_at = now + RETRY_S;
             return;
         }
         let started = w.take(answer, sent, now);
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -3,7 +3,7 @@
 use super::common;
 use super::job::split;
 use super::settings::machine_types;
-use super::worker::{Worker, ANSWER_TIMEOUT_S};
+use super::worker::{Worker, RESPONSE_TIMEOUT_S};
 use super::world::{World, WriteFate};
 use proptest::prelude::*;
 use serde_json::json;
@@ -25,9 +25,9 @@
 pub(crate) enum Step {
     Pass(u8),
     /// A worker reports; the answer may be lost.
-    Report {
+    Heartbeat {
         worker: u8,
-        answer_lost: bool,
+        response_lost: bool,
     },
     Finish {
         worker: u8,
@@ -35,30 +35,30 @@
     Fail {
         worker: u8,
     },
-    Cut {
+    Partition {
         worker: u8,
         on: bool,
     },
-    /// Its reports arrive; answers and commands do not reach it.
-    Deaf {
+    /// Its heartbeats arrive; answers and commands do not reach it.
+    LoseInbound {
         worker: u8,
         on: bool,
     },
-    /// A copy of a report that was sent at any time before, from whatever machine.
+    /// A copy of a heartbeat that was sent at any time before, from whatever machine.
     Copy(u8),
     /// It is back within a moment, with fresh counters.
     Restart {
         worker: u8,
     },
     /// It reports to the former leader, which has lost the state service and the others.
-    ReportToFormer {
+    HeartbeatToFormer {
         worker: u8,
     },
     /// A transaction that was given up on, or a copy of one that was applied, is carried out.
     LateWrite(u8),
     /// Every direct command from now on is held back, and those held arrive (again).
-    Hold(bool),
-    Replay(u8),
+    HoldCommands(bool),
+    ReplayCommands(u8),
     /// The next write is applied but unanswered, or lost, or held back.
     Writes(WriteFate),
     Cancel(u8),
@@ -73,15 +73,15 @@
     /// The version in production leads for a moment, as long as the limits are the old ones.
     Production,
     /// The state service has its new limits.
-    Limits,
+    NewLimits,
     /// Machines stop with all that is on them: those whose bits are set.
-    Fall(u8),
+    LoseMachines(u8),
     /// The zone of the machines whose bits are set is cut off, or is back; the leader may be in it,
     /// and then another is elected.
     ZoneCut {
         bits: u8,
         on: bool,
-        with_former: bool,
+        with_former_leader: bool,
     },
     /// The leader stands still after it has decided, and after it has answered a worker; another is
     /// elected meanwhile, and what was decided leaves then.
@@ -97,8 +97,8 @@
     },
     /// Former leaders are told of every cancellation that was confirmed so far.
     TellFormers,
-    /// Its reports reach no controller, while direct commands reach it.
-    Mute {
+    /// Its heartbeats reach no controller, while direct commands reach it.
+    LoseHeartbeats {
         worker: u8,
         on: bool,
     },
@@ -112,25 +112,25 @@
 pub(crate) fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (1u8..30).prop_map(Step::Pass),
-        10 => (0u8..3, prop::bool::weighted(0.2)).prop_map(|(worker, answer_lost)| Step::Report { worker, answer_lost }),
+        10 => (0u8..3, prop::bool::weighted(0.2)).prop_map(|(worker, response_lost)| Step::Heartbeat { worker, response_lost }),
         5 => (0u8..3).prop_map(|worker| Step::Finish { worker }),
         1 => (0u8..3).prop_map(|worker| Step::Fail { worker }),
-        2 => (0u8..3, any::<bool>()).prop_map(|(worker, on)| Step::Cut { worker, on }),
-        2 => (0u8..3, any::<bool>()).prop_map(|(worker, on)| Step::Deaf { worker, on }),
+        2 => (0u8..3, any::<bool>()).prop_map(|(worker, on)| Step::Partition { worker, on }),
+        2 => (0u8..3, any::<bool>()).prop_map(|(worker, on)| Step::LoseInbound { worker, on }),
         3 => any::<u8>().prop_map(Step::Copy),
         1 => (0u8..3).prop_map(|worker| Step::Restart { worker }),
-        3 => (0u8..3).prop_map(|worker| Step::ReportToFormer { worker }),
+        3 => (0u8..3).prop_map(|worker| Step::HeartbeatToFormer { worker }),
         2 => any::<u8>().prop_map(Step::LateWrite),
-        2 => any::<bool>().prop_map(Step::Hold),
-        2 => any::<u8>().prop_map(Step::Replay),
+        2 => any::<bool>().prop_map(Step::HoldCommands),
+        2 => any::<u8>().prop_map(Step::ReplayCommands),
         2 => (0u8..4).prop_map(|i| Step::Writes(FATES[i as usize])),
         2 => (0u8..JOBS).prop_map(Step::Cancel),
         4 => (0u8..JOBS, any::<u16>(), any::<bool>()).prop_map(|(number, waits_on, looks)| Step::Submit { number, waits_on, looks }),
         1 => Just(Step::Production),
-        1 => Just(Step::Limits),
+        1 => Just(Step::NewLimits),
         2 => Just(Step::NewLeader),
-        1 => (1u8..8).prop_map(Step::Fall),
-        2 => (1u8..8, any::<bool>(), any::<bool>()).prop_map(|(bits, on, with_former)| Step::ZoneCut { bits, on, with_former }),
+        1 => (1u8..8).prop_map(Step::LoseMachines),
+        2 => (1u8..8, any::<bool>(), any::<bool>()).prop_map(|(bits, on, with_former_leader)| Step::ZoneCut { bits, on, with_former_leader }),
         2 => (0u8..3, 1u8..80).prop_map(|(worker, tenths)| Step::StandStill { worker, tenths }),
         1 => Just(Step::Promise),
     ]
@@ -143,7 +143,7 @@
         40 => step(),
         2 => (0u8..60).prop_map(|tenths| Step::Isolate { tenths }),
         1 => Just(Step::TellFormers),
-        1 => (0u8..3, any::<bool>()).prop_map(|(worker, on)| Step::Mute { worker, on }),
+        1 => (0u8..3, any::<bool>()).prop_map(|(worker, on)| Step::LoseHeartbeats { worker, on }),
         2 => (0u8..3, any::<bool>()).prop_map(|(worker, on)| Step::Hang { worker, on }),
     ]
 }
@@ -187,7 +187,7 @@
         for _ in 0..8 {
             self.now += self.settings.cluster.workers.report_s;
             for i in 0..self.workers.len() {
-                self.report(i, false, bits & (1 << i) != 0);
+                self.heartbeat(i, false, bits & (1 << i) != 0);
             }
             self.pass(0.0);
             let now = self.now;
@@ -201,17 +201,19 @@
     /// leaves when another leads already; the worker takes no answer after four seconds.
     fn stand_still(&mut self, i: usize, seconds: f64) {
         let (sent, w) = (self.now, &mut self.workers[i]);
-        let speaks = !w.gone && !w.cut && !w.hung && !w.mute;
-        let report = speaks.then(|| w.own_report(sent));
-        let heard = report.as_ref().map(|r| self.manager().heartbeat(r, sent));
+        let speaks = !w.gone && !w.partitioned && !w.hung && !w.heartbeats_lost;
+        let heartbeat = speaks.then(|| w.own_heartbeat(sent));
+        let heard = heartbeat
+            .as_ref()
+            .map(|r| self.manager().heartbeat(r, sent));
         self.manager().step(sent);
         let decided = self.manager().take_effects();
         self.pass(seconds);
         self.elect();
-        if let (Some(report), Some(HeartbeatOutcome::Answer(answer))) = (report, heard) {
+        if let (Some(heartbeat), Some(HeartbeatOutcome::Answer(answer))) = (heartbeat, heard) {
             let w = &mut self.workers[i];
-            let taken = answer.token >= w.token && report.incarnation == w.incarnation;
-            if taken && seconds < ANSWER_TIMEOUT_S && !w.gone && !w.deaf {
+            let taken = answer.token >= w.token && heartbeat.incarnation == w.incarnation;
+            if taken && seconds < RESPONSE_TIMEOUT_S && !w.gone && !w.inbound_lost {
                 let started = w.take(&answer, sent, self.now);
                 self.check_starts(i, &started);
             }
@@ -224,13 +226,13 @@
                 }
                 Effect::SendCommands {
                     machine,
-                    commands: orders,
+                    commands: batch,
                     ..
                 } => {
                     let worker = self.worker_named(&machine).expect("a machine");
                     let w = &self.workers[worker];
-                    if !w.cut && !w.deaf && !w.hung {
-                        self.deliver(worker, &orders);
+                    if !w.partitioned && !w.inbound_lost && !w.hung {
+                        self.deliver(worker, &batch);
                     }
                 }
                 Effect::ReturnMachines(names) => self.given_back(&names),
@@ -244,29 +246,31 @@
         let seconds = |tenths: u8| f64::from(tenths) / 10.0;
         match step {
             Step::Pass(tenths) => self.pass_and_tick(seconds(tenths)),
-            Step::Report {
+            Step::Heartbeat {
                 worker,
-                answer_lost,
-            } => self.report(worker as usize, answer_lost, false),
-            Step::ReportToFormer { worker } => self.report(worker as usize, false, true),
+                response_lost,
+            } => self.heartbeat(worker as usize, response_lost, false),
+            Step::HeartbeatToFormer { worker } => self.heartbeat(worker as usize, false, true),
             Step::Copy(n) => self.deliver_copy(n as usize),
             Step::Finish { worker } => self.finish_one(worker as usize),
             Step::Fail { worker } => self.fail_one(worker as usize),
-            Step::Cut { worker, on } => self.workers[worker as usize].cut = on,
-            Step::Deaf { worker, on } => self.workers[worker as usize].deaf = on,
-            Step::Mute { worker, on } => self.workers[worker as usize].mute = on,
+            Step::Partition { worker, on } => self.workers[worker as usize].partitioned = on,
+            Step::LoseInbound { worker, on } => self.workers[worker as usize].inbound_lost = on,
+            Step::LoseHeartbeats { worker, on } => {
+                self.workers[worker as usize].heartbeats_lost = on
+            }
             Step::Hang { worker, on: true } => self.workers[worker as usize].hung = true,
             Step::Hang { worker, on: false } => self.resume(worker as usize),
             Step::Restart { worker } => self.restart_worker(worker as usize),
-            Step::Fall(bits) => self.lose_machines(bits),
+            Step::LoseMachines(bits) => self.lose_machines(bits),
             Step::ZoneCut {
                 bits,
                 on,
-                with_former,
-            } => self.cut_machines(bits, on, with_former),
+                with_former_leader,
+            } => self.cut_machines(bits, on, with_former_leader),
             Step::LateWrite(n) => self.write_late(n as usize),
-            Step::Hold(on) => self.holding = on,
-            Step::Replay(n) => self.replay_commands(n as usize),
+            Step::HoldCommands(on) => self.commands_held = on,
+            Step::ReplayCommands(n) => self.replay_commands(n as usize),
             Step::Writes(fate) => self.next_write = fate,
             Step::Submit {
                 number,
@@ -275,7 +279,7 @@
             } => self.submit_number(number, waits_on, looks),
             Step::Cancel(n) => self.cancel(&format!("req-{n}")),
             Step::Production => self.let_production_lead(),
-            Step::Limits => self.tighten_limits(),
+            Step::NewLimits => self.tighten_limits(),
             Step::NewLeader => self.elect(),
             Step::StandStill { worker, tenths } => {
                 self.stand_still(worker as usize, seconds(tenths));
@@ -296,10 +300,10 @@
         self.manager().tick(now);
     }
 
-    /// A copy of one of the reports that were sent before reaches the leader.
+    /// A copy of one of the heartbeats that were sent before reaches the leader.
     fn deliver_copy(&mut self, n: usize) {
-        if !self.sent.is_empty() {
-            let copy = self.sent[n * 7 % self.sent.len()].clone();
+        if !self.sent_heartbeats.is_empty() {
+            let copy = self.sent_heartbeats[n * 7 % self.sent_heartbeats.len()].clone();
             let now = self.now;
             self.manager().heartbeat(&copy, now);
         }
@@ -307,18 +311,19 @@
 
     /// A transaction that may be carried out late is.
     fn write_late(&mut self, n: usize) {
-        if !self.late.is_empty() {
-            let txn = self.late[n % self.late.len()].clone();
+        if !self.late_transactions.is_empty() {
+            let txn = self.late_transactions[n % self.late_transactions.len()].clone();
             let _ = self.store.commit(&txn);
         }
     }
 
     /// Direct commands that were held back, or carried out before, arrive.
     fn replay_commands(&mut self, n: usize) {
-        if !self.held.is_empty() {
-            let (name, orders) = self.held[n % self.held.len()].clone();
+        if !self.repeatable_commands.is_empty() {
+            let (name, batch) =
+                self.repeatable_commands[n % self.repeatable_commands.len()].clone();
             if let Some(worker) = self.worker_named(&name) {
-                self.deliver(worker, &orders);
+                self.deliver(worker, &batch);
             }
         }
     }
@@ -328,7 +333,7 @@
     fn restart_worker(&mut self, worker: usize) {
         let w = &mut self.workers[worker];
         w.restart(self.now);
-        self.held.retain(|(name, _)| *name != w.name);
+        self.repeatable_commands.retain(|(name, _)| *name != w.name);
     }
 
     /// A running task of a worker fails.
@@ -381,20 +386,20 @@
 
     /// The other controllers promise: who promises leads no more, nor answers reports.
     fn promise(&mut self) {
-        self.formers.clear();
+        self.former_leaders.clear();
         let now = self.now;
         self.manager().peers_promised(now);
     }
 
     /// The zone of the machines whose bits are set is cut off, or is back.
-    fn cut_machines(&mut self, bits: u8, on: bool, with_former: bool) {
+    fn cut_machines(&mut self, bits: u8, on: bool, with_former_leader: bool) {
         for (i, w) in self.workers.iter_mut().enumerate() {
             if bits & (1 << i) != 0 {
-                w.cut = on;
-                w.with_former = with_former;
+                w.partitioned = on;
+                w.with_former_leader = with_former_leader;
             }
         }
-        if on && with_former {
+        if on && with_former_leader {
             self.elect();
             self.live_on(bits);
         }
@@ -420,8 +425,8 @@
 
     /// Lets everything heal; what was accepted must come to its end.
     pub(crate) fn heal(&mut self) {
-        self.holding = false;
-        self.formers.clear();
+        self.commands_held = false;
+        self.former_leaders.clear();
         if self.leader.as_ref().is_some_and(|l| !l.reaches_store) {
             self.elect();
         }
@@ -430,13 +435,13 @@
         }
         for i in 0..600 {
             for w in 0..3u8 {
-                self.workers[w as usize].cut = false;
-                self.workers[w as usize].deaf = false;
-                self.workers[w as usize].mute = false;
+                self.workers[w as usize].partitioned = false;
+                self.workers[w as usize].inbound_lost = false;
+                self.workers[w as usize].heartbeats_lost = false;
                 self.resume(w as usize);
-                self.apply(Step::Report {
+                self.apply(Step::Heartbeat {
                     worker: w,
-                    answer_lost: false,
+                    response_lost: false,
                 });
                 self.apply(Step::Finish { worker: w });
             }
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -4,7 +4,7 @@
 use super::leader::Leader;
 use super::network::{Faults, Network};
 use super::settings::machine_types;
-use super::worker::{AwaitedAnswer, Worker, ANSWER_TIMEOUT_S, RETRY_S};
+use super::worker::{AwaitedResponse, Worker, RESPONSE_TIMEOUT_S, RETRY_S};
 use super::world::World;
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
@@ -14,16 +14,16 @@
 /// Seconds between two moments at which anything happens.
 const TICK_S: f64 = 0.25;
 /// Heartbeat intervals differ by up to this share.
-const REPORT_SPREAD: f64 = 0.25;
+const HEARTBEAT_SPREAD: f64 = 0.25;
 /// Seconds between slower decisions of the leader, and between two lists of machines, in ticks.
 const TICKS_A_DECISION: u64 = 4;
 const TICKS_A_LIST: u64 = 16;
-/// Questions of a leader to each other controller in a report interval.
+/// Questions of a leader to each other controller in a heartbeat interval.
 const PEER_QUERIES: f64 = 4.0;
 /// Open jobs that keep the teams at their limits, and the share of ticks in which one is cancelled.
 const SMALL_JOBS: usize = 16;
 const CANCELLED_SHARE: f64 = 0.15;
-/// Once all troubles are over, every job has come to its end within this time.
+/// Once all faults are over, every job has come to its end within this time.
 const QUIET_S: f64 = 150.0;
 
 /// Machines of a timed history: the second zone has fewer, and one of them is a spot machine.
@@ -117,7 +117,7 @@
             self.deliver_due();
             self.progress();
             for i in 0..self.workers.len() {
-                self.let_report(i);
+                self.send_heartbeat_if_due(i);
             }
             self.let_controllers_decide();
         }
@@ -186,7 +186,7 @@
         let deposed = leader.manager.is_deposed();
         self.let_formers_decide();
         let workers = &self.settings.cluster.workers;
-        self.formers.retain(|l| l.may_renew(now, workers));
+        self.former_leaders.retain(|l| l.may_renew(now, workers));
         self.effects();
         if deposed {
             self.replace_leader();
@@ -196,7 +196,12 @@
     /// A former leader neither starts nor records anything; it stops what it knows to be cancelled.
     fn let_formers_decide(&mut self) {
         let now = self.now;
-        for id in self.formers.iter().map(Leader::id).collect::<Vec<_>>() {
+        for id in self
+            .former_leaders
+            .iter()
+            .map(Leader::id)
+            .collect::<Vec<_>>()
+        {
             let Some(former) = self.controller(id) else {
                 continue;
             };
@@ -205,11 +210,11 @@
                 match &effect {
                     Effect::Write { .. } => panic!("a former leader writes: {effect:?}"),
                     Effect::SendCommands {
-                        commands: orders, ..
+                        commands: batch, ..
                     } => {
                         let stops = |c: &Command| matches!(c, Command::Stop { .. });
-                        let only_stops = orders.commands.iter().all(stops);
-                        assert!(only_stops, "a former leader acts: {orders:?}");
+                        let only_stops = batch.commands.iter().all(stops);
+                        assert!(only_stops, "a former leader acts: {batch:?}");
                     }
                     _ => {}
                 }
@@ -236,47 +241,47 @@
     }
 
     /// A worker reports if it is time to.
-    fn let_report(&mut self, i: usize) {
+    fn send_heartbeat_if_due(&mut self, i: usize) {
         let now = self.now;
         let w = &mut self.workers[i];
         if !w.is_up(now) || w.hung {
             return;
         }
         if let Some(awaited) = w.awaited {
-            if now - awaited.sent > ANSWER_TIMEOUT_S {
+            if now - awaited.sent > RESPONSE_TIMEOUT_S {
                 w.awaited = None;
-                w.next_report = now + RETRY_S;
+                w.next_heartbeat_at = now + RETRY_S;
             }
-        } else if now >= w.next_report {
-            self.send_report(i);
+        } else if now >= w.next_heartbeat_at {
+            self.send_heartbeat(i);
         }
     }
 
-    fn send_report(&mut self, i: usize) {
+    fn send_heartbeat(&mut self, i: usize) {
         let now = self.now;
         let report_s = self.settings.cluster.workers.report_s;
-        let spread = self.between(1.0 - REPORT_SPREAD, 1.0 + REPORT_SPREAD);
+        let spread = self.between(1.0 - HEARTBEAT_SPREAD, 1.0 + HEARTBEAT_SPREAD);
         let w = &mut self.workers[i];
-        let report = w.own_report(now);
-        w.next_report = now + report_s * spread;
-        let awaited = AwaitedAnswer {
-            sequence: report.sequence,
+        let heartbeat = w.own_heartbeat(now);
+        w.next_heartbeat_at = now + report_s * spread;
+        let awaited = AwaitedResponse {
+            sequence: heartbeat.sequence,
             sent: now,
         };
-        let (deaf, incarnation) = (w.deaf, w.incarnation);
-        let Some(hears) = self.hearer(i) else {
-            self.workers[i].next_report = now + RETRY_S;
+        let (inbound_lost, incarnation) = (w.inbound_lost, w.incarnation);
+        let Some(receiver) = self.receiving_leader(i) else {
+            self.workers[i].next_heartbeat_at = now + RETRY_S;
             return;
         };
-        self.net().copy(&report, now);
-        if self.net().holds(&report, now) {
+        self.net().copy(&heartbeat, now);
+        if self.net().holds(&heartbeat, now) {
             self.workers[i].awaited = Some(awaited);
             return;
         }
-        let leader = self.controller(hears).expect("it hears");
+        let leader = self.controller(receiver).expect("it hears");
         let in_doubt = now >= leader.manager.lease_valid_until();
-        let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&report, now) else {
-            self.workers[i].next_report = now + RETRY_S;
+        let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&heartbeat, now) else {
+            self.workers[i].next_heartbeat_at = now + RETRY_S;
             return;
         };
         let starts = |c: &Command| matches!(c, Command::Start { .. });
@@ -285,13 +290,13 @@
             "a leader in doubt starts tasks: {answer:?}"
         );
         self.workers[i].awaited = Some(awaited);
-        match self.net().answer_delay_s() {
-            Some(0.0) if !deaf => self.accept_answer(i, &answer, now),
-            Some(delay_s) if !deaf => {
+        match self.net().response_delay_s() {
+            Some(0.0) if !inbound_lost => self.accept_response(i, &answer, now),
+            Some(delay_s) if !inbound_lost => {
                 let message = super::network::Message::HeartbeatResponse {
-                    machine: report.machine,
+                    machine: heartbeat.machine,
                     incarnation,
-                    sequence: report.sequence,
+                    sequence: heartbeat.sequence,
                     sent: now,
                     answer,
                 };
@@ -303,11 +308,11 @@
     }
 
     /// The controller that answers a worker's reports.
-    fn hearer(&self, i: usize) -> Option<u64> {
+    fn receiving_leader(&self, i: usize) -> Option<u64> {
         let w = &self.workers[i];
-        let heard = match (w.cut, w.with_former) {
-            _ if w.mute => None,
-            (true, true) => self.formers.last(),
+        let heard = match (w.partitioned, w.with_former_leader) {
+            _ if w.heartbeats_lost => None,
+            (true, true) => self.former_leaders.last(),
             (true, false) => None,
             (false, _) => self.leader.as_ref(),
         };
@@ -337,19 +342,19 @@
     }
 
     /// Machines of a zone, or all but those, are cut off.
-    pub(crate) fn cut_zone(&mut self, zone: &str, with_former: bool) {
+    pub(crate) fn cut_zone(&mut self, zone: &str, with_former_leader: bool) {
         for w in self.workers.iter_mut().filter(|w| w.zone == zone) {
-            w.cut = true;
-            w.with_former = with_former;
+            w.partitioned = true;
+            w.with_former_leader = with_former_leader;
         }
     }
 
     pub(crate) fn reconnect(&mut self, i: usize) {
         let w = &mut self.workers[i];
-        w.cut = false;
-        w.with_former = false;
-        w.deaf = false;
-        w.mute = false;
+        w.partitioned = false;
+        w.with_former_leader = false;
+        w.inbound_lost = false;
+        w.heartbeats_lost = false;
         if !w.hung {
             let held = std::mem::take(&mut w.held);
             self.hand_out(i, &held);
@@ -366,8 +371,8 @@
 
     /// What was held up arrives in order; nobody waits for its answer any more.
     fn hand_out(&mut self, i: usize, held: &[CommandBatch]) {
-        for orders in held {
-            self.deliver(i, orders);
+        for batch in held {
+            self.deliver(i, batch);
         }
     }
 
@@ -378,7 +383,7 @@
         }
     }
 
-    /// All troubles are over: every job that nobody has cancelled comes to its end.
+    /// All faults are over: every job that nobody has cancelled comes to its end.
     pub(crate) fn settle(&mut self) {
         self.set_faults(Faults::default());
         self.cloud_is_down = false;
@@ -387,7 +392,7 @@
         if self.leader.as_ref().is_none_or(|l| !l.reaches_store) {
             self.replace_leader();
         }
-        self.formers.clear();
+        self.former_leaders.clear();
         let services = self.jobs.iter().filter(|(_, j)| j.is_service());
         for id in services.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             self.cancel(&id);
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -7,11 +7,11 @@
 
 /// Processors of a machine.
 pub(crate) const CPUS: f64 = 4.0;
-/// A worker takes no answer to a report after this time, and tries the next node a second later.
-pub(crate) const ANSWER_TIMEOUT_S: f64 = 4.0;
+/// A worker takes no response to a heartbeat after this time, and tries the next node a second later.
+pub(crate) const RESPONSE_TIMEOUT_S: f64 = 4.0;
 pub(crate) const RETRY_S: f64 = 1.0;
-/// A worker sends no two reports within this time.
-const MIN_REPORT_PAUSE_S: f64 = 0.5;
+/// A worker sends no two heartbeats within this time.
+const MIN_HEARTBEAT_PAUSE_S: f64 = 0.5;
 
 #[derive(Clone)]
 pub(crate) struct TaskOnWorker {
@@ -20,9 +20,9 @@
     pub since: f64,
 }
 
-/// A report that its worker waits to have answered.
+/// A heartbeat that its worker waits to have answered.
 #[derive(Clone, Copy)]
-pub(crate) struct AwaitedAnswer {
+pub(crate) struct AwaitedResponse {
     pub sequence: u64,
     pub sent: f64,
 }
@@ -39,21 +39,25 @@
     pub token: u64,
     /// By task and attempt.
     pub tasks: BTreeMap<(String, u64), TaskOnWorker>,
-    /// When the last answered report was sent; infinite once its lease is over while it hangs.
-    pub renewed: f64,
-    /// Cut off from the controllers; from all but the former leader, which is in its zone; heard, but
-    /// out of reach; in reach of direct commands, but not heard; hanging; or gone for good.
-    pub cut: bool,
-    pub with_former: bool,
-    pub deaf: bool,
-    pub mute: bool,
+    /// When the last answered heartbeat was sent; infinite once its lease is over while it hangs.
+    pub lease_renewed_at: f64,
+    /// It reaches no controller, and none reaches it.
+    pub partitioned: bool,
+    /// The partition leaves it the former leader, which is in its zone.
+    pub with_former_leader: bool,
+    /// Its heartbeats arrive; responses to them and direct commands are lost.
+    pub inbound_lost: bool,
+    /// Direct commands arrive and are answered; its own heartbeats are lost.
+    pub heartbeats_lost: bool,
+    /// It does not run, and holds back what comes to it.
     pub hung: bool,
+    /// It is gone for good, with all that was on it.
     pub gone: bool,
     /// Direct commands that arrive once it runs again, or is no longer cut off.
     pub held: Vec<CommandBatch>,
-    pub next_report: f64,
-    last_report: f64,
-    pub awaited: Option<AwaitedAnswer>,
+    pub next_heartbeat_at: f64,
+    last_heartbeat_at: f64,
+    pub awaited: Option<AwaitedResponse>,
 }
 
 impl Worker {
@@ -68,16 +72,16 @@
             sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            renewed: now,
-            cut: false,
-            with_former: false,
-            deaf: false,
-            mute: false,
+            lease_renewed_at: now,
+            partitioned: false,
+            with_former_leader: false,
+            inbound_lost: false,
+            heartbeats_lost: false,
             hung: false,
             gone: false,
             held: Vec::new(),
-            next_report: now,
-            last_report: f64::NEG_INFINITY,
+            next_heartbeat_at: now,
+            last_heartbeat_at: f64::NEG_INFINITY,
             awaited: None,
         }
     }
@@ -88,7 +92,7 @@
         self.sequence = 0;
         self.token = 0;
         self.tasks.clear();
-        self.renewed = now;
+        self.lease_renewed_at = now;
     }
 
     /// It stops with all that is on it.
@@ -107,45 +111,45 @@
         self.incarnation += 1;
         self.tasks.clear();
         self.awaited = None;
-        self.renewed = if self.hung { f64::INFINITY } else { now };
-        self.report_change(now);
+        self.lease_renewed_at = if self.hung { f64::INFINITY } else { now };
+        self.hasten_heartbeat(now);
     }
 
     /// It runs again; what was held back meanwhile is handed out.
     pub(crate) fn resume(&mut self, now: f64) -> Vec<CommandBatch> {
         self.hung = false;
-        if self.renewed == f64::INFINITY {
-            self.renewed = now;
+        if self.lease_renewed_at == f64::INFINITY {
+            self.lease_renewed_at = now;
         }
-        self.next_report = now;
+        self.next_heartbeat_at = now;
         std::mem::take(&mut self.held)
     }
 
     /// Something has changed, which it reports soon.
-    pub(crate) fn report_change(&mut self, now: f64) {
-        let soon = now.max(self.last_report + MIN_REPORT_PAUSE_S);
-        self.next_report = self.next_report.min(soon);
+    pub(crate) fn hasten_heartbeat(&mut self, now: f64) {
+        let soon = now.max(self.last_heartbeat_at + MIN_HEARTBEAT_PAUSE_S);
+        self.next_heartbeat_at = self.next_heartbeat_at.min(soon);
     }
 
-    /// Takes an answer to the report that it sent then; returns the tasks that started.
+    /// Takes a response to the heartbeat that it sent then; returns the tasks that started.
     pub(crate) fn take(&mut self, answer: &HeartbeatResponse, sent: f64, now: f64) -> Vec<String> {
         self.token = answer.token;
-        self.renewed = sent;
+        self.lease_renewed_at = sent;
         self.run(&answer.commands, now)
     }
 
     /// Whether it executes direct commands.
-    pub(crate) fn accepts(&self, orders: &CommandBatch) -> bool {
-        orders.token >= self.token && orders.incarnation == self.incarnation
+    pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
+        batch.token >= self.token && batch.incarnation == self.incarnation
     }
 
-    /// A report of its own; one that answers a direct command has a later number too.
-    pub(crate) fn own_report(&mut self, now: f64) -> Heartbeat {
-        self.last_report = now;
-        self.report()
+    /// A heartbeat of its own; one that answers a direct command has a later number too.
+    pub(crate) fn own_heartbeat(&mut self, now: f64) -> Heartbeat {
+        self.last_heartbeat_at = now;
+        self.heartbeat()
     }
 
-    pub(crate) fn report(&mut self) -> Heartbeat {
+    pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -183,7 +187,7 @@
         if let Some(task) = self.tasks.get_mut(key) {
             task.state = TaskState::Exited;
             task.cause = Some(cause);
-            self.report_change(now);
+            self.hasten_heartbeat(now);
         }
     }
 
@@ -226,7 +230,7 @@
             }
         }
         if !commands.is_empty() {
-            self.report_change(now);
+            self.hasten_heartbeat(now);
         }
         started
     }
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -40,16 +40,19 @@
     /// Nobody leads for a while after a leader has ended.
     pub leader: Option<Leader>,
     /// Earlier leaders that may still answer reports, the last one last.
-    pub formers: Vec<Leader>,
+    pub former_leaders: Vec<Leader>,
     /// The controllers that never lead here; users cancel jobs by way of them.
     pub peers: Peers,
     /// The state service is down for all.
     pub store_is_down: bool,
-    /// Every report that was sent, and transactions that may be carried out late.
-    pub sent: Vec<Heartbeat>,
-    pub late: Vec<Transaction>,
-    pub held: Vec<(String, CommandBatch)>,
-    pub holding: bool,
+    /// Every heartbeat that was sent: copies of it may arrive.
+    pub sent_heartbeats: Vec<Heartbeat>,
+    /// Transactions that may be carried out late.
+    pub late_transactions: Vec<Transaction>,
+    /// Direct commands by machine, each of which may arrive again.
+    pub repeatable_commands: Vec<(String, CommandBatch)>,
+    /// Whether direct commands are held back.
+    pub commands_held: bool,
     pub next_write: WriteFate,
     pub jobs: BTreeMap<String, Job>,
     /// What takes time, in histories that have a clock of their own.
@@ -58,7 +61,7 @@
     /// Machines that the cloud still has to rent, and whether it refuses all requests.
     pub rentable: usize,
     pub cloud_is_down: bool,
-    /// Since when jobs wait that could run, once all troubles are over.
+    /// Since when jobs wait that could run, once all faults are over.
     pub could_run_since: BTreeMap<String, f64>,
 }
 
@@ -71,13 +74,13 @@
             store: Store::default(),
             workers,
             leader: None,
-            formers: Vec::new(),
+            former_leaders: Vec::new(),
             peers: Peers::new(),
             store_is_down: false,
-            sent: Vec::new(),
-            late: Vec::new(),
-            held: Vec::new(),
-            holding: false,
+            sent_heartbeats: Vec::new(),
+            late_transactions: Vec::new(),
+            repeatable_commands: Vec::new(),
+            commands_held: false,
             next_write: WriteFate::Answered,
             jobs: BTreeMap::new(),
             network: None,
@@ -105,10 +108,10 @@
                 .manager
                 .set_lease_valid_until(former.manager.lease_valid_until().min(self.now));
             former.cut_off(self.known_until());
-            self.formers.push(former);
+            self.former_leaders.push(former);
         }
         let (now, workers) = (self.now, &self.settings.cluster.workers);
-        self.formers.retain(|l| l.may_renew(now, workers));
+        self.former_leaders.retain(|l| l.may_renew(now, workers));
         self.effects();
     }
 
@@ -140,14 +143,14 @@
         let delay_s = self
             .network
             .as_ref()
-            .map_or(0.0, Network::most_news_delay_s);
+            .map_or(0.0, Network::max_announcement_delay_s);
         self.now - delay_s
     }
 
     /// Earlier leaders are told of every cancellation that was confirmed so far.
     pub(crate) fn tell_formers(&mut self) {
         let cancelled = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_some());
-        for former in &mut self.formers {
+        for former in &mut self.former_leaders {
             for (id, _) in cancelled.clone() {
                 former
                     .manager
@@ -160,7 +163,7 @@
 
     /// The controller whose leadership has this id, if it still lives.
     pub(crate) fn controller(&mut self, id: u64) -> Option<&mut Leader> {
-        let mut all = self.leader.iter_mut().chain(&mut self.formers);
+        let mut all = self.leader.iter_mut().chain(&mut self.former_leaders);
         all.find(|l| l.id() == id)
     }
 
@@ -173,21 +176,21 @@
     }
 
     /// Whether the user of a job, or of one that it needs, has cancelled it.
-    pub(crate) fn is_taken_back(&self, id: &str) -> bool {
+    pub(crate) fn is_cancelled_by_user(&self, id: &str) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
         let mut needs = job.spec.waits_on.iter();
-        job.cancelled_at.is_some() || needs.any(|n| self.is_taken_back(n))
+        job.cancelled_at.is_some() || needs.any(|n| self.is_cancelled_by_user(n))
     }
 
     /// The leases of workers that were not renewed end.
     pub(crate) fn expire(&mut self) {
         let lease_s = self.settings.cluster.workers.lease_s;
         for i in 0..self.workers.len() {
-            let over_at = self.workers[i].renewed + lease_s;
+            let over_at = self.workers[i].lease_renewed_at + lease_s;
             if self.now > over_at && self.workers[i].is_up(self.now) {
-                self.check_rest_of_cancelled(&self.workers[i], over_at);
+                self.check_cancelled_tasks_stopped(&self.workers[i], over_at);
                 self.workers[i].expire(self.now);
             }
         }
@@ -198,7 +201,7 @@
         self.now += seconds;
         self.expire();
         for w in &self.workers {
-            self.check_rest_of_cancelled(w, self.now);
+            self.check_cancelled_tasks_stopped(w, self.now);
         }
     }
 
@@ -225,14 +228,14 @@
             if self.store.commit(&txn).is_ok() {
                 self.jobs
                     .insert(id.to_string(), Job::new(spec, run_s.0, run_s.1));
-                self.end_is_news(id);
+                self.announce_end(id);
             }
             return;
         }
         if let Ok(version) = self.commit_of_a_node(&txn) {
             self.jobs
                 .insert(id.to_string(), Job::new(spec, run_s.0, run_s.1));
-            self.job_is_news(record, version);
+            self.announce_job(record, version);
         }
     }
 
@@ -252,7 +255,7 @@
             self.peers.confirm(id);
             let job = self.jobs.get_mut(id).expect("an accepted job");
             job.cancelled_at = Some(self.now);
-            self.end_is_news(id);
+            self.announce_end(id);
         }
     }
 
@@ -294,7 +297,7 @@
         assert!(open.is_empty(), "never ended: {open:#?}");
         for id in self.jobs.keys() {
             let end = self.store.item(&end_key(id)).expect("recorded").value;
-            let expected = if self.is_taken_back(id) {
+            let expected = if self.is_cancelled_by_user(id) {
                 "cancelled"
             } else {
                 "done"
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -5,10 +5,12 @@
 mod standins;
 
 use common::full_fleet::{
-    full_fleet, job_of_machine, machine_number, reports_without_news, FullFleet, LargestWrite,
+    full_fleet, heartbeats_without_news, job_of_machine, machine_number, FullFleet, LargestWrite,
 };
 use common::http::send;
-use common::{answered, carry_out, core_with_token, report_of, starts, worker_report, SETTINGS};
+use common::{
+    answered, carry_out, heartbeat_from, manager_with_token, starts, worker_heartbeat, SETTINGS,
+};
 use crossbeam::channel::bounded;
 use serde_json::json;
 use stairstage::coordination::cluster::recovery::Records;
@@ -60,12 +62,12 @@
         now,
         ..
     } = fleet;
-    let (report_looks, report_bytes) = reports_without_news(&mut manager, &tasks, now);
+    let (report_looks, report_bytes) = heartbeats_without_news(&mut manager, &tasks, now);
     let looks = manager.machines_examined();
     for (i, here) in tasks.iter_mut().enumerate().skip(100).take(20) {
         here[0].state = TaskState::Exited;
         here[0].cause = Some(Cause::Done);
-        report_of(&mut manager, &format!("m-{i}"), 3, None, here.clone(), now);
+        heartbeat_from(&mut manager, &format!("m-{i}"), 3, None, here.clone(), now);
         manager.step(now);
         manager.take_effects();
     }
@@ -122,7 +124,7 @@
         let now = fleet.now + f64::from(tick) / 2.0;
         for i in (0..half).filter(|i| i % 4 == tick as usize % 4) {
             let sequence = 10 + u64::from(tick as u32);
-            report_of(
+            heartbeat_from(
                 manager,
                 &format!("m-{i}"),
                 sequence,
@@ -197,27 +199,27 @@
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let fleet = full_fleet(LARGEST);
     let token = 1_000_000;
-    let mut next = core_with_token(token);
+    let mut next = manager_with_token(token);
     next.recover(records_of(&fleet), 0, 0.0);
     assert_eq!(next.machine_count(), fleet.tasks.len());
     let mut launched = 0;
     let mut running = 0;
-    // All come within a report interval, as after a restart of all controllers.
+    // All come within a heartbeat interval, as after a restart of all controllers.
     for (i, tasks) in fleet.tasks.iter().enumerate() {
         let now = 2.0 * i as f64 / fleet.tasks.len() as f64;
         for (sequence, seen) in [(3, 1), (4, token)] {
-            let report = worker_report(&format!("m-{i}"), sequence, seen, tasks.clone());
-            launched += answered(&mut next, &report, now).len();
+            let heartbeat = worker_heartbeat(&format!("m-{i}"), sequence, seen, tasks.clone());
+            launched += answered(&mut next, &heartbeat, now).len();
         }
         if i % 500 == 0 {
             carry_out(&mut next, now, |manager, effect| {
                 if let Effect::SendCommands {
                     machine,
-                    commands: orders,
+                    commands: batch,
                     ..
                 } = effect
                 {
-                    launched += starts(&orders.commands).len();
+                    launched += starts(&batch.commands).len();
                     manager.commands_answered(&machine, CommandOutcome::Unknown, now);
                 }
             });
@@ -307,7 +309,7 @@
     assert_eq!(names.len(), LARGEST as usize);
 }
 
-/// Sends a worker's report; the answer.
+/// Sends a worker's heartbeat; the answer.
 fn report_on(stream: &mut TcpStream, worker: u32) -> String {
     send(stream, "POST", "/agent/beat", &worker.to_string())
 }
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{each_effect, manager, parsed, report_of, shown, starts, submission};
+use common::{each_effect, heartbeat_from, manager, parsed, shown, starts, submission};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
@@ -38,7 +38,7 @@
             changes: 0,
             busy_s: 0.0,
         };
-        fleet.report(|_| false);
+        fleet.heartbeat(|_| false);
         fleet
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// All machines report; tasks of which `fails` holds have failed since the last time.
-    fn report(&mut self, fails: impl Fn(&str) -> bool) {
+    fn heartbeat(&mut self, fails: impl Fn(&str) -> bool) {
         self.sequence += 1;
         for (machine, tasks) in &mut self.tasks {
             for task in tasks.iter_mut() {
@@ -59,7 +59,7 @@
                     task.cause = Some(Cause::Error);
                 }
             }
-            let answer = report_of(
+            let answer = heartbeat_from(
                 &mut self.manager,
                 machine,
                 self.sequence,
@@ -85,10 +85,10 @@
                 }
                 Effect::SendCommands {
                     machine,
-                    commands: orders,
+                    commands: batch,
                     ..
                 } => {
-                    let started = starts(&orders.commands);
+                    let started = starts(&batch.commands);
                     *launches += started.len();
                     let here = tasks.get_mut(&*machine).unwrap();
                     here.extend(shown(&started, TaskState::Fetching, None));
@@ -100,7 +100,7 @@
         self.now += 2.0;
         let failing = self.tasks.values().flatten().filter(|t| fails(&t.task));
         self.busy_s += 2.0 * failing.count() as f64;
-        self.report(fails);
+        self.heartbeat(fails);
     }
 }
 
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    core_with_token, each_effect, machine_type, manager, parsed, shown, starts, submission,
-    worker_report, Store, SETTINGS,
+    each_effect, machine_type, manager, manager_with_token, parsed, shown, starts, submission,
+    worker_heartbeat, Store, SETTINGS,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
@@ -46,7 +46,7 @@
     fn elected(mut self, now: f64) -> Leader {
         let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
-        self.manager = core_with_token(token);
+        self.manager = manager_with_token(token);
         // The time of day is that of the test.
         self.manager
             .recover(self.store.records(), (1000.0 * now) as u64, now);
@@ -102,8 +102,8 @@
                 manager.ends_found(ends, now);
             }
             Effect::SendCommands {
-                commands: orders, ..
-            } => launched.extend(starts(&orders.commands)),
+                commands: batch, ..
+            } => launched.extend(starts(&batch.commands)),
             Effect::JobEnded { id, state } => {
                 ended.insert(id.to_string(), state);
             }
@@ -112,7 +112,7 @@
     }
 
     /// The machine shows what was launched on it: these jobs' tasks are over, the others run.
-    fn report(&mut self, sequence: u64, over: &[&str], now: f64) {
+    fn heartbeat(&mut self, sequence: u64, over: &[&str], now: f64) {
         let done = |name: &str| over.iter().any(|id| name.starts_with(&format!("{id}/")));
         let show = |(task, attempt): &(String, u64)| {
             let (state, cause) = if done(task) {
@@ -123,15 +123,15 @@
             shown(&[(task.clone(), *attempt)], state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(show).collect();
-        let report = worker_report("m-1", sequence, self.manager.token(), tasks);
-        let mut answer = self.manager.heartbeat(&report, now);
+        let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token(), tasks);
+        let mut answer = self.manager.heartbeat(&heartbeat, now);
         if let stairstage::coordination::cluster::HeartbeatOutcome::Answer(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
         }
         // A direct command has been answered by that as well.
         self.manager.commands_answered(
             &"m-1".into(),
-            stairstage::coordination::cluster::CommandOutcome::Executed(report),
+            stairstage::coordination::cluster::CommandOutcome::Executed(heartbeat),
             now,
         );
     }
@@ -161,14 +161,14 @@
 #[test]
 fn a_job_starts_only_once_the_end_of_what_it_needs_is_recorded() {
     let mut leader = Leader::new();
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     leader.submit("req-1", &[], plain, 0.0);
     leader.submit("req-2", &["req-1"], plain, 0.0);
     leader.act(0.0);
     assert!(leader.has_launched("req-1") && !leader.has_launched("req-2"));
     // All its tasks are complete, but that is not on record: a cancellation could still win.
     leader.ends_held = true;
-    leader.report(2, &["req-1"], 1.0);
+    leader.heartbeat(2, &["req-1"], 1.0);
     leader.act(1.0);
     leader.act(2.0);
     assert!(!leader.has_launched("req-2"));
@@ -178,9 +178,9 @@
     );
     let mut leader = leader.elected(2.0);
     leader.ends_held = false;
-    leader.report(3, &["req-1"], 3.0);
+    leader.heartbeat(3, &["req-1"], 3.0);
     leader.act(3.0);
-    leader.report(4, &["req-1"], 3.5);
+    leader.heartbeat(4, &["req-1"], 3.5);
     leader.act(4.0);
     assert_eq!(leader.end("req-1"), Some(json!("done")));
     assert!(leader.has_launched("req-2"));
@@ -197,7 +197,7 @@
     leader.submit("req-3", &["req-1", "req-2"], plain, 0.0);
     leader.reads = false;
     let mut leader = leader.elected(1.0);
-    leader.report(1, &[], 1.0);
+    leader.heartbeat(1, &[], 1.0);
     leader.act(1.0);
     assert!(
         leader.launched.is_empty(),
@@ -219,7 +219,7 @@
 #[test]
 fn cancelling_a_job_cancels_all_that_need_it_and_nothing_else() {
     let mut leader = Leader::new();
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     leader.submit("req-1", &[], plain, 0.0);
     leader.submit("req-2", &["req-1"], plain, 0.0);
     leader.submit("req-3", &["req-2"], plain, 0.0);
@@ -265,7 +265,7 @@
         .store
         .values
         .insert(end_key("req-1"), (json!({"state": "done"}), 1));
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     leader.act(0.0);
     leader
         .manager
@@ -300,7 +300,7 @@
     leader.manager = ClusterManager::new(settings.into(), 1, 0.0);
     leader.manager.set_lease_valid_until(f64::INFINITY);
     leader.manager.set_machine_types(vec![machine_type()]);
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     // The first waits for ever; the last fits the guarantee and the limit by itself, and so goes
     // before another team's work that came earlier and would fill the machine.
     leader.submit("req-1", &["req-9"], plain, 0.0);
@@ -324,7 +324,7 @@
 /// Which of two jobs of different pipelines goes first, on a machine with room for one of them.
 fn first_of(a: impl FnOnce(&mut Leader), b: impl FnOnce(&mut Leader)) -> String {
     let mut leader = Leader::new();
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     let wide = |v: &mut Value| v["cpus"] = json!(2.0);
     leader.submit("req-1", &[], wide, 0.0);
     leader.submit("req-2", &[], wide, 0.0);
@@ -377,7 +377,7 @@
     leader.store.values.insert(end_key("req-1"), (end, 1));
     let mut leader = leader.elected(150.0);
     leader.act(150.0);
-    leader.report(1, &[], 150.0);
+    leader.heartbeat(1, &[], 150.0);
     leader.act(150.5);
     // It came first, but may begin last.
     assert!(leader.has_launched("req-3") && !leader.has_launched("req-2"));
--- a/tests/play/leaders.rs
+++ b/tests/play/leaders.rs
@@ -1,4 +1,4 @@
-//! Changes of leader that meet other troubles.
+//! Changes of leader that meet other faults.
 
 use crate::rules::check_days;
 use crate::services::Cloud;
@@ -17,15 +17,15 @@
         play.add_machines("z", 6);
         play.peers_promise = random.chance(0.5);
         play.plan(mixed(&mut random, 16.0, 0.9, 120.0));
-        let (cut_at, elect_at) = (20.0 + random.between(0.0, 20.0).floor(), 45.0);
+        let (partition_at, elect_at) = (20.0 + random.between(0.0, 20.0).floor(), 45.0);
         play.calm_from = 110.0;
         play.run(320.0, |play| {
             let now = play.now;
-            if now == cut_at {
-                let cut = play.workers.values_mut().step_by(2);
-                cut.for_each(|w| w.cut_until = 100.0);
+            if now == partition_at {
+                let partitioned = play.workers.values_mut().step_by(2);
+                partitioned.for_each(|w| w.partitioned_until = 100.0);
                 play.cloud.takes_back = false;
-            } else if now == cut_at + 2.0 {
+            } else if now == partition_at + 2.0 {
                 play.depose();
             } else if now == elect_at {
                 play.elect();
--- a/tests/play/links.rs
+++ b/tests/play/links.rs
@@ -7,8 +7,8 @@
 /// When links are fast again.
 const SLOW_UNTIL_S: f64 = 150.0;
 
-/// Urgent overload over slow links, with `trouble` as long as they are slow.
-fn slow_day(seed: u64, mut trouble: impl FnMut(&mut Simulation)) -> Simulation {
+/// Urgent overload over slow links, with `fault` as long as they are slow.
+fn slow_day(seed: u64, mut fault: impl FnMut(&mut Simulation)) -> Simulation {
     let (mut play, mut random) = urgent_overload(seed);
     let slow_links = random.between(0.1, 0.5);
     play.calm_from = SLOW_UNTIL_S;
@@ -16,7 +16,7 @@
         let slow = play.now < SLOW_UNTIL_S;
         play.slow_links = if slow { slow_links } else { 0.0 };
         if slow {
-            trouble(play);
+            fault(play);
         }
     });
     play
--- a/tests/play/main.rs
+++ b/tests/play/main.rs
@@ -1,4 +1,4 @@
-//! Simulated days of the scheduler in virtual time: generated loads and troubles, and the rules that
+//! Simulated days of the scheduler in virtual time: generated loads and faults, and the rules that
 //! are checked at the end of a day.
 
 mod cancellations;
--- a/tests/play/meetings.rs
+++ b/tests/play/meetings.rs
@@ -1,4 +1,4 @@
-//! Troubles of all kinds that meet.
+//! Faults of all kinds that meet.
 
 use crate::rules::check_days;
 use crate::services::{Cloud, StateService};
@@ -6,16 +6,16 @@
 use crate::workload::{mixed, JobPlan, Random};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Troubles begin and end within this time.
-const TROUBLED_S: f64 = 120.0;
+/// Faults begin and end within this time.
+const FAULTS_END_S: f64 = 120.0;
 
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     LeaderEnds,
-    ZoneCut,
-    MachinesCut,
-    MachinesDeaf,
-    MachinesMute,
+    ZonePartitioned,
+    MachinesPartitioned,
+    InboundLost,
+    HeartbeatsLost,
     MachinesLost,
     StateRefuses,
     StateLags,
@@ -26,85 +26,85 @@
     NoPromises,
 }
 
-const TROUBLES: [Trouble; 13] = [
-    Trouble::LeaderEnds,
-    Trouble::ZoneCut,
-    Trouble::MachinesCut,
-    Trouble::MachinesDeaf,
-    Trouble::MachinesMute,
-    Trouble::MachinesLost,
-    Trouble::StateRefuses,
-    Trouble::StateLags,
-    Trouble::AnswersLost,
-    Trouble::WritesLate,
-    Trouble::ChangesScarce,
-    Trouble::CloudOut,
-    Trouble::NoPromises,
+const FAULTS: [Fault; 13] = [
+    Fault::LeaderEnds,
+    Fault::ZonePartitioned,
+    Fault::MachinesPartitioned,
+    Fault::InboundLost,
+    Fault::HeartbeatsLost,
+    Fault::MachinesLost,
+    Fault::StateRefuses,
+    Fault::StateLags,
+    Fault::AnswersLost,
+    Fault::WritesLate,
+    Fault::ChangesScarce,
+    Fault::CloudOut,
+    Fault::NoPromises,
 ];
 
-/// A trouble with its time, and a number that says whom it strikes.
+/// A fault with its time, and a number that says whom it strikes.
 #[derive(Clone, Copy, Debug)]
-struct Spell {
-    trouble: Trouble,
+struct FaultWindow {
+    fault: Fault,
     from: f64,
     until: f64,
     which: usize,
 }
 
-fn spells(random: &mut Random) -> Vec<Spell> {
+fn windows(random: &mut Random) -> Vec<FaultWindow> {
     let count = 4 + random.below(5);
-    let spell = |_| {
-        let from = random.between(0.0, TROUBLED_S - 20.0).floor();
+    let window = |_| {
+        let from = random.between(0.0, FAULTS_END_S - 20.0).floor();
         let lasts_s = random.between(2.0, 60.0).floor();
-        Spell {
-            trouble: TROUBLES[random.below(TROUBLES.len() as u64) as usize],
+        FaultWindow {
+            fault: FAULTS[random.below(FAULTS.len() as u64) as usize],
             from,
-            until: (from + lasts_s).min(TROUBLED_S),
+            until: (from + lasts_s).min(FAULTS_END_S),
             which: random.below(3) as usize,
         }
     };
-    (0..count).map(spell).collect()
+    (0..count).map(window).collect()
 }
 
 /// A leader that ended has no successor for a fifth of the spell.
-fn elect_at(spell: &Spell) -> f64 {
-    (spell.from + (spell.until - spell.from) / 5.0).ceil()
+fn elect_at(window: &FaultWindow) -> f64 {
+    (window.from + (window.until - window.from) / 5.0).ceil()
 }
 
-fn begin(play: &mut Simulation, spell: &Spell) {
+fn begin(play: &mut Simulation, window: &FaultWindow) {
     let machines = play.workers.values_mut();
-    let some = machines.skip(spell.which).step_by(3);
-    match spell.trouble {
-        Trouble::LeaderEnds => play.depose(),
-        Trouble::ZoneCut => {
-            let zone = ZONES[spell.which];
-            let cut = play.workers.values_mut().filter(|w| w.zone == zone);
-            cut.for_each(|w| w.cut_until = spell.until);
+    let some = machines.skip(window.which).step_by(3);
+    match window.fault {
+        Fault::LeaderEnds => play.depose(),
+        Fault::ZonePartitioned => {
+            let zone = ZONES[window.which];
+            let partitioned = play.workers.values_mut().filter(|w| w.zone == zone);
+            partitioned.for_each(|w| w.partitioned_until = window.until);
         }
-        Trouble::MachinesCut => some.for_each(|w| w.cut_until = spell.until),
-        Trouble::MachinesDeaf => some.for_each(|w| w.deaf_until = spell.until),
-        Trouble::MachinesMute => some.for_each(|w| w.mute_until = spell.until),
-        Trouble::MachinesLost => some.for_each(|w| w.cut_until = f64::INFINITY),
+        Fault::MachinesPartitioned => some.for_each(|w| w.partitioned_until = window.until),
+        Fault::InboundLost => some.for_each(|w| w.inbound_lost_until = window.until),
+        Fault::HeartbeatsLost => some.for_each(|w| w.heartbeats_lost_until = window.until),
+        Fault::MachinesLost => some.for_each(|w| w.partitioned_until = f64::INFINITY),
         _ => {}
     }
 }
 
 /// What lasts as long as its spell does.
-fn apply(play: &mut Simulation, spells: &[Spell]) {
+fn apply(play: &mut Simulation, windows: &[FaultWindow]) {
     let now = play.now;
     let mut state = StateService::default();
     play.cloud.takes_back = true;
     play.cloud.rents = true;
     play.peers_promise = true;
-    for spell in spells.iter().filter(|s| (s.from..s.until).contains(&now)) {
-        match spell.trouble {
-            Trouble::StateRefuses => state.refuses = true,
-            Trouble::StateLags => state.delay_s = 3.0,
-            Trouble::AnswersLost => state.unanswered = 0.3,
-            Trouble::WritesLate => state.late = 0.3,
-            Trouble::ChangesScarce => state.changes_per_s = 6.0,
-            Trouble::CloudOut => (play.cloud.takes_back, play.cloud.rents) = (false, false),
-            Trouble::NoPromises => play.peers_promise = false,
+    for window in windows.iter().filter(|s| (s.from..s.until).contains(&now)) {
+        match window.fault {
+            Fault::StateRefuses => state.refuses = true,
+            Fault::StateLags => state.delay_s = 3.0,
+            Fault::AnswersLost => state.unanswered = 0.3,
+            Fault::WritesLate => state.late = 0.3,
+            Fault::ChangesScarce => state.changes_per_s = 6.0,
+            Fault::CloudOut => (play.cloud.takes_back, play.cloud.rents) = (false, false),
+            Fault::NoPromises => play.peers_promise = false,
             _ => {}
         }
     }
@@ -113,7 +113,7 @@
 
 fn jobs(random: &mut Random) -> Vec<JobPlan> {
     let share = random.between(0.5, 1.2);
-    let mut plans = mixed(random, 24.0, share, TROUBLED_S);
+    let mut plans = mixed(random, 24.0, share, FAULTS_END_S);
     for plan in &mut plans {
         plan.zone = random.chance(0.2).then_some("a");
         plan.priority = ["idle", "normal", "urgent"][random.below(3) as usize];
@@ -136,22 +136,22 @@
             play.add_machines(zone, 2);
         }
         play.plan(jobs(&mut random));
-        let spells = spells(&mut random);
-        play.calm_from = TROUBLED_S;
+        let windows = windows(&mut random);
+        play.calm_from = FAULTS_END_S;
         play.run(400.0, |play| {
-            for spell in &spells {
-                if spell.from == play.now {
-                    begin(play, spell);
+            for window in &windows {
+                if window.from == play.now {
+                    begin(play, window);
                 }
-                let ends = matches!(spell.trouble, Trouble::LeaderEnds);
-                if ends && elect_at(spell) == play.now && !play.state.refuses {
+                let ends = matches!(window.fault, Fault::LeaderEnds);
+                if ends && elect_at(window) == play.now && !play.state.refuses {
                     play.elect();
                 }
             }
-            if play.now >= TROUBLED_S && play.leader.is_none() {
+            if play.now >= FAULTS_END_S && play.leader.is_none() {
                 play.elect();
             }
-            apply(play, &spells);
+            apply(play, &windows);
         });
         play
     });
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    fn report(&mut self, machine: usize) -> Heartbeat {
+    fn heartbeat(&mut self, machine: usize) -> Heartbeat {
         self.seqs[machine] += 1;
         let now = self.now;
         let over: Vec<(String, u64)> = self.running[machine]
@@ -141,8 +141,8 @@
 
     fn second(&mut self) {
         for machine in 0..MACHINES {
-            let report = self.report(machine);
-            if let HeartbeatOutcome::Answer(answer) = self.manager.heartbeat(&report, self.now) {
+            let heartbeat = self.heartbeat(machine);
+            if let HeartbeatOutcome::Answer(answer) = self.manager.heartbeat(&heartbeat, self.now) {
                 self.run(machine, &answer.commands);
             }
         }
@@ -170,15 +170,15 @@
             }
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => {
                 let i: usize = machine[2..].parse().unwrap();
-                self.run(i, &orders.commands);
-                let report = self.report(i);
+                self.run(i, &batch.commands);
+                let heartbeat = self.heartbeat(i);
                 self.manager.commands_answered(
                     &machine,
-                    CommandOutcome::Executed(report),
+                    CommandOutcome::Executed(heartbeat),
                     self.now,
                 );
             }
@@ -256,8 +256,8 @@
         let loads = loads(&sizes, pressure);
         let mut play = Play::new();
         for machine in 0..MACHINES {
-            let report = play.report(machine);
-            play.manager.heartbeat(&report, 0.0);
+            let heartbeat = play.heartbeat(machine);
+            play.manager.heartbeat(&heartbeat, 0.0);
         }
         let end_s = loads.last().unwrap().at_s + 240.0;
         let mut next = 0;
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -104,10 +104,10 @@
             Effect::Write { id, transaction } => self.write(id, transaction),
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => {
-                let result = self.deliver(&machine, &orders);
+                let result = self.deliver(&machine, &batch);
                 self.manager().commands_answered(&machine, result, now);
             }
             Effect::ReadEnds(ids) => {
@@ -175,27 +175,27 @@
         });
     }
 
-    pub(super) fn deliver(&mut self, name: &str, orders: &CommandBatch) -> CommandOutcome {
+    pub(super) fn deliver(&mut self, name: &str, batch: &CommandBatch) -> CommandOutcome {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
             return CommandOutcome::Unknown;
         };
-        if !worker.hears(now) {
+        if !worker.receives(now) {
             return CommandOutcome::Unknown;
         }
-        let accepted = worker.accepts(orders);
+        let accepted = worker.accepts(batch);
         if accepted {
-            worker.token = orders.token;
-            self.obey(name, &orders.commands);
+            worker.token = batch.token;
+            self.execute(name, &batch.commands);
         }
-        let report = self.workers.get_mut(name).unwrap().report();
+        let heartbeat = self.workers.get_mut(name).unwrap().heartbeat();
         if self.random.chance(self.slow_links) {
             return CommandOutcome::Unknown;
         }
         if accepted {
-            CommandOutcome::Executed(report)
+            CommandOutcome::Executed(heartbeat)
         } else {
-            CommandOutcome::Rejected(Some(report))
+            CommandOutcome::Rejected(Some(heartbeat))
         }
     }
 
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -78,7 +78,7 @@
     pub(super) fn of_gang<'a>(
         &'a mut self,
         gang: &'a (String, u64),
-    ) -> impl Iterator<Item = &'a mut crate::worker::OnWorker> + 'a {
+    ) -> impl Iterator<Item = &'a mut crate::worker::TaskOnWorker> + 'a {
         let tasks = self.workers.values_mut().flat_map(|w| w.tasks.iter_mut());
         tasks.filter_map(move |((task, attempt), t)| {
             let same = parse_task(task).unwrap().0 == gang.0 && *attempt == gang.1;
@@ -86,25 +86,29 @@
         })
     }
 
-    pub(super) fn report_all(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         let now = self.now;
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             let worker = self.workers.get_mut(&name).unwrap();
-            let Some(manager) = self.leader.as_mut().filter(|_| worker.is_heard(now)) else {
+            let Some(manager) = self
+                .leader
+                .as_mut()
+                .filter(|_| worker.heartbeats_arrive(now))
+            else {
                 continue;
             };
-            let heard = manager.heartbeat(&worker.report(), now);
+            let outcome = manager.heartbeat(&worker.heartbeat(), now);
             let in_time = !self.random.chance(self.slow_links);
-            if let HeartbeatOutcome::Answer(answer) = heard {
-                if in_time && worker.hears(now) && worker.take_answer(&answer, now) {
-                    self.obey(&name, &answer.commands);
+            if let HeartbeatOutcome::Answer(answer) = outcome {
+                if in_time && worker.receives(now) && worker.accept_response(&answer, now) {
+                    self.execute(&name, &answer.commands);
                 }
             }
         }
     }
 
-    pub(super) fn obey(&mut self, name: &str, commands: &[Command]) {
+    pub(super) fn execute(&mut self, name: &str, commands: &[Command]) {
         for command in commands {
             let (Command::Start { task, .. }
             | Command::Stop { task, .. }
@@ -112,7 +116,7 @@
             let (id, _) = parse_task(task).unwrap();
             let outcome = self.outcomes.get_mut(id).expect("a job of this day");
             let worker = self.workers.get_mut(name).unwrap();
-            let started = worker.obey(command, &outcome.plan, self.now);
+            let started = worker.execute(command, &outcome.plan, self.now);
             if let Some(task) = started {
                 outcome.began.get_or_insert(self.now);
                 self.check_start(name, &task);
--- a/tests/play/simulation/mod.rs
+++ b/tests/play/simulation/mod.rs
@@ -46,7 +46,7 @@
     pub state: StateService,
     pub cloud: Cloud,
     pub leader: Option<ClusterManager>,
-    /// The share of answers to reports, and of answers to direct commands, that take longer than their
+    /// The share of responses to heartbeats, and of answers to direct commands, that take longer than their
     /// receivers wait.
     pub slow_links: f64,
     /// Whether other controllers can promise a new leader to answer nothing in its place.
@@ -59,7 +59,7 @@
     pending: Vec<PendingWrite>,
     late: Vec<(f64, Transaction)>,
     listed: f64,
-    /// When the last trouble is over; what users wait for is counted from then on.
+    /// When the last fault is over; what users wait for is counted from then on.
     pub calm_from: f64,
 }
 
@@ -117,10 +117,10 @@
         (1000.0 * self.now) as u64
     }
 
-    /// Plays until then; `trouble` may change anything before each step.
-    pub(crate) fn run(&mut self, until: f64, mut trouble: impl FnMut(&mut Simulation)) {
+    /// Plays until then; `fault` may change anything before each step.
+    pub(crate) fn run(&mut self, until: f64, mut fault: impl FnMut(&mut Simulation)) {
         while self.now < until {
-            trouble(self);
+            fault(self);
             self.step();
         }
     }
@@ -131,7 +131,7 @@
         self.advance_workers();
         self.submit_due();
         self.cancel_due();
-        self.report_all();
+        self.send_heartbeats();
         self.list_machines();
         self.decide();
         self.advance_gangs();
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -17,7 +17,7 @@
     pub began: Option<f64>,
     pub done: Option<f64>,
     pub cancelled: Option<f64>,
-    /// Since the last trouble: how long it has waited with room, and gone without an answer.
+    /// Since the last fault: how long it has waited with room, and gone without an answer.
     waits_s: f64,
     silence_s: f64,
     pub longest_wait_s: f64,
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -12,7 +12,7 @@
 const FAILS_AFTER_S: f64 = 1.0;
 
 #[derive(Clone, Debug)]
-pub(crate) struct OnWorker {
+pub(crate) struct TaskOnWorker {
     pub state: TaskState,
     pub cause: Option<Cause>,
     /// When its present state is over: its fetch, its wait for a gang or its run.
@@ -21,7 +21,7 @@
     pub gang: bool,
 }
 
-impl OnWorker {
+impl TaskOnWorker {
     pub(crate) fn is_live(&self) -> bool {
         self.state != TaskState::Exited
     }
@@ -42,17 +42,18 @@
     incarnation: u64,
     sequence: u64,
     pub token: u64,
-    renewed: f64,
+    lease_renewed_at: f64,
     /// By task and attempt.
-    pub tasks: BTreeMap<(String, u64), OnWorker>,
+    pub tasks: BTreeMap<(String, u64), TaskOnWorker>,
     images: BTreeSet<String>,
     /// Results of tasks that completed here: started again, they exit at once.
     results: BTreeSet<String>,
-    /// Cut off from every controller until then.
-    pub cut_until: f64,
-    /// Its reports arrive, but nothing reaches it; or it reaches nobody, but commands arrive.
-    pub deaf_until: f64,
-    pub mute_until: f64,
+    /// Until then it reaches no controller, and none reaches it.
+    pub partitioned_until: f64,
+    /// Until then its heartbeats arrive; responses and direct commands are lost.
+    pub inbound_lost_until: f64,
+    /// Until then direct commands arrive; its heartbeats are lost.
+    pub heartbeats_lost_until: f64,
     /// Every task fails on it.
     pub faulty: bool,
 }
@@ -76,13 +77,13 @@
             incarnation: 1,
             sequence: 0,
             token: 0,
-            renewed: up_s,
+            lease_renewed_at: up_s,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             results: BTreeSet::new(),
-            cut_until: 0.0,
-            deaf_until: 0.0,
-            mute_until: 0.0,
+            partitioned_until: 0.0,
+            inbound_lost_until: 0.0,
+            heartbeats_lost_until: 0.0,
             faulty: false,
         }
     }
@@ -92,19 +93,19 @@
     }
 
     pub(crate) fn is_reachable(&self, now: f64) -> bool {
-        self.is_up(now) && now >= self.cut_until
+        self.is_up(now) && now >= self.partitioned_until
     }
 
-    /// Whether its reports arrive, and whether commands and answers do.
-    pub(crate) fn is_heard(&self, now: f64) -> bool {
-        self.is_reachable(now) && now >= self.mute_until
+    /// Whether its heartbeats arrive, and whether commands and answers do.
+    pub(crate) fn heartbeats_arrive(&self, now: f64) -> bool {
+        self.is_reachable(now) && now >= self.heartbeats_lost_until
     }
 
-    pub(crate) fn hears(&self, now: f64) -> bool {
-        self.is_reachable(now) && now >= self.deaf_until
+    pub(crate) fn receives(&self, now: f64) -> bool {
+        self.is_reachable(now) && now >= self.inbound_lost_until
     }
 
-    pub(crate) fn live(&self) -> impl Iterator<Item = (&(String, u64), &OnWorker)> {
+    pub(crate) fn live(&self) -> impl Iterator<Item = (&(String, u64), &TaskOnWorker)> {
         self.tasks.iter().filter(|(_, t)| t.is_live())
     }
 
@@ -112,7 +113,7 @@
         self.cpus - self.live().map(|(_, t)| t.cpus).sum::<f64>()
     }
 
-    pub(crate) fn report(&mut self) -> Heartbeat {
+    pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
             task: task.clone(),
@@ -135,29 +136,34 @@
         }
     }
 
-    pub(crate) fn take_answer(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
+    pub(crate) fn accept_response(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
         if answer.token < self.token {
             return false;
         }
         self.token = answer.token;
-        self.renewed = sent;
+        self.lease_renewed_at = sent;
         true
     }
 
-    pub(crate) fn accepts(&self, orders: &CommandBatch) -> bool {
-        orders.token >= self.token && orders.incarnation == self.incarnation
+    pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
+        batch.token >= self.token && batch.incarnation == self.incarnation
     }
 
     pub(crate) fn expire(&mut self, lease_s: f64, now: f64) {
-        if self.is_up(now) && now - self.renewed > lease_s {
+        if self.is_up(now) && now - self.lease_renewed_at > lease_s {
             self.incarnation += 1;
-            self.renewed = now;
+            self.lease_renewed_at = now;
             self.tasks.clear();
         }
     }
 
     /// Takes a command; returns the task that it started.
-    pub(crate) fn obey(&mut self, command: &Command, plan: &JobPlan, now: f64) -> Option<String> {
+    pub(crate) fn execute(
+        &mut self,
+        command: &Command,
+        plan: &JobPlan,
+        now: f64,
+    ) -> Option<String> {
         match command {
             Command::Start { task, attempt } => {
                 let key = (task.clone(), *attempt);
@@ -165,7 +171,7 @@
                     return None;
                 }
                 let (state, cause) = self.start_state(task, plan);
-                let placed = OnWorker {
+                let placed = TaskOnWorker {
                     state,
                     cause,
                     until: now + FETCH_S,
--- a/tests/play/zones.rs
+++ b/tests/play/zones.rs
@@ -40,7 +40,7 @@
         play.run(300.0, |play| {
             if play.now == lost_at {
                 let lost = play.workers.values_mut().filter(|w| w.zone == "a");
-                lost.for_each(|w| w.cut_until = f64::INFINITY);
+                lost.for_each(|w| w.partitioned_until = f64::INFINITY);
             }
         });
         play
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::full_fleet::{
-    carry_out_all, effect_bytes, full_fleet, reports_without_news, FullFleet,
+    carry_out_all, effect_bytes, full_fleet, heartbeats_without_news, FullFleet,
 };
 use common::http::{answer, send};
-use common::{machine_type, parsed, report_of, shown, starts, submission, submit, SETTINGS};
+use common::{heartbeat_from, machine_type, parsed, shown, starts, submission, submit, SETTINGS};
 use stairstage::coordination::cluster::Effect;
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
@@ -25,7 +25,7 @@
     let FullFleet {
         mut manager, now, ..
     } = full_fleet(2200);
-    report_of(&mut manager, "m-new", 1, None, Vec::new(), now);
+    heartbeat_from(&mut manager, "m-new", 1, None, Vec::new(), now);
     submit(&mut manager, "req-9999", "sweep", "normal", None, 9999);
     let (mut launched, mut most) = (0, 0);
     for tenth in 0..20 {
@@ -33,10 +33,10 @@
         carry_out_all(&mut manager, at, |effect| {
             most = most.max(effect_bytes(effect));
             if let Effect::SendCommands {
-                commands: orders, ..
+                commands: batch, ..
             } = effect
             {
-                launched += starts(&orders.commands).len();
+                launched += starts(&batch.commands).len();
             }
         });
     }
@@ -55,7 +55,7 @@
             now,
             ..
         } = full_fleet(machines);
-        reports_without_news(&mut manager, &tasks, now)
+        heartbeats_without_news(&mut manager, &tasks, now)
     };
     let small = cost(20);
     assert_eq!(small.0, 0);
@@ -83,7 +83,7 @@
             t.cause = Some(Cause::Done);
         }
         let name = format!("m-{machine}");
-        report_of(
+        heartbeat_from(
             &mut manager,
             &name,
             10 + u64::from(i),
@@ -145,18 +145,18 @@
                 t.cause = Some(Cause::Done);
             }
             let name = format!("m-{i}");
-            report_of(&mut manager, &name, seqs[i], None, tasks[i].clone(), now);
+            heartbeat_from(&mut manager, &name, seqs[i], None, tasks[i].clone(), now);
             tasks[i].retain(|t| t.state != TaskState::Exited);
         }
         carry_out_all(&mut manager, now, |effect| {
             if let Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } = effect
             {
                 let i: usize = machine[2..].parse().unwrap();
-                let started = starts(&orders.commands);
+                let started = starts(&batch.commands);
                 launched[i] += started.len();
                 tasks[i].extend(shown(&started, TaskState::Running, None));
             }
@@ -227,7 +227,7 @@
         let text = SETTINGS.replace("max_sockets = 500", &format!("max_sockets = {all}"));
         let settings = Settings::parse("test", &text).unwrap();
         let b = stairstage::service::bounds(&settings);
-        // Full shares of workers and users leave some for workers that connect for each report, and
+        // Full shares of workers and users leave some for workers that connect for each heartbeat, and
         // all of the front's leave enough for peers, the state service and the cloud.
         assert!(b.workers + b.users < b.connections);
         assert!(b.connections + 40 < all, "{} of {all}", b.connections);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{launched, manager, report, report_of, shown, starts, submit};
+use common::{heartbeat, heartbeat_from, launched, manager, shown, starts, submit};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::protocol::worker::{Cause, Command, TaskState, TaskStatus};
 
@@ -10,14 +10,14 @@
 fn no_launch_leaves_before_its_place_is_recorded() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    report(&mut manager, 1, Vec::new(), 0.0);
+    heartbeat(&mut manager, 1, Vec::new(), 0.0);
     manager.step(0.0);
     let effects = manager.take_effects();
     assert!(effects.iter().any(|e| matches!(e, Effect::Write { .. })));
     assert!(!effects
         .iter()
         .any(|e| matches!(e, Effect::SendCommands { .. })));
-    assert!(starts(&report(&mut manager, 2, Vec::new(), 0.5)).is_empty());
+    assert!(starts(&heartbeat(&mut manager, 2, Vec::new(), 0.5)).is_empty());
 }
 
 #[test]
@@ -25,7 +25,7 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", Some(300.0), 1);
     submit(&mut manager, "req-2", "sweep", "normal", Some(50.0), 2);
-    report(&mut manager, 1, Vec::new(), 0.0);
+    heartbeat(&mut manager, 1, Vec::new(), 0.0);
     let tasks = launched(&mut manager, 0.0);
     assert_eq!(tasks.len(), 4);
     assert!(tasks.iter().all(|t| t.0.starts_with("req-2/")), "{tasks:?}");
@@ -35,13 +35,13 @@
 fn a_job_that_failed_on_the_only_machine_is_tried_there_again() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    report(&mut manager, 1, Vec::new(), 0.0);
+    heartbeat(&mut manager, 1, Vec::new(), 0.0);
     let tasks = launched(&mut manager, 0.0);
     let failed = shown(&tasks, TaskState::Exited, Some(Cause::Error));
     // The first direct command is still unanswered, so launches come with the answers.
     let mut pass = |sequence, shown: &[TaskStatus], now| {
         launched(&mut manager, now);
-        starts(&report(&mut manager, sequence, shown.to_vec(), now))
+        starts(&heartbeat(&mut manager, sequence, shown.to_vec(), now))
     };
     assert!(pass(2, &failed, 1.0).is_empty());
     let again = pass(3, &failed, 1.5);
@@ -67,9 +67,9 @@
 fn a_service_stops_lesser_work_for_its_room() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    report(&mut manager, 1, Vec::new(), 0.0);
+    heartbeat(&mut manager, 1, Vec::new(), 0.0);
     let batch = launched(&mut manager, 0.0);
-    report(
+    heartbeat(
         &mut manager,
         2,
         shown(&batch, TaskState::Running, None),
@@ -85,14 +85,14 @@
                     manager.write_finished(id, WriteOutcome::Applied(200 + id), 1.0)
                 }
                 Effect::SendCommands {
-                    commands: orders, ..
-                } => commands.extend(orders.commands),
+                    commands: batch, ..
+                } => commands.extend(batch.commands),
                 _ => {}
             }
         }
         manager.step(1.0);
     }
-    commands.extend(report(
+    commands.extend(heartbeat(
         &mut manager,
         3,
         shown(&batch, TaskState::Running, None),
@@ -115,10 +115,10 @@
 fn a_direct_launch_is_not_forgotten_while_a_copy_may_come() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    report(&mut manager, 1, Vec::new(), 0.0);
+    heartbeat(&mut manager, 1, Vec::new(), 0.0);
     let tasks = launched(&mut manager, 0.0);
     let stopped = shown(&tasks, TaskState::Exited, Some(Cause::Stopped));
-    let commands = report(&mut manager, 2, stopped, 1.0);
+    let commands = heartbeat(&mut manager, 2, stopped, 1.0);
     let forgets = commands
         .iter()
         .filter(|c| matches!(c, Command::Forget { .. }));
@@ -129,8 +129,8 @@
 fn a_notice_stops_a_whole_gang_so_that_it_can_save() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "group", "normal", None, 1);
-    report_of(&mut manager, "m-1", 1, None, Vec::new(), 0.0);
-    report_of(&mut manager, "m-2", 1, None, Vec::new(), 0.0);
+    heartbeat_from(&mut manager, "m-1", 1, None, Vec::new(), 0.0);
+    heartbeat_from(&mut manager, "m-2", 1, None, Vec::new(), 0.0);
     let tasks = launched(&mut manager, 0.0);
     assert_eq!(tasks.len(), 8);
     assert!(
@@ -138,7 +138,7 @@
         "one attempt for all"
     );
     let (one, other) = tasks.split_at(4);
-    report_of(
+    heartbeat_from(
         &mut manager,
         "m-1",
         2,
@@ -146,7 +146,7 @@
         shown(one, TaskState::Running, None),
         1.0,
     );
-    report_of(
+    heartbeat_from(
         &mut manager,
         "m-2",
         2,
@@ -154,7 +154,7 @@
         shown(other, TaskState::Running, None),
         1.0,
     );
-    let mut commands = report_of(
+    let mut commands = heartbeat_from(
         &mut manager,
         "m-1",
         3,
@@ -162,7 +162,7 @@
         shown(one, TaskState::Running, None),
         2.0,
     );
-    commands.extend(report_of(
+    commands.extend(heartbeat_from(
         &mut manager,
         "m-2",
         3,
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    answered, carry_out, core_with_token, manager, out_of_reach, parsed, shown, starts, submission,
-    submit, worker_report,
+    answered, carry_out, manager, manager_with_token, out_of_reach, parsed, shown, starts,
+    submission, submit, worker_heartbeat,
 };
 use stairstage::coordination::cluster::heartbeats::HeartbeatSource;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome};
@@ -25,21 +25,21 @@
     for i in 0..40 {
         answered(
             &mut manager,
-            &worker_report(&machine_name(i), 1, 1, vec![]),
+            &worker_heartbeat(&machine_name(i), 1, 1, vec![]),
             0.0,
         );
     }
     carry_out(&mut manager, 0.0, |manager, effect| {
         if let Effect::SendCommands {
             machine,
-            commands: orders,
+            commands: batch,
             ..
         } = effect
         {
             let here = tasks.entry(machine.to_string()).or_default();
-            here.extend(shown(&starts(&orders.commands), TaskState::Running, None));
-            let report = worker_report(&machine, 2, 1, here.clone());
-            manager.commands_answered(&machine, CommandOutcome::Executed(report), 0.0);
+            here.extend(shown(&starts(&batch.commands), TaskState::Running, None));
+            let heartbeat = worker_heartbeat(&machine, 2, 1, here.clone());
+            manager.commands_answered(&machine, CommandOutcome::Executed(heartbeat), 0.0);
         }
     });
     (manager, tasks)
@@ -73,8 +73,8 @@
         let (now, i) = (step as f64 / 20.0, step % 40);
         if reporting.contains(&i) {
             let name = machine_name(i);
-            let report = worker_report(&name, 3 + step, 1, tasks[&name].clone());
-            let outcome = manager.heartbeat_from(source, &report, now);
+            let heartbeat = worker_heartbeat(&name, 3 + step, 1, tasks[&name].clone());
+            let outcome = manager.heartbeat_from(source, &heartbeat, now);
             assert!(
                 matches!(outcome, HeartbeatOutcome::Answer(_)),
                 "{outcome:?}"
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_leader_that_hears_no_worker_at_all_gives_back_none() {
-    // What is missing is its own network: the reports of many machines leave no gap by chance.
+    // What is missing is its own network: the heartbeats of many machines leave no gap by chance.
     let (mut manager, tasks) = forty_machines();
     assert!(beats(&mut manager, &tasks, 0..40, 1..5).is_empty());
     assert!(
@@ -115,11 +115,11 @@
     carry_out(manager, now, |manager, effect| {
         if let Effect::SendCommands {
             machine,
-            commands: orders,
+            commands: batch,
             ..
         } = effect
         {
-            if !orders.commands.is_empty() {
+            if !batch.commands.is_empty() {
                 commanded.push(machine.to_string());
             }
             if mute.clone().any(|i| *machine == machine_name(i)) {
@@ -138,9 +138,9 @@
         let i = step % 40;
         let number = if i % 2 == 1 { 19 - i / 2 } else { 20 + i / 2 };
         let name = machine_name(number);
-        let report = worker_report(&name, 3 + step, 1, tasks[&name].clone());
+        let heartbeat = worker_heartbeat(&name, 3 + step, 1, tasks[&name].clone());
         if reporting.contains(&number) {
-            manager.heartbeat(&report, step as f64 / 20.0);
+            manager.heartbeat(&heartbeat, step as f64 / 20.0);
         }
         some_mute(manager, 0..20, step as f64 / 20.0);
     };
@@ -167,13 +167,13 @@
         let record = OpenRecord::accepted(spec, 0);
         manager.job_accepted(record, sequence, 0, 0.0);
     };
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     two_tasks(&mut manager, "req-1", 1);
     assert_eq!(out_of_reach(&mut manager, 0.0).0.len(), 2);
     two_tasks(&mut manager, "req-2", 2);
     out_of_reach(&mut manager, 0.5);
     assert_eq!(manager.status("req-2").unwrap().running, 0);
-    let answer = answered(&mut manager, &worker_report("m-1", 2, 1, vec![]), 1.0);
+    let answer = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
     assert_eq!(answer.len(), 2, "only what was sent before: {answer:?}");
     let (launched, _) = out_of_reach(&mut manager, 1.1);
     assert_eq!(launched, ["req-2/0", "req-2/1"]);
@@ -211,11 +211,11 @@
 fn a_leader_that_few_workers_know_yet_waits_a_whole_interval_for_the_others() {
     // Thirty of forty wait for the former leader's answer, and come together some seconds later.
     let (_, tasks) = forty_machines();
-    let mut manager = core_with_token(100);
+    let mut manager = manager_with_token(100);
     for (i, machine) in tasks.keys().enumerate() {
         let token = if i < 10 { 100 } else { 1 };
-        let report = worker_report(machine, 5, token, tasks[machine].clone());
-        answered(&mut manager, &report, 0.01 * i as f64);
+        let heartbeat = worker_heartbeat(machine, 5, token, tasks[machine].clone());
+        answered(&mut manager, &heartbeat, 0.01 * i as f64);
     }
     out_of_reach(&mut manager, 1.0);
     assert!(
@@ -231,8 +231,8 @@
 #[test]
 fn workers_have_a_whole_interval_to_find_a_new_leader() {
     let mut manager = manager();
-    let report = worker_report("m-1", 1, 1, Vec::new());
-    manager.heartbeat_from(HeartbeatSource::Peer, &report, 0.5);
+    let heartbeat = worker_heartbeat("m-1", 1, 1, Vec::new());
+    manager.heartbeat_from(HeartbeatSource::Peer, &heartbeat, 0.5);
     assert!(!manager.receives_no_heartbeats(2.5));
     assert!(manager.receives_no_heartbeats(2.7));
 }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -1,10 +1,10 @@
-//! The users' newer troubles, one small case each.
+//! The users' newer faults, one small case each.
 
 mod common;
 
 use common::{
-    answered, carry_out, core_with_token, each_effect, launched, manager, out_of_reach, parsed,
-    report, shown, starts, submission, submit, worker_report,
+    answered, carry_out, each_effect, heartbeat, launched, manager, manager_with_token,
+    out_of_reach, parsed, shown, starts, submission, submit, worker_heartbeat,
 };
 use stairstage::coordination::cluster::heartbeat_routing::{Redirects, Route};
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
@@ -20,10 +20,10 @@
 fn running_on_one() -> (ClusterManager, Vec<(String, u64)>) {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     let attempts = launched(&mut manager, 0.0);
     let running = shown(&attempts, TaskState::Running, None);
-    answered(&mut manager, &worker_report("m-1", 2, 1, running), 1.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 2, 1, running), 1.0);
     (manager, attempts)
 }
 
@@ -31,13 +31,13 @@
 fn a_worker_that_acknowledges_no_answer_gets_no_more_work_and_is_returned() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "standing", "critical", None, 1);
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     assert!(!out_of_reach(&mut manager, 0.0).0.is_empty());
-    // Its reports go on; nothing of what the answers say shows in them.
-    answered(&mut manager, &worker_report("m-1", 2, 1, vec![]), 2.0);
-    answered(&mut manager, &worker_report("m-1", 3, 1, vec![]), 4.0);
-    answered(&mut manager, &worker_report("m-1", 4, 1, vec![]), 6.0);
-    answered(&mut manager, &worker_report("m-2", 1, 1, vec![]), 6.0);
+    // Its heartbeats go on; nothing of what the answers say shows in them.
+    answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 4.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 6.0);
+    answered(&mut manager, &worker_heartbeat("m-2", 1, 1, vec![]), 6.0);
     submit(&mut manager, "req-2", "sweep", "normal", None, 2);
     let (launched, _) = out_of_reach(&mut manager, 6.1);
     assert_eq!(
@@ -48,8 +48,8 @@
     let mut returned = Vec::new();
     for i in 0..8 {
         let now = 8.0 + 2.0 * f64::from(i);
-        manager.heartbeat(&worker_report("m-1", 5 + i as u64, 1, vec![]), now);
-        manager.heartbeat(&worker_report("m-2", 2 + i as u64, 1, vec![]), now);
+        manager.heartbeat(&worker_heartbeat("m-1", 5 + i as u64, 1, vec![]), now);
+        manager.heartbeat(&worker_heartbeat("m-2", 2 + i as u64, 1, vec![]), now);
         returned.extend(out_of_reach(&mut manager, now).1);
     }
     assert!(returned.contains(&"m-1".to_string()), "{returned:?}");
@@ -59,27 +59,27 @@
 fn a_worker_that_hears_again_is_used_again() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     let attempts = launched(&mut manager, 0.0);
-    answered(&mut manager, &worker_report("m-1", 2, 1, vec![]), 1.0);
-    answered(&mut manager, &worker_report("m-1", 3, 1, vec![]), 2.0);
-    answered(&mut manager, &worker_report("m-1", 4, 1, vec![]), 3.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 2.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 3.0);
     // The answers get through: the tasks show, and end.
     let running = shown(&attempts, TaskState::Running, None);
-    answered(&mut manager, &worker_report("m-1", 5, 1, running), 4.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 5, 1, running), 4.0);
     let done = shown(&attempts, TaskState::Exited, Some(Cause::Done));
-    answered(&mut manager, &worker_report("m-1", 6, 1, done), 5.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 6, 1, done), 5.0);
     submit(&mut manager, "req-2", "sweep", "normal", None, 2);
     let mut again = launched(&mut manager, 5.5);
-    again.extend(starts(&report(&mut manager, 7, Vec::new(), 6.0)));
+    again.extend(starts(&heartbeat(&mut manager, 7, Vec::new(), 6.0)));
     assert_eq!(again.len(), 4, "{again:?}");
 }
 
 #[test]
 fn a_late_copy_is_no_sign_of_life_to_a_new_leader() {
     // Tokens of this leader begin at 5; the copy is from before.
-    let mut manager = core_with_token(5);
-    answered(&mut manager, &worker_report("m-1", 9, 3, vec![]), 0.0);
+    let mut manager = manager_with_token(5);
+    answered(&mut manager, &worker_heartbeat("m-1", 9, 3, vec![]), 0.0);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     assert!(out_of_reach(&mut manager, 0.1).0.is_empty());
     let mut returned = Vec::new();
@@ -92,9 +92,9 @@
 #[test]
 fn a_late_copy_brings_no_returned_machine_back() {
     let mut manager = manager();
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     manager.machines_returned(&["m-1".to_string()], true, 1.0);
-    let copy = worker_report("m-1", 2, 1, vec![]);
+    let copy = worker_heartbeat("m-1", 2, 1, vec![]);
     // Well over a lease later, with time passing meanwhile.
     for i in 1..40 {
         manager.tick(f64::from(i));
@@ -112,7 +112,7 @@
     manager.machines_returned(&["m-1".to_string()], true, 2.0);
     assert_eq!(manager.status("req-1").unwrap().done, 0);
     let done = shown(&attempts, TaskState::Exited, Some(Cause::Done));
-    manager.heartbeat(&worker_report("m-1", 3, 1, done), 3.0);
+    manager.heartbeat(&worker_heartbeat("m-1", 3, 1, done), 3.0);
     assert_eq!(manager.status("req-1").unwrap().done, 4);
 }
 
@@ -120,14 +120,14 @@
 fn a_leader_in_doubt_keeps_tasks_alive_and_starts_nothing() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     // The launches are recorded, but no direct command got through.
     assert_eq!(out_of_reach(&mut manager, 0.0).0.len(), 4);
     manager.set_lease_valid_until(1.0);
-    let starts = answered(&mut manager, &worker_report("m-1", 2, 1, vec![]), 2.0);
+    let starts = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
     assert!(starts.is_empty(), "{starts:?}");
     manager.set_lease_valid_until(10.0);
-    let starts = answered(&mut manager, &worker_report("m-1", 3, 1, vec![]), 3.0);
+    let starts = answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 3.0);
     assert_eq!(starts.len(), 4, "the lease held after all");
 }
 
@@ -141,10 +141,10 @@
     let mut stopped = Vec::new();
     for effect in manager.take_effects() {
         if let Effect::SendCommands {
-            commands: orders, ..
+            commands: batch, ..
         } = effect
         {
-            stopped.extend(orders.commands);
+            stopped.extend(batch.commands);
         }
     }
     let is_stop = |c: &Command| matches!(c, Command::Stop { .. });
@@ -157,32 +157,32 @@
     let (mut manager, _) = running_on_one();
     // The process was back at once, and its counters have caught up: only a new token proves
     // that no launch can still arrive.
-    answered(&mut manager, &worker_report("m-1", 3, 1, vec![]), 8.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 8.0);
     manager.step(9.0);
     let raises = |e: &Effect| matches!(e, Effect::RaiseToken);
     assert!(manager.take_effects().iter().any(raises));
     manager.token_raised(Some(2), 9.0);
-    answered(&mut manager, &worker_report("m-1", 4, 1, vec![]), 10.0);
-    answered(&mut manager, &worker_report("m-1", 5, 2, vec![]), 10.5);
+    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 10.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 5, 2, vec![]), 10.5);
     assert_eq!(manager.status("req-1").unwrap().running, 0);
-    // The first direct command is still without an answer, so the launches come with a report's.
+    // The first direct command is still without an answer, so the launches come with a heartbeat's.
     launched(&mut manager, 11.0);
-    let again = answered(&mut manager, &worker_report("m-1", 6, 2, vec![]), 11.5);
+    let again = answered(&mut manager, &worker_heartbeat("m-1", 6, 2, vec![]), 11.5);
     assert_eq!(again.len(), 4, "they start anew");
 }
 
 #[test]
 fn a_copy_from_before_a_machine_s_process_ended_proves_nothing() {
-    let mut manager = core_with_token(5);
+    let mut manager = manager_with_token(5);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_report("m-1", 1, 0, vec![]), 0.0);
-    answered(&mut manager, &worker_report("m-1", 2, 5, vec![]), 0.5);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 0, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 2, 5, vec![]), 0.5);
     assert_eq!(launched(&mut manager, 0.5).len(), 4);
     // An earlier process of that machine had come to its second incarnation, under an earlier leader.
-    let mut copy = worker_report("m-1", 9, 3, vec![]);
+    let mut copy = worker_heartbeat("m-1", 9, 3, vec![]);
     copy.incarnation = 2;
     assert_eq!(manager.heartbeat(&copy, 1.0), HeartbeatOutcome::Stale);
-    answered(&mut manager, &worker_report("m-2", 1, 5, vec![]), 1.0);
+    answered(&mut manager, &worker_heartbeat("m-2", 1, 5, vec![]), 1.0);
     assert!(
         launched(&mut manager, 2.0).is_empty(),
         "they may run on m-1"
@@ -241,7 +241,7 @@
     let record = OpenRecord::accepted(spec, 0);
     manager.job_accepted(record, 1, 0, 1.0);
     assert!(manager.status("req-1").is_none_or(|s| s.done == 0));
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 1.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 1.0);
     assert!(launched(&mut manager, 1.0).is_empty(), "it stays cancelled");
     manager.machines_returned(&["m-1".to_string()], true, 2.0);
     manager.machines_returned(&["m-1".to_string()], true, 2.5);
@@ -251,7 +251,7 @@
 #[test]
 fn a_new_leader_returns_idle_machines_by_their_age_not_its_own() {
     let mut manager = manager();
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     let listed = ListedMachine {
         name: "m-1".into(),
         endpoint: None,
@@ -265,7 +265,7 @@
     let mut returned = Vec::new();
     for i in 1..10 {
         let now = 2.0 * f64::from(i);
-        manager.heartbeat(&worker_report("m-1", 1 + i as u64, 1, vec![]), now);
+        manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, vec![]), now);
         returned.extend(out_of_reach(&mut manager, now).1);
     }
     assert_eq!(returned, ["m-1"], "long paid for, and idle");
@@ -290,8 +290,8 @@
             manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
         }
         Effect::SendCommands {
-            commands: orders, ..
-        } => launches.extend(starts(&orders.commands)),
+            commands: batch, ..
+        } => launches.extend(starts(&batch.commands)),
         _ => {}
     });
     (deleted, launches)
@@ -300,24 +300,24 @@
 #[test]
 fn a_command_that_overtakes_an_answer_proves_nothing_of_its_launches() {
     let mut manager = manager();
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     open_one_task(&mut manager, "req-1", 1, 0.0);
     let (_, launches) = decided(&mut manager, 0.0);
     assert_eq!(launches.len(), 1);
-    // While that command is under way, the other job's launch leaves with the answer to a report.
+    // While that command is under way, the other job's launch leaves with the response to a heartbeat.
     open_one_task(&mut manager, "req-2", 2, 0.5);
     assert!(decided(&mut manager, 0.5).1.is_empty());
-    let by_answer = answered(&mut manager, &worker_report("m-1", 2, 1, vec![]), 0.6);
+    let by_answer = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 0.6);
     assert!(by_answer.contains(&"req-2/0".to_string()), "{by_answer:?}");
     manager.cancel("req-2", 0.7);
     // The command is answered first: nothing of the second job is there yet, but it may come.
     let running = shown(&launches, TaskState::Running, None);
-    let after_command = worker_report("m-1", 3, 1, running.clone());
+    let after_command = worker_heartbeat("m-1", 3, 1, running.clone());
     manager.commands_answered(&"m-1".into(), CommandOutcome::Executed(after_command), 0.8);
     let (deleted, _) = decided(&mut manager, 1.5);
     assert!(deleted.is_empty(), "{deleted:?}");
-    // The worker's next own report shows that it did not take the answer.
-    answered(&mut manager, &worker_report("m-1", 4, 1, running), 2.0);
+    // The worker's next own heartbeat shows that it did not take the answer.
+    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, running), 2.0);
     let (deleted, _) = decided(&mut manager, 2.5);
     assert_eq!(deleted, ["open/req-2"]);
 }
@@ -325,8 +325,8 @@
 #[test]
 fn a_worker_that_answers_commands_but_sends_no_reports_gets_no_work_and_is_returned() {
     let mut manager = manager();
-    answered(&mut manager, &worker_report("m-1", 1, 1, vec![]), 0.0);
-    answered(&mut manager, &worker_report("m-2", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    answered(&mut manager, &worker_heartbeat("m-2", 1, 1, vec![]), 0.0);
     let (mut on_first, mut on_second) = (Vec::new(), Vec::new());
     let mut returned = Vec::new();
     for second in 1..40 {
@@ -334,7 +334,7 @@
         let number = 1 + second as u64;
         // The first goes on reporting; the second only answers commands, and loses its leases.
         let running = shown(&on_first, TaskState::Running, None);
-        manager.heartbeat(&worker_report("m-1", number, 1, running), now);
+        manager.heartbeat(&worker_heartbeat("m-1", number, 1, running), now);
         if second == 8 {
             submit(&mut manager, "req-1", "sweep", "normal", None, 1);
             submit(&mut manager, "req-2", "sweep", "normal", None, 2);
@@ -343,14 +343,14 @@
         carry_out(&mut manager, now, |manager, effect| match effect {
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => {
                 match machine.as_ref() {
-                    "m-2" => on_second.extend(starts(&orders.commands)),
-                    _ => on_first.extend(starts(&orders.commands)),
+                    "m-2" => on_second.extend(starts(&batch.commands)),
+                    _ => on_first.extend(starts(&batch.commands)),
                 }
-                let mut after = worker_report(&machine, 1000 + number, 1, vec![]);
+                let mut after = worker_heartbeat(&machine, 1000 + number, 1, vec![]);
                 after.incarnation = 1 + second as u64 / 12;
                 let result = match machine.as_ref() {
                     "m-2" => CommandOutcome::Executed(after),
@@ -375,7 +375,7 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     let unknown = shown(&[("req-9/0".into(), 7)], TaskState::Running, None);
-    let answer = match manager.heartbeat(&worker_report("m-1", 1, 1, unknown), 0.0) {
+    let answer = match manager.heartbeat(&worker_heartbeat("m-1", 1, 1, unknown), 0.0) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
     };
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    each_effect, launched, machine_type, manager, parsed, report, shown, starts, submission,
-    worker_report, Refusal, Store, SETTINGS,
+    each_effect, heartbeat, launched, machine_type, manager, parsed, shown, starts, submission,
+    worker_heartbeat, Refusal, Store, SETTINGS,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -73,8 +73,8 @@
 /// So many machines report for the first time, with nothing on them.
 fn hear(manager: &mut ClusterManager, machines: usize, now: f64) {
     for i in 0..machines {
-        let report = worker_report(&format!("m-{i}"), 1, manager.token(), vec![]);
-        manager.heartbeat(&report, now);
+        let heartbeat = worker_heartbeat(&format!("m-{i}"), 1, manager.token(), vec![]);
+        manager.heartbeat(&heartbeat, now);
     }
 }
 
@@ -141,7 +141,7 @@
             prop_assert_eq!(manager.status("req-1").unwrap().done as usize, before.len());
             let done: Vec<(String, u64)> = done.iter().map(|t| (format!("req-1/{t}"), 1)).collect();
             let tasks = shown(&done, TaskState::Exited, Some(Cause::Done));
-            manager.heartbeat(&worker_report("m-1", 1 + i as u64, 1, tasks), now);
+            manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, tasks), now);
             // Long enough for a record of what completes to be due, however scarce the budget.
             now += 60.0;
             work(&mut manager, &mut store, now, writes);
@@ -150,7 +150,7 @@
         let mut manager = leader(&mut store, 2.0, now);
         let rest: Vec<(String, u64)> = (0..TASKS).map(|t| (format!("req-1/{t}"), 1)).collect();
         let tasks = shown(&rest, TaskState::Exited, Some(Cause::Done));
-        manager.heartbeat(&worker_report("m-1", 99, 1, tasks), now);
+        manager.heartbeat(&worker_heartbeat("m-1", 99, 1, tasks), now);
         now += 1.0;
         work(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
@@ -227,11 +227,11 @@
             }
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => {
-                launched.extend(starts(&orders.commands).into_iter().map(|s| s.0));
-                let known = worker_report(&machine, 0, 1, vec![]);
+                launched.extend(starts(&batch.commands).into_iter().map(|s| s.0));
+                let known = worker_heartbeat(&machine, 0, 1, vec![]);
                 manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
             }
             _ => {}
@@ -302,7 +302,7 @@
     written.as_object_mut().unwrap().remove("waits");
     let back: OpenRecord = serde_json::from_value(written).unwrap();
     let mut manager = manager();
-    report(&mut manager, 1, vec![], 0.0);
+    heartbeat(&mut manager, 1, vec![], 0.0);
     manager.job_accepted(back, 5, 0, 0.0);
     assert!(launched(&mut manager, 0.0).is_empty());
     assert_eq!(
