--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,6 +26,22 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
+/// One attempt of a task, which its worker knows by this.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptId {
+    pub task: String,
+    pub attempt: u64,
+}
+
+impl AttemptId {
+    pub(crate) fn new(task: &str, attempt: u64) -> AttemptId {
+        AttemptId {
+            task: task.to_string(),
+            attempt,
+        }
+    }
+}
+
 /// The only type of machine: room for four tasks of a job as described below.
 pub(crate) fn machine_type() -> MachineType {
     MachineType {
@@ -193,7 +209,7 @@
 }
 
 /// The names of tasks that are then launched directly.
-pub(crate) fn launched(manager: &mut ClusterManager, now: f64) -> Vec<(String, u64)> {
+pub(crate) fn launched(manager: &mut ClusterManager, now: f64) -> Vec<AttemptId> {
     let mut launched = Vec::new();
     carry_out(manager, now, |_, effect| {
         if let Effect::SendCommands {
@@ -206,22 +222,22 @@
     launched
 }
 
-pub(crate) fn starts(commands: &[Command]) -> Vec<(String, u64)> {
+pub(crate) fn starts(commands: &[Command]) -> Vec<AttemptId> {
     let start = |c: &Command| match c {
-        Command::Start { task, attempt } => Some((task.clone(), *attempt)),
+        Command::Start { task, attempt } => Some(AttemptId::new(task, *attempt)),
         _ => None,
     };
     commands.iter().filter_map(start).collect()
 }
 
 pub(crate) fn shown(
-    tasks: &[(String, u64)],
+    tasks: &[AttemptId],
     state: TaskState,
     cause: Option<Cause>,
 ) -> Vec<TaskStatus> {
-    let show = |(task, attempt): &(String, u64)| TaskStatus {
-        task: task.clone(),
-        attempt: *attempt,
+    let show = |id: &AttemptId| TaskStatus {
+        task: id.task.clone(),
+        attempt: id.attempt,
         state,
         cause,
         saved: None,
@@ -413,7 +429,7 @@
             commands: batch,
             ..
         } => {
-            launches.extend(starts(&batch.commands).into_iter().map(|s| s.0));
+            launches.extend(starts(&batch.commands).into_iter().map(|s| s.task));
             manager.commands_answered(&machine, CommandOutcome::Unknown, now);
         }
         Effect::ReturnMachines(names) => {
@@ -432,9 +448,10 @@
     now: f64,
 ) -> Vec<String> {
     match manager.heartbeat(heartbeat, now) {
-        HeartbeatOutcome::Answer(answer) => {
-            starts(&answer.commands).into_iter().map(|s| s.0).collect()
-        }
+        HeartbeatOutcome::Answer(answer) => starts(&answer.commands)
+            .into_iter()
+            .map(|s| s.task)
+            .collect(),
         other => panic!("{other:?}"),
     }
 }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -248,7 +248,7 @@
         Vec::new(),
         17.5,
     ));
-    assert!(others.iter().all(|(task, _)| task.starts_with("req-2/")));
+    assert!(others.iter().all(|id| id.task.starts_with("req-2/")));
     assert_eq!(others.len(), 4);
     let mut rented = 0;
     for second in 18..18 + OVERDUE_S {
--- a/tests/histories/combinations/leaders.rs
+++ b/tests/histories/combinations/leaders.rs
@@ -2,7 +2,7 @@
 
 use super::{LEADER_LEASE_S, SEEDS};
 use crate::job::JobShape;
-use crate::network::Faults;
+use crate::network::{DelayRange, Faults};
 use crate::timed::for_each_seed;
 use stairstage::protocol::job::JobKind;
 
@@ -44,7 +44,7 @@
         slow_responses: 0.2,
         slow_commands: 0.3,
         kept_heartbeats: 0.2,
-        kept_s: (0.0, 2.0),
+        kept_delay: DelayRange::new(0.0, 2.0),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
@@ -73,7 +73,7 @@
     let faults = Faults {
         late_commands: 0.2,
         kept_heartbeats: 0.2,
-        kept_s: (0.0, 3.0),
+        kept_delay: DelayRange::new(0.0, 3.0),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
--- a/tests/histories/combinations/messages.rs
+++ b/tests/histories/combinations/messages.rs
@@ -1,7 +1,7 @@
 //! Reports, answers and commands that arrive late or in another order.
 
 use super::SEEDS;
-use crate::network::Faults;
+use crate::network::{DelayRange, Faults};
 use crate::timed::for_each_seed;
 
 #[test]
@@ -9,7 +9,7 @@
     let faults = Faults {
         kept_heartbeats: 0.3,
         late_heartbeats: 0.1,
-        kept_s: (2.0, 12.0),
+        kept_delay: DelayRange::new(2.0, 12.0),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
@@ -27,7 +27,7 @@
 fn old_reports_reach_every_controller_as_a_new_leader_begins() {
     let faults = Faults {
         kept_heartbeats: 0.4,
-        kept_s: (0.0, 0.5),
+        kept_delay: DelayRange::new(0.0, 0.5),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
--- a/tests/histories/combinations/mixed.rs
+++ b/tests/histories/combinations/mixed.rs
@@ -1,7 +1,7 @@
 //! Faults of every kind, one after the other.
 
 use super::{LEADER_LEASE_S, SEEDS};
-use crate::network::Faults;
+use crate::network::{DelayRange, Faults};
 use crate::timed::for_each_seed;
 
 #[test]
@@ -12,7 +12,7 @@
         lost_command_responses: 0.05,
         copied_heartbeats: 0.1,
         kept_heartbeats: 0.05,
-        kept_s: (0.0, 6.0),
+        kept_delay: DelayRange::new(0.0, 6.0),
         late_heartbeats: 0.05,
         slow_responses: 0.1,
         lost_responses: 0.05,
--- a/tests/histories/job.rs
+++ b/tests/histories/job.rs
@@ -5,12 +5,17 @@
 use stairstage::protocol::job::{JobKind, JobSpec, JobState};
 use std::collections::BTreeSet;
 
+/// How long the first task of a job runs, and how much longer each further one.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RunTimes {
+    pub first_s: f64,
+    pub stagger_s: f64,
+}
+
 /// What the users and the workers of a history know of an accepted job.
 pub(crate) struct Job {
     pub spec: JobSpec,
-    /// How long its first task runs, and how much longer each further one.
-    pub run_s: f64,
-    pub stagger_s: f64,
+    pub run_times: RunTimes,
     /// Tasks that have completed.
     pub done: BTreeSet<u32>,
     /// When its cancellation was confirmed.
@@ -20,11 +25,10 @@
 }
 
 impl Job {
-    pub(crate) fn new(spec: JobSpec, run_s: f64, stagger_s: f64) -> Job {
+    pub(crate) fn new(spec: JobSpec, run_times: RunTimes) -> Job {
         Job {
             spec,
-            run_s,
-            stagger_s,
+            run_times,
             done: BTreeSet::new(),
             cancelled_at: None,
             told: None,
@@ -35,8 +39,9 @@
         self.spec.kind == JobKind::Service
     }
 
+    /// How long the task with this number runs.
     pub(crate) fn task_run_s(&self, number: u32) -> f64 {
-        self.run_s + self.stagger_s * f64::from(number)
+        self.run_times.first_s + self.run_times.stagger_s * f64::from(number)
     }
 
     pub(crate) fn is_gang(&self) -> bool {
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -10,22 +10,35 @@
 use stairstage::protocol::worker::{CommandBatch, Heartbeat, HeartbeatResponse};
 use stairstage::storage::records::OpenRecord;
 
+/// Between how many seconds a message takes at the least and at the most.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct DelayRange {
+    min_s: f64,
+    max_s: f64,
+}
+
+impl DelayRange {
+    pub(crate) const fn new(min_s: f64, max_s: f64) -> DelayRange {
+        DelayRange { min_s, max_s }
+    }
+}
+
 /// A sender of direct commands gives up on an answer after this time, and so does one of writes.
 const COMMAND_TIMEOUT_S: f64 = 2.0;
 const WRITE_TIMEOUT_S: f64 = 1.0;
 /// For how long commands, and writes that got no answer, may be held up on their way.
-const SLOW_COMMAND_S: (f64, f64) = (0.1, 0.9);
-const LATE_COMMAND_S: (f64, f64) = (2.0, 16.0);
-const LATE_WRITE_S: (f64, f64) = (2.0, 12.0);
-const SLOW_WRITE_S: (f64, f64) = (0.2, 0.9);
+const SLOW_COMMAND_DELAY: DelayRange = DelayRange::new(0.1, 0.9);
+const LATE_COMMAND_DELAY: DelayRange = DelayRange::new(2.0, 16.0);
+const LATE_WRITE_DELAY: DelayRange = DelayRange::new(2.0, 12.0);
+const SLOW_WRITE_DELAY: DelayRange = DelayRange::new(0.2, 0.9);
 /// Responses to heartbeats may take longer than a worker waits.
-const SLOW_RESPONSE_S: (f64, f64) = (0.3, 4.5);
+const SLOW_RESPONSE_DELAY: DelayRange = DelayRange::new(0.3, 4.5);
 /// Copies of heartbeats arrive until well over a lease later.
-const LATE_HEARTBEAT_S: (f64, f64) = (2.0, 30.0);
+const LATE_HEARTBEAT_DELAY: DelayRange = DelayRange::new(2.0, 30.0);
 /// How long news of jobs takes to the leader.
-const ANNOUNCEMENT_S: (f64, f64) = (0.0, 0.5);
+const ANNOUNCEMENT_DELAY: DelayRange = DelayRange::new(0.0, 0.5);
 /// When a machine that was rented is up.
-const BOOT_S: (f64, f64) = (0.5, 2.0);
+const BOOT_DELAY: DelayRange = DelayRange::new(0.5, 2.0);
 
 /// The shares of messages that go wrong, each in its own way.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,7 +54,7 @@
     /// Heartbeats of which a copy is kept until the next leader begins, and arrives at every controller.
     pub kept_heartbeats: f64,
     /// How soon after the election those arrive, at the least and at the most.
-    pub kept_s: (f64, f64),
+    pub kept_delay: DelayRange,
     /// Heartbeats that arrive late, and nowhere before.
     pub late_heartbeats: f64,
     /// Responses to heartbeats that are slow, or lost.
@@ -120,17 +133,17 @@
         self.delayed.push(Delayed { at, message });
     }
 
-    fn send_within(&mut self, now: f64, (least, most): (f64, f64), message: Message) {
-        let delay = self.random.between(least, most);
-        self.send(now + delay, message);
+    fn send_within(&mut self, now: f64, delay: DelayRange, message: Message) {
+        let delay_s = self.random.between(delay.min_s, delay.max_s);
+        self.send(now + delay_s, message);
     }
 
     pub(crate) fn boot_s(&mut self) -> f64 {
-        self.random.between(BOOT_S.0, BOOT_S.1)
+        self.random.between(BOOT_DELAY.min_s, BOOT_DELAY.max_s)
     }
 
     pub(crate) fn max_announcement_delay_s(&self) -> f64 {
-        ANNOUNCEMENT_S.1
+        ANNOUNCEMENT_DELAY.max_s
     }
 
     /// What arrives by now, in the order in which it does.
@@ -147,7 +160,7 @@
     pub(crate) fn copy(&mut self, heartbeat: &Heartbeat, now: f64) {
         if self.random.chance(self.faults.copied_heartbeats) {
             let copy = Message::Heartbeat(heartbeat.clone());
-            self.send_within(now, LATE_HEARTBEAT_S, copy);
+            self.send_within(now, LATE_HEARTBEAT_DELAY, copy);
         }
         if self.random.chance(self.faults.kept_heartbeats) {
             self.kept.push(heartbeat.clone());
@@ -159,7 +172,7 @@
         let held = self.random.chance(self.faults.late_heartbeats);
         if held {
             let late = Message::Heartbeat(heartbeat.clone());
-            self.send_within(now, LATE_HEARTBEAT_S, late);
+            self.send_within(now, LATE_HEARTBEAT_DELAY, late);
         }
         held
     }
@@ -170,19 +183,21 @@
             return None;
         }
         let slow = self.random.chance(self.faults.slow_responses);
-        let delay = self.random.between(SLOW_RESPONSE_S.0, SLOW_RESPONSE_S.1);
+        let delay = self
+            .random
+            .between(SLOW_RESPONSE_DELAY.min_s, SLOW_RESPONSE_DELAY.max_s);
         Some(if slow { delay } else { 0.0 })
     }
 
     /// A leader begins: reports that were kept for this moment arrive.
     pub(crate) fn release_kept(&mut self, now: f64) {
         for heartbeat in std::mem::take(&mut self.kept) {
-            self.send_within(now, self.faults.kept_s, Message::Heartbeat(heartbeat));
+            self.send_within(now, self.faults.kept_delay, Message::Heartbeat(heartbeat));
         }
     }
 
     fn announce(&mut self, now: f64, message: Message) {
-        self.send_within(now, ANNOUNCEMENT_S, message);
+        self.send_within(now, ANNOUNCEMENT_DELAY, message);
     }
 }
 
@@ -236,8 +251,12 @@
                 batch,
                 answer_to: (!late).then_some(from),
             };
-            let delay_s = if late { LATE_COMMAND_S } else { SLOW_COMMAND_S };
-            self.net().send_within(now, delay_s, command);
+            let delay = if late {
+                LATE_COMMAND_DELAY
+            } else {
+                SLOW_COMMAND_DELAY
+            };
+            self.net().send_within(now, delay, command);
             if !late {
                 return;
             }
@@ -272,7 +291,7 @@
                 transaction,
                 answer: Some(to),
             };
-            return network.send_within(now, SLOW_WRITE_S, write);
+            return network.send_within(now, SLOW_WRITE_DELAY, write);
         }
         let late = network.random.chance(faults.late_writes);
         let unanswered = network.random.chance(faults.unanswered_writes);
@@ -288,7 +307,7 @@
                 transaction,
                 answer: None,
             };
-            return self.net().send_within(now, LATE_WRITE_S, write);
+            return self.net().send_within(now, LATE_WRITE_DELAY, write);
         }
         self.carry_out_write(transaction, (!unanswered).then_some(to));
     }
@@ -385,14 +404,14 @@
         let now = self.now;
         let i = self.worker_named(machine).expect("a machine");
         let w = &mut self.workers[i];
-        let (result, delay_s) = if w.hung || w.partitioned {
+        let (result, delay) = if w.hung || w.partitioned {
             w.held.push(batch);
             (
                 CommandOutcome::Unknown,
-                (COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S),
+                DelayRange::new(COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S),
             )
         } else {
-            (self.execute_commands(i, &batch), SLOW_COMMAND_S)
+            (self.execute_commands(i, &batch), SLOW_COMMAND_DELAY)
         };
         if let Some(to) = answer_to {
             let machine = machine.clone();
@@ -401,7 +420,7 @@
                 machine,
                 result,
             };
-            self.net().send_within(now, delay_s, answer);
+            self.net().send_within(now, delay, answer);
         }
     }
 
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -1,7 +1,7 @@
 //! What a generated history does, step by step.
 
 use super::common;
-use super::job::split;
+use super::job::{split, RunTimes};
 use super::settings::machine_types;
 use super::worker::{Worker, RESPONSE_TIMEOUT_S};
 use super::world::{World, WriteFate};
@@ -163,7 +163,8 @@
         let job = self.jobs.get_mut(id).expect("an accepted job");
         let gang = job.is_gang();
         for w in self.workers.iter_mut().filter(|w| !w.gone && !w.hung) {
-            for ((name, _), t) in w.tasks.iter_mut() {
+            for (attempt, t) in w.tasks.iter_mut() {
+                let name = &attempt.task;
                 let same = if gang {
                     split(name).0 == id
                 } else {
@@ -354,8 +355,8 @@
             .iter()
             .filter(|(_, t)| t.state == TaskState::Running);
         let ends = |task: &str| !self.jobs[split(task).0].is_service();
-        if let Some(((task, _), _)) = running.find(|((task, _), _)| ends(task)) {
-            self.finish(&task.clone());
+        if let Some((attempt, _)) = running.find(|(attempt, _)| ends(&attempt.task)) {
+            self.finish(&attempt.task.clone());
         }
     }
 
@@ -420,7 +421,12 @@
         };
         let mut body = common::submission(&id, rig, precedence, tasks);
         body["waits_on"] = json!(names);
-        self.submit(&id, &body, (f64::INFINITY, 0.0), looks);
+        // Steps say when tasks end.
+        let run_times = RunTimes {
+            first_s: f64::INFINITY,
+            stagger_s: 0.0,
+        };
+        self.submit(&id, &body, run_times, looks);
     }
 
     /// Lets everything heal; what was accepted must come to its end.
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -1,6 +1,6 @@
 //! Histories with a clock of their own: workers report by themselves, tasks end, messages take time.
 
-use super::job::JobShape;
+use super::job::{JobShape, RunTimes};
 use super::leader::Leader;
 use super::network::{Faults, Network};
 use super::settings::machine_types;
@@ -95,8 +95,11 @@
     /// Submits a job, and returns its id.
     pub(crate) fn submit_shape(&mut self, shape: &JobShape) -> String {
         let id = format!("req-{}", self.jobs.len());
-        let run_s = (shape.run_s, shape.stagger_s);
-        self.submit(&id, &shape.submission(&id), run_s, false);
+        let run_times = RunTimes {
+            first_s: shape.run_s,
+            stagger_s: shape.stagger_s,
+        };
+        self.submit(&id, &shape.submission(&id), run_times, false);
         id
     }
 
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -1,5 +1,6 @@
 //! A machine with its worker, as the protocol describes them.
 
+use super::common::AttemptId;
 use stairstage::protocol::worker::{
     Cause, Command, CommandBatch, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
 };
@@ -37,8 +38,7 @@
     pub incarnation: u64,
     pub sequence: u64,
     pub token: u64,
-    /// By task and attempt.
-    pub tasks: BTreeMap<(String, u64), TaskOnWorker>,
+    pub tasks: BTreeMap<AttemptId, TaskOnWorker>,
     /// When the last answered heartbeat was sent; infinite once its lease is over while it hangs.
     pub lease_renewed_at: f64,
     /// It reaches no controller, and none reaches it.
@@ -164,9 +164,9 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskStatus {
-                    task: task.clone(),
-                    attempt: *attempt,
+                .map(|(id, t)| TaskStatus {
+                    task: id.task.clone(),
+                    attempt: id.attempt,
                     state: t.state,
                     cause: t.cause,
                     saved: None,
@@ -180,11 +180,11 @@
             .tasks
             .iter()
             .filter(|(_, t)| t.state != TaskState::Exited);
-        live.map(|((task, _), _)| task)
+        live.map(|(id, _)| &id.task)
     }
 
-    pub(crate) fn exit(&mut self, key: &(String, u64), cause: Cause, now: f64) {
-        if let Some(task) = self.tasks.get_mut(key) {
+    pub(crate) fn exit(&mut self, id: &AttemptId, cause: Cause, now: f64) {
+        if let Some(task) = self.tasks.get_mut(id) {
             task.state = TaskState::Exited;
             task.cause = Some(cause);
             self.hasten_heartbeat(now);
@@ -197,9 +197,9 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    let key = (task.clone(), *attempt);
+                    let id = AttemptId::new(task, *attempt);
                     let full = self.live().count() as f64 + 1.0 > CPUS;
-                    if self.tasks.contains_key(&key) || full || self.live().any(|t| t == task) {
+                    if self.tasks.contains_key(&id) || full || self.live().any(|t| t == task) {
                         continue;
                     }
                     let on_worker = TaskOnWorker {
@@ -207,24 +207,24 @@
                         cause: None,
                         since: now,
                     };
-                    self.tasks.insert(key, on_worker);
+                    self.tasks.insert(id, on_worker);
                     started.push(task.clone());
                 }
                 Command::Stop { task, attempt, .. } => {
-                    let t = self.tasks.get_mut(&(task.clone(), *attempt));
+                    let t = self.tasks.get_mut(&AttemptId::new(task, *attempt));
                     if let Some(t) = t.filter(|t| t.state != TaskState::Exited) {
                         t.state = TaskState::Exited;
                         t.cause = Some(Cause::Stopped);
                     }
                 }
                 Command::Forget { task, attempt } => {
-                    let key = (task.clone(), *attempt);
+                    let id = AttemptId::new(task, *attempt);
                     if self
                         .tasks
-                        .get(&key)
+                        .get(&id)
                         .is_some_and(|t| t.state == TaskState::Exited)
                     {
-                        self.tasks.remove(&key);
+                        self.tasks.remove(&id);
                     }
                 }
             }
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -1,12 +1,12 @@
 //! The state service, the workers and the controllers of a history, and what users ask of them.
 
 use super::common::{self, Refusal, Store};
-use super::job::{split, Job};
+use super::job::{split, Job, RunTimes};
 use super::leader::Leader;
 use super::network::Network;
 use super::peers::Peers;
 use super::settings::SETTINGS;
-use super::tasks::GangRun;
+use super::tasks::{GangAttempt, GangRun};
 use super::worker::Worker;
 use serde_json::{json, Value};
 use stairstage::coordination::manager::ClusterManager;
@@ -57,7 +57,7 @@
     pub jobs: BTreeMap<String, Job>,
     /// What takes time, in histories that have a clock of their own.
     pub network: Option<Network>,
-    pub gang_runs: BTreeMap<(String, u64), GangRun>,
+    pub gang_runs: BTreeMap<GangAttempt, GangRun>,
     /// Machines that the cloud still has to rent, and whether it refuses all requests.
     pub rentable: usize,
     pub cloud_is_down: bool,
@@ -205,9 +205,8 @@
         }
     }
 
-    /// A submission by way of any node. `run_s`: how long the first task runs, and each further one
-    /// longer; `looks`: the node checks whether what the job needs is cancelled.
-    pub(crate) fn submit(&mut self, id: &str, body: &Value, run_s: (f64, f64), looks: bool) {
+    /// A submission by way of any node. `looks`: the node checks whether what the job needs is cancelled.
+    pub(crate) fn submit(&mut self, id: &str, body: &Value, run_times: RunTimes, looks: bool) {
         let spec = common::parsed(body);
         let names = spec.waits_on.clone();
         let record = OpenRecord::accepted(spec.clone(), 0);
@@ -226,15 +225,13 @@
                 .absent(end_key(id))
                 .put(end_key(id), json!({"state": "cancelled"}));
             if self.store.commit(&txn).is_ok() {
-                self.jobs
-                    .insert(id.to_string(), Job::new(spec, run_s.0, run_s.1));
+                self.jobs.insert(id.to_string(), Job::new(spec, run_times));
                 self.announce_end(id);
             }
             return;
         }
         if let Ok(version) = self.commit_of_a_node(&txn) {
-            self.jobs
-                .insert(id.to_string(), Job::new(spec, run_s.0, run_s.1));
+            self.jobs.insert(id.to_string(), Job::new(spec, run_times));
             self.announce_job(record, version);
         }
     }
@@ -311,8 +308,11 @@
         let job = &self.jobs[id];
         let mut tasks = Vec::new();
         for w in self.workers.iter().filter(|w| !w.gone) {
-            let of_job = w.tasks.iter().filter(|((task, _), _)| split(task).0 == id);
-            tasks.extend(of_job.map(|((task, _), t)| (task, t.state, &w.name)));
+            let of_job = w
+                .tasks
+                .iter()
+                .filter(|(attempt, _)| split(&attempt.task).0 == id);
+            tasks.extend(of_job.map(|(attempt, t)| (&attempt.task, t.state, &w.name)));
         }
         format!(
             "{:?}, done {:?}, cancelled {:?}, now at {tasks:?}",
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,7 +4,7 @@
 
 use common::{
     each_effect, machine_type, manager, manager_with_token, parsed, shown, starts, submission,
-    worker_heartbeat, Store, SETTINGS,
+    worker_heartbeat, AttemptId, Store, SETTINGS,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
@@ -20,7 +20,7 @@
     manager: ClusterManager,
     store: Store,
     sought: Vec<String>,
-    launched: Vec<(String, u64)>,
+    launched: Vec<AttemptId>,
     ended: BTreeMap<String, JobState>,
     /// Writes that end a job get no answer, and are not applied.
     ends_held: bool,
@@ -114,13 +114,13 @@
     /// The machine shows what was launched on it: these jobs' tasks are over, the others run.
     fn heartbeat(&mut self, sequence: u64, over: &[&str], now: f64) {
         let done = |name: &str| over.iter().any(|id| name.starts_with(&format!("{id}/")));
-        let show = |(task, attempt): &(String, u64)| {
-            let (state, cause) = if done(task) {
+        let show = |id: &AttemptId| {
+            let (state, cause) = if done(&id.task) {
                 (TaskState::Exited, Some(Cause::Done))
             } else {
                 (TaskState::Running, None)
             };
-            shown(&[(task.clone(), *attempt)], state, cause).remove(0)
+            shown(std::slice::from_ref(id), state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(show).collect();
         let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token(), tasks);
@@ -139,7 +139,7 @@
     fn has_launched(&self, id: &str) -> bool {
         self.launched
             .iter()
-            .any(|(t, _)| t.starts_with(&format!("{id}/")))
+            .any(|t| t.task.starts_with(&format!("{id}/")))
     }
 
     fn end(&self, id: &str) -> Option<Value> {
@@ -315,7 +315,7 @@
         leader
             .launched
             .iter()
-            .filter(|(t, _)| t.starts_with(id))
+            .filter(|t| t.task.starts_with(id))
             .count()
     };
     assert_eq!((of("req-3/"), of("req-2/")), (2, 2));
@@ -331,7 +331,12 @@
     a(&mut leader);
     b(&mut leader);
     leader.act(0.5);
-    leader.launched[0].0.rsplit_once('/').unwrap().0.to_string()
+    leader.launched[0]
+        .task
+        .rsplit_once('/')
+        .unwrap()
+        .0
+        .to_string()
 }
 
 #[test]
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -1,7 +1,7 @@
 //! A clock-free play of the scheduler over generated loads: more work than room, floods of small
 //! jobs, deadlines that cannot be met. Everybody is served, and the largest begin in time.
 
-use crate::common::{manager, parsed, shown, submission};
+use crate::common::{manager, parsed, shown, submission, AttemptId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
@@ -40,8 +40,8 @@
     now: f64,
     seqs: [u64; MACHINES],
     /// Tasks on each machine, with their ends.
-    running: Vec<BTreeMap<(String, u64), f64>>,
-    exited: Vec<BTreeSet<(String, u64)>>,
+    running: Vec<BTreeMap<AttemptId, f64>>,
+    exited: Vec<BTreeSet<AttemptId>>,
     run_s: BTreeMap<String, f64>,
     fates: BTreeMap<String, Fate>,
     written: u64,
@@ -88,22 +88,21 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    let key = (task.clone(), *attempt);
-                    if self.running[machine].contains_key(&key)
-                        || self.exited[machine].contains(&key)
+                    let id = AttemptId::new(task, *attempt);
+                    if self.running[machine].contains_key(&id) || self.exited[machine].contains(&id)
                     {
                         continue;
                     }
-                    let id = task.rsplit_once('/').unwrap().0;
-                    self.running[machine].insert(key, self.now + self.run_s[id]);
-                    let fate = self.fates.get_mut(id).unwrap();
+                    let job = task.rsplit_once('/').unwrap().0;
+                    self.running[machine].insert(id, self.now + self.run_s[job]);
+                    let fate = self.fates.get_mut(job).unwrap();
                     fate.began.get_or_insert(self.now);
                 }
                 Command::Stop { task, attempt, .. } => {
-                    self.running[machine].remove(&(task.clone(), *attempt));
+                    self.running[machine].remove(&AttemptId::new(task, *attempt));
                 }
                 Command::Forget { task, attempt } => {
-                    self.exited[machine].remove(&(task.clone(), *attempt));
+                    self.exited[machine].remove(&AttemptId::new(task, *attempt));
                 }
             }
         }
@@ -112,17 +111,17 @@
     fn heartbeat(&mut self, machine: usize) -> Heartbeat {
         self.seqs[machine] += 1;
         let now = self.now;
-        let over: Vec<(String, u64)> = self.running[machine]
+        let over: Vec<AttemptId> = self.running[machine]
             .iter()
             .filter(|(_, end)| **end <= now)
-            .map(|(key, _)| key.clone())
+            .map(|(id, _)| id.clone())
             .collect();
-        for key in over {
-            self.running[machine].remove(&key);
-            self.exited[machine].insert(key);
+        for id in over {
+            self.running[machine].remove(&id);
+            self.exited[machine].insert(id);
         }
-        let running: Vec<(String, u64)> = self.running[machine].keys().cloned().collect();
-        let exited: Vec<(String, u64)> = self.exited[machine].iter().cloned().collect();
+        let running: Vec<AttemptId> = self.running[machine].keys().cloned().collect();
+        let exited: Vec<AttemptId> = self.exited[machine].iter().cloned().collect();
         let mut tasks = shown(&running, TaskState::Running, None);
         tasks.extend(shown(&exited, TaskState::Exited, Some(Cause::Done)));
         Heartbeat {
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -1,6 +1,7 @@
 //! Machines and their workers: what they run, report and are told.
 
 use super::Simulation;
+use crate::common::AttemptId;
 use crate::worker::Worker;
 use stairstage::coordination::cluster::HeartbeatOutcome;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
@@ -11,6 +12,23 @@
 /// Seconds between two looks at the cloud's list.
 const LIST_S: f64 = 5.0;
 
+/// An attempt of a gang: all its tasks have the same.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct GangAttempt {
+    job: String,
+    attempt: u64,
+}
+
+impl GangAttempt {
+    /// The gang that an attempt of one of its tasks is part of.
+    fn of(id: &AttemptId) -> GangAttempt {
+        GangAttempt {
+            job: parse_task(&id.task).unwrap().0.to_string(),
+            attempt: id.attempt,
+        }
+    }
+}
+
 impl Simulation {
     /// Adds machines that are up already; returns their names.
     pub(crate) fn add_machines(&mut self, zone: &str, count: usize) -> Vec<String> {
@@ -31,10 +49,10 @@
         let (now, lease_s) = (self.now, self.settings.cluster.workers.lease_s);
         for worker in self.workers.values_mut() {
             worker.expire(lease_s, now);
-            let keys: Vec<(String, u64)> = worker.live().map(|(key, _)| key.clone()).collect();
-            for key in keys {
-                let plan = &self.outcomes[parse_task(&key.0).unwrap().0].plan;
-                worker.advance(&key, plan, now);
+            let ids: Vec<AttemptId> = worker.live().map(|(id, _)| id.clone()).collect();
+            for id in ids {
+                let plan = &self.outcomes[parse_task(&id.task).unwrap().0].plan;
+                worker.advance(&id, plan, now);
             }
         }
         self.advance_gangs();
@@ -42,11 +60,11 @@
 
     /// The tasks of a gang start together, complete together, and exit when one is gone.
     pub(super) fn advance_gangs(&mut self) {
-        let mut gangs: BTreeMap<(String, u64), Vec<TaskState>> = BTreeMap::new();
-        let mut done: BTreeSet<(String, u64)> = BTreeSet::new();
+        let mut gangs: BTreeMap<GangAttempt, Vec<TaskState>> = BTreeMap::new();
+        let mut done: BTreeSet<GangAttempt> = BTreeSet::new();
         for worker in self.workers.values() {
-            for ((task, attempt), t) in worker.tasks.iter().filter(|(_, t)| t.gang) {
-                let gang = (parse_task(task).unwrap().0.to_string(), *attempt);
+            for (id, t) in worker.tasks.iter().filter(|(_, t)| t.gang) {
+                let gang = GangAttempt::of(id);
                 match t.cause {
                     Some(Cause::Done) => drop(done.insert(gang)),
                     Some(_) => {}
@@ -56,7 +74,7 @@
         }
         let (now, wait_s) = (self.now, self.settings.cluster.workers.gang_wait_s);
         for (gang, states) in gangs {
-            let plan = self.outcomes[&gang.0].plan.clone();
+            let plan = self.outcomes[&gang.job].plan.clone();
             let whole = states.len() == plan.tasks as usize;
             let ready = states.iter().all(|s| *s == TaskState::Waiting);
             let runs = states.contains(&TaskState::Running);
@@ -77,11 +95,11 @@
 
     pub(super) fn of_gang<'a>(
         &'a mut self,
-        gang: &'a (String, u64),
+        gang: &'a GangAttempt,
     ) -> impl Iterator<Item = &'a mut crate::worker::TaskOnWorker> + 'a {
         let tasks = self.workers.values_mut().flat_map(|w| w.tasks.iter_mut());
-        tasks.filter_map(move |((task, attempt), t)| {
-            let same = parse_task(task).unwrap().0 == gang.0 && *attempt == gang.1;
+        tasks.filter_map(move |(id, t)| {
+            let same = GangAttempt::of(id) == *gang;
             (same && t.is_live()).then_some(t)
         })
     }
@@ -131,7 +149,7 @@
         let others = self.workers.values().filter(|w| w.name != name);
         let twice = others
             .flat_map(Worker::live)
-            .any(|((other, _), _)| other == task);
+            .any(|(other, _)| other.task == task);
         assert!(!twice, "ran_twice: {task} starts on {name}");
         let zone = &self.workers[name].zone;
         let allowed = outcome.plan.zone.is_none_or(|z| z == zone);
@@ -153,8 +171,8 @@
 
     pub(super) fn team_use(&self) -> HashMap<&str, f64> {
         let mut team_use: HashMap<&str, f64> = HashMap::new();
-        for ((task, _), t) in self.workers.values().flat_map(Worker::live) {
-            let id = parse_task(task).unwrap().0;
+        for (attempt, t) in self.workers.values().flat_map(Worker::live) {
+            let id = parse_task(&attempt.task).unwrap().0;
             *team_use.entry(self.outcomes[id].plan.team).or_default() += t.cpus;
         }
         team_use
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -149,7 +149,7 @@
         let team_use = self.team_use();
         let tasks = self.workers.values().flat_map(Worker::live);
         let running: BTreeSet<&str> = tasks
-            .map(|((task, _), _)| parse_task(task).unwrap().0)
+            .map(|(attempt, _)| parse_task(&attempt.task).unwrap().0)
             .collect();
         let waits = |(id, o): &(&String, &Outcome)| {
             let tasks = if o.plan.is_gang() { o.plan.tasks } else { 1 };
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -1,5 +1,6 @@
 //! A simulated machine with its worker.
 
+use crate::common::AttemptId;
 use crate::workload::JobPlan;
 use stairstage::protocol::job::parse_task;
 use stairstage::protocol::worker::{
@@ -43,8 +44,7 @@
     sequence: u64,
     pub token: u64,
     lease_renewed_at: f64,
-    /// By task and attempt.
-    pub tasks: BTreeMap<(String, u64), TaskOnWorker>,
+    pub tasks: BTreeMap<AttemptId, TaskOnWorker>,
     images: BTreeSet<String>,
     /// Results of tasks that completed here: started again, they exit at once.
     results: BTreeSet<String>,
@@ -105,7 +105,7 @@
         self.is_reachable(now) && now >= self.inbound_lost_until
     }
 
-    pub(crate) fn live(&self) -> impl Iterator<Item = (&(String, u64), &TaskOnWorker)> {
+    pub(crate) fn live(&self) -> impl Iterator<Item = (&AttemptId, &TaskOnWorker)> {
         self.tasks.iter().filter(|(_, t)| t.is_live())
     }
 
@@ -115,9 +115,9 @@
 
     pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
-            task: task.clone(),
-            attempt: *attempt,
+        let tasks = self.tasks.iter().map(|(id, t)| TaskStatus {
+            task: id.task.clone(),
+            attempt: id.attempt,
             state: t.state,
             cause: t.cause,
             saved: None,
@@ -166,8 +166,8 @@
     ) -> Option<String> {
         match command {
             Command::Start { task, attempt } => {
-                let key = (task.clone(), *attempt);
-                if self.tasks.contains_key(&key) {
+                let id = AttemptId::new(task, *attempt);
+                if self.tasks.contains_key(&id) {
                     return None;
                 }
                 let (state, cause) = self.start_state(task, plan);
@@ -178,26 +178,26 @@
                     cpus: plan.cpus,
                     gang: plan.is_gang(),
                 };
-                self.tasks.insert(key, placed);
+                self.tasks.insert(id.clone(), placed);
                 if state == TaskState::Exited {
                     return None;
                 }
                 if self.images.contains(plan.class) {
-                    self.fetched(&(task.clone(), *attempt), plan, now);
+                    self.fetched(&id, plan, now);
                 }
                 Some(task.clone())
             }
             Command::Stop { task, attempt, .. } => {
-                let stopped = self.tasks.get_mut(&(task.clone(), *attempt));
+                let stopped = self.tasks.get_mut(&AttemptId::new(task, *attempt));
                 if let Some(t) = stopped.filter(|t| t.is_live()) {
                     t.exit(Cause::Stopped);
                 }
                 None
             }
             Command::Forget { task, attempt } => {
-                let key = (task.clone(), *attempt);
-                if self.tasks.get(&key).is_some_and(|t| !t.is_live()) {
-                    self.tasks.remove(&key);
+                let id = AttemptId::new(task, *attempt);
+                if self.tasks.get(&id).is_some_and(|t| !t.is_live()) {
+                    self.tasks.remove(&id);
                 }
                 None
             }
@@ -206,7 +206,7 @@
 
     fn start_state(&self, task: &str, plan: &JobPlan) -> (TaskState, Option<Cause>) {
         let refused = |cause| (TaskState::Exited, Some(cause));
-        if self.live().any(|((other, _), _)| other == task) {
+        if self.live().any(|(other, _)| other.task == *task) {
             refused(Cause::Busy)
         } else if self.free_cpus() < plan.cpus {
             refused(Cause::NoRoom)
@@ -216,12 +216,12 @@
     }
 
     /// The machine has the image that a task waits for.
-    fn fetched(&mut self, key: &(String, u64), plan: &JobPlan, now: f64) {
+    fn fetched(&mut self, id: &AttemptId, plan: &JobPlan, now: f64) {
         self.images.insert(plan.class.to_string());
         let fails = plan.broken || self.faulty;
-        let (_, task) = parse_task(&key.0).unwrap();
-        let t = self.tasks.get_mut(key).expect("known task");
-        if self.results.contains(&key.0) {
+        let (_, task) = parse_task(&id.task).unwrap();
+        let t = self.tasks.get_mut(id).expect("known task");
+        if self.results.contains(&id.task) {
             return t.exit(Cause::Done);
         }
         let run_s = if fails {
@@ -238,18 +238,18 @@
     }
 
     /// Lets a task's fetch or run come to its end.
-    pub(crate) fn advance(&mut self, key: &(String, u64), plan: &JobPlan, now: f64) {
+    pub(crate) fn advance(&mut self, id: &AttemptId, plan: &JobPlan, now: f64) {
         let fails = plan.broken || self.faulty;
-        let t = self.tasks.get_mut(key).expect("known task");
+        let t = self.tasks.get_mut(id).expect("known task");
         if now < t.until {
             return;
         }
         match t.state {
-            TaskState::Fetching => self.fetched(key, plan, now),
+            TaskState::Fetching => self.fetched(id, plan, now),
             TaskState::Running if fails => t.exit(Cause::Error),
             TaskState::Running => {
                 t.exit(Cause::Done);
-                self.results.insert(key.0.clone());
+                self.results.insert(id.task.clone());
             }
             _ => {}
         }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -28,7 +28,10 @@
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
     let tasks = launched(&mut manager, 0.0);
     assert_eq!(tasks.len(), 4);
-    assert!(tasks.iter().all(|t| t.0.starts_with("req-2/")), "{tasks:?}");
+    assert!(
+        tasks.iter().all(|t| t.task.starts_with("req-2/")),
+        "{tasks:?}"
+    );
 }
 
 #[test]
@@ -134,7 +137,7 @@
     let tasks = launched(&mut manager, 0.0);
     assert_eq!(tasks.len(), 8);
     assert!(
-        tasks.iter().all(|t| t.1 == tasks[0].1),
+        tasks.iter().all(|t| t.attempt == tasks[0].attempt),
         "one attempt for all"
     );
     let (one, other) = tasks.split_at(4);
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -4,7 +4,7 @@
 
 use common::{
     answered, carry_out, each_effect, heartbeat, launched, manager, manager_with_token,
-    out_of_reach, parsed, shown, starts, submission, submit, worker_heartbeat,
+    out_of_reach, parsed, shown, starts, submission, submit, worker_heartbeat, AttemptId,
 };
 use stairstage::coordination::cluster::heartbeat_routing::{Redirects, Route};
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
@@ -17,7 +17,7 @@
 use stairstage::storage::records::OpenRecord;
 
 /// A job whose four tasks run on the one machine, which has reported twice.
-fn running_on_one() -> (ClusterManager, Vec<(String, u64)>) {
+fn running_on_one() -> (ClusterManager, Vec<AttemptId>) {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
@@ -279,7 +279,7 @@
 
 /// Lets the manager decide. Writes succeed; returns the keys that they delete, and what is launched by
 /// direct commands, which get no answer yet.
-fn decided(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<(String, u64)>) {
+fn decided(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<AttemptId>) {
     let (mut deleted, mut launches) = (Vec::new(), Vec::new());
     each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, transaction } => {
@@ -374,7 +374,7 @@
 fn a_task_that_no_open_job_accounts_for_is_stopped() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    let unknown = shown(&[("req-9/0".into(), 7)], TaskState::Running, None);
+    let unknown = shown(&[AttemptId::new("req-9/0", 7)], TaskState::Running, None);
     let answer = match manager.heartbeat(&worker_heartbeat("m-1", 1, 1, unknown), 0.0) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -5,7 +5,7 @@
 
 use common::{
     each_effect, heartbeat, launched, machine_type, manager, parsed, shown, starts, submission,
-    worker_heartbeat, Refusal, Store, SETTINGS,
+    worker_heartbeat, AttemptId, Refusal, Store, SETTINGS,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -139,7 +139,7 @@
             let before = recorded(&store);
             let mut manager = leader(&mut store, value_kb, now);
             prop_assert_eq!(manager.status("req-1").unwrap().done as usize, before.len());
-            let done: Vec<(String, u64)> = done.iter().map(|t| (format!("req-1/{t}"), 1)).collect();
+            let done: Vec<AttemptId> = done.iter().map(|t| AttemptId::new(&format!("req-1/{t}"), 1)).collect();
             let tasks = shown(&done, TaskState::Exited, Some(Cause::Done));
             manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, tasks), now);
             // Long enough for a record of what completes to be due, however scarce the budget.
@@ -148,7 +148,7 @@
             prop_assert!(recorded(&store).is_superset(&before));
         }
         let mut manager = leader(&mut store, 2.0, now);
-        let rest: Vec<(String, u64)> = (0..TASKS).map(|t| (format!("req-1/{t}"), 1)).collect();
+        let rest: Vec<AttemptId> = (0..TASKS).map(|t| AttemptId::new(&format!("req-1/{t}"), 1)).collect();
         let tasks = shown(&rest, TaskState::Exited, Some(Cause::Done));
         manager.heartbeat(&worker_heartbeat("m-1", 99, 1, tasks), now);
         now += 1.0;
@@ -230,7 +230,7 @@
                 commands: batch,
                 ..
             } => {
-                launched.extend(starts(&batch.commands).into_iter().map(|s| s.0));
+                launched.extend(starts(&batch.commands).into_iter().map(|s| s.task));
                 let known = worker_heartbeat(&machine, 0, 1, vec![]);
                 manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
             }
