--- a/crates/upgrade/tests/histories.rs
+++ b/crates/upgrade/tests/histories.rs
@@ -16,9 +16,13 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
+/// Controllers of each history.
 const CONTROLLERS: usize = 3;
+/// Operators who finalize and abort at the same time.
 const OPERATORS: usize = 2;
+/// Histories that are played.
 const CASES: u32 = 400;
+/// The same histories in each run.
 const SEED: u64 = 24;
 /// Releases, and the versions that they work at.
 const RELEASES: [(u32, u32); 4] = [(1, 1), (1, 2), (2, 3), (3, 3)];
@@ -72,6 +76,7 @@
     write_fence: WriteFence,
 }
 
+/// How often each has come about.
 #[derive(Default)]
 struct Seen {
     rises: usize,
@@ -83,6 +88,7 @@
     refused: usize,
 }
 
+/// The records, the processes of controllers and the operations of operators.
 struct World {
     stamp: u64,
     version: Option<(VersionRecord, u64)>,
@@ -96,10 +102,12 @@
     seen: Seen,
 }
 
+/// The name of a controller.
 fn name_of(controller: usize) -> String {
     format!("deckhand-{controller}")
 }
 
+/// The versions that a release works at.
 fn range_of(release: usize) -> VersionRange {
     let (oldest, newest) = RELEASES[release];
     VersionRange {
@@ -122,15 +130,18 @@
         }
     }
 
+    /// The version that is active by the record.
     fn active(&self) -> ClusterVersion {
         self.version
             .map_or(ClusterVersion::FIRST, |(v, _)| v.active)
     }
 
+    /// The stamp of the record of the version, 0 without one.
     fn version_stamp(&self) -> u64 {
         self.version.map_or(0, |(_, stamp)| stamp)
     }
 
+    /// All records, as an operation reads them.
     fn snapshot(&self) -> Snapshot {
         let controllers = (0..CONTROLLERS).map(|i| Controller {
             name: name_of(i),
@@ -144,6 +155,7 @@
         }
     }
 
+    /// The stamp of a key, 0 without a record.
     fn stamp_of(&self, key: &str) -> u64 {
         if key == VERSION {
             return self.version_stamp();
@@ -179,6 +191,7 @@
         true
     }
 
+    /// A process starts with a release, and registers.
     fn start(&mut self, controller: usize, release: usize) {
         let versions = range_of(release);
         self.stamp += 1;
@@ -197,6 +210,7 @@
         });
     }
 
+    /// A controller reads the record of the version, and withdraws if it cannot follow.
     fn reads(&mut self, controller: usize) {
         let snapshot = self.snapshot();
         let Some(process) = &mut self.processes[controller] else {
@@ -229,6 +243,7 @@
         assert_eq!(pipelines, active >= ClusterVersion(2), "an old format");
     }
 
+    /// An operator begins to finalize or to abort, unless an operation is under way.
     fn asks(&mut self, operator: usize, aborts: bool) {
         let request = if aborts {
             Request::Abort
@@ -244,6 +259,7 @@
         self.operations[operator].get_or_insert(begun);
     }
 
+    /// The operation of an operator takes its next step.
     fn steps(&mut self, operator: usize, fate: Fate) {
         let Some((mut operation, step)) = self.operations[operator].take() else {
             return;
@@ -265,6 +281,7 @@
         self.operations[operator] = Some((operation, next));
     }
 
+    /// A change is carried out as far as its fate allows.
     fn commit(&mut self, operator: usize, change: Change, fate: Fate) -> ChangeOutcome {
         let decided_by = self.read[operator];
         match fate {
@@ -282,6 +299,7 @@
         }
     }
 
+    /// An outcome agrees with the records.
     fn finished(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Finalized(version) => assert!(self.active() >= version),
@@ -295,6 +313,7 @@
         }
     }
 
+    /// One event happens.
     fn handle(&mut self, event: Event) {
         match event {
             Event::Start {
@@ -327,6 +346,7 @@
     }
 }
 
+/// What becomes of a call.
 fn fate() -> impl Strategy<Value = Fate> {
     prop_oneof![
         10 => Just(Fate::Answered),
@@ -336,6 +356,7 @@
     ]
 }
 
+/// Any event.
 fn event() -> impl Strategy<Value = Event> {
     let controllers = || 0..CONTROLLERS;
     let operators = || 0..OPERATORS;
--- a/crates/upgrade/tests/plans.rs
+++ b/crates/upgrade/tests/plans.rs
@@ -8,8 +8,10 @@
     VersionRecord,
 };
 
+/// The time of day of all plans.
 const NOW_MS: u64 = 1_800_000_000_000;
 
+/// The versions that a release works at.
 fn versions(oldest: u32, newest: u32) -> VersionRange {
     VersionRange {
         oldest: ClusterVersion(oldest),
@@ -17,6 +19,7 @@
     }
 }
 
+/// A controller that has registered with a release.
 fn controller(number: usize, release: &str, range: VersionRange) -> Controller {
     let record = MemberRecord {
         release: release.into(),
@@ -33,6 +36,7 @@
     }
 }
 
+/// Records of these controllers, with the first version active.
 fn snapshot(controllers: Vec<Controller>) -> Snapshot {
     Snapshot {
         version: VersionRecord::FIRST,
@@ -41,12 +45,14 @@
     }
 }
 
+/// Three controllers that can follow to the second version.
 fn upgraded() -> Vec<Controller> {
     (0..3)
         .map(|i| controller(i, "0.2", versions(1, 2)))
         .collect()
 }
 
+/// The present, with so long a soak.
 fn timing(soak_s: f64) -> Timing {
     Timing {
         now_ms: NOW_MS,
@@ -55,10 +61,12 @@
     }
 }
 
+/// A policy that can be read.
 fn policy(text: &str) -> UpgradePolicy {
     UpgradePolicy::parse(text, NOW_MS).expect("a policy")
 }
 
+/// The reasons, in words, for which the version does not rise.
 fn holds(snapshot: &Snapshot, text: &str, initiator: Initiator) -> Vec<String> {
     let plan = Plan::of(snapshot, &policy(text), initiator, &timing(60.0));
     assert_eq!(plan.ready().is_some(), plan.holds.is_empty());
--- a/crates/upgrade/tests/records.rs
+++ b/crates/upgrade/tests/records.rs
@@ -8,10 +8,12 @@
     VersionRecord,
 };
 
+/// The record of the version with this text.
 fn version_record(text: Value) -> VersionRecord {
     serde_json::from_value(text).expect("a version's record")
 }
 
+/// The versions that a release works at.
 fn range(oldest: u32, newest: u32) -> VersionRange {
     VersionRange {
         oldest: ClusterVersion(oldest),
--- a/crates/upgrade/tests/windows.rs
+++ b/crates/upgrade/tests/windows.rs
@@ -12,14 +12,17 @@
 /// Windows are held against each other from here on.
 const NOW: &str = "2026-12-01T00:00:00Z";
 
+/// A policy with these windows.
 fn policy(windows: &str) -> Result<UpgradePolicy, PolicyError> {
     UpgradePolicy::parse(&format!("(upgrade {windows})"), at(NOW))
 }
 
+/// Whether one of these windows is open then.
 fn is_open(windows: &str, when: &str) -> bool {
     policy(windows).expect("windows").windows.is_open(at(when))
 }
 
+/// The field, the value and the reason for which a policy is refused.
 fn refusal(text: &str) -> (String, String, String) {
     match UpgradePolicy::parse(text, at(NOW)) {
         Err(PolicyError::Invalid { field, value, why }) => (field, value, why),
@@ -27,6 +30,7 @@
     }
 }
 
+/// From evening to early morning, from Monday to Thursday.
 const EVENINGS: &str = r#"(window monday thursday "20:00" "04:00" "Indian/Mauritius")"#;
 
 #[test]
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -12,6 +12,7 @@
 /// Entries that a log keeps in these histories: few, so that gaps come about.
 const CAPACITY: usize = 5;
 
+/// What happens next.
 #[derive(Clone, Debug)]
 enum Step {
     Pass {
@@ -50,6 +51,7 @@
     },
 }
 
+/// Any step.
 fn step() -> impl Strategy<Value = Step> {
     let peer = || 0..2u8;
     prop_oneof![
@@ -74,6 +76,7 @@
     Option<stairstage::storage::cancellation_log::CancellationPage>,
 );
 
+/// A leader that asks two peers, and the records.
 struct World {
     now: f64,
     evidence: CancellationEvidence,
@@ -87,6 +90,7 @@
     known: BTreeSet<String>,
 }
 
+/// The name of a peer.
 fn name(peer: usize) -> String {
     format!("n{peer}")
 }
@@ -109,17 +113,20 @@
         }
     }
 
+    /// Writes a cancellation; returns its job.
     fn write(&mut self) -> String {
         let job = format!("req-{}", self.records.len());
         self.records.insert(job.clone());
         job
     }
 
+    /// A peer tells a user of a cancellation.
     fn confirm(&mut self, peer: usize, job: String) {
         self.logs[peer].record(&job);
         self.confirmed.push((job, self.now));
     }
 
+    /// Plays a step.
     fn apply(&mut self, step: Step) {
         match step {
             Step::Pass { tenths } => self.now += f64::from(tenths) / 10.0,
@@ -172,6 +179,7 @@
         }
     }
 
+    /// The answer of a peer arrives, or is lost.
     fn arrive(&mut self, peer: usize, lost: bool) {
         let answered = self.questions[peer].take_if(|q| q.2.is_some());
         if let Some((asked, sent, Some(page))) = answered.filter(|_| !lost) {
@@ -253,6 +261,7 @@
     evidence
 }
 
+/// Asks the peer once; returns the jobs in its answer.
 fn ask(evidence: &mut CancellationEvidence, log: &CancellationLog, now: f64) -> Vec<String> {
     let asked = evidence.cursor(&name(0));
     let page = log.page(asked);
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -215,6 +215,7 @@
     grid.worker.lock().unwrap().starts.clone()
 }
 
+/// Whether a task of a job was started.
 fn has_started(grid: &Grid, id: &str) -> bool {
     let starts = starts(grid);
     starts.iter().any(|s| s.starts_with(&format!("{id}/")))
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 impl Cluster {
+    /// How long the next message takes.
     pub(super) fn latency(&mut self) -> Micros {
         let range = if self.random.chance(SLOW_PROBABILITY) {
             SLOW_LATENCY
@@ -20,6 +21,7 @@
         self.random.within(range)
     }
 
+    /// A process sends a call to the state service.
     pub(super) fn send(&mut self, id: ProcessId, call: Call) {
         if self.process(id).is_none() {
             return;
@@ -43,6 +45,7 @@
         self.schedule_arrival(at, id, call, true);
     }
 
+    /// A call arrives then, and is answered if its sender waits.
     fn schedule_arrival(&mut self, at: Micros, id: ProcessId, call: Call, is_awaited: bool) {
         let arrival = SimulatedEvent::Arrive {
             id,
@@ -63,6 +66,7 @@
         }
     }
 
+    /// A call arrives at the state service.
     pub(super) fn arrive(&mut self, id: ProcessId, call: Call, is_awaited: bool) {
         let is_refused = self.nodes[id.node].faults.refused_until > self.now;
         if (self.store.outage || is_refused) && !is_watch(&call) {
@@ -92,11 +96,13 @@
         }
     }
 
+    /// Whether the response to a call of this process is lost.
     pub(super) fn loses_response(&mut self, id: ProcessId) -> bool {
         let is_faulty = self.nodes[id.node].faults.responses_lost_until > self.now;
         is_faulty && self.random.chance(self.fault_rate)
     }
 
+    /// Sends a process the response to one of its operations.
     fn respond(&mut self, id: ProcessId, operation_number: u64, input: Input) {
         self.deliver(id, response(id, operation_number, input));
     }
@@ -197,6 +203,7 @@
     }
 }
 
+/// The arrival of a response at a process.
 fn response(id: ProcessId, operation_number: u64, input: Input) -> SimulatedEvent {
     SimulatedEvent::Respond {
         id,
@@ -205,6 +212,7 @@
     }
 }
 
+/// Whether a call is a transaction.
 fn is_commit(call: &Call) -> bool {
     match call {
         Call::Election { operation, .. } => matches!(operation, Operation::Commit { .. }),
@@ -212,6 +220,7 @@
     }
 }
 
+/// Whether a call is a watch.
 fn is_watch(call: &Call) -> bool {
     matches!(
         call,
@@ -222,10 +231,12 @@
     )
 }
 
+/// What a watch shows to the election.
 fn watched(events: Events) -> Input {
     Input::Watched(Ok(Some(events)))
 }
 
+/// How long a response to an operation is waited for.
 fn timeout_of(operation: &Operation) -> Micros {
     let micros = |duration: &Duration| duration.as_micros() as Micros;
     match operation {
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -34,6 +34,7 @@
         }
     }
 
+    /// A process takes an input, and what follows from it happens.
     pub(super) fn handle(&mut self, id: ProcessId, input: Input) {
         let now = self.local_time(id.node);
         if let Some(process) = self.process(id) {
@@ -42,6 +43,7 @@
         }
     }
 
+    /// Carries out what an election asks for.
     pub(super) fn apply_step(&mut self, id: ProcessId, step: Step) {
         let is_slow = self.nodes[id.node].faults.controller_slow_until > self.now;
         let now = self.now;
@@ -67,6 +69,7 @@
         }
     }
 
+    /// Keeps the tokens that a process was elected with.
     pub(super) fn record_token(&mut self, id: ProcessId, event: &ElectionEvent) {
         let token = match event {
             ElectionEvent::Elected { token } | ElectionEvent::TokenRaised(Some(token)) => *token,
@@ -86,6 +89,7 @@
         process.tokens.insert(token);
     }
 
+    /// A process waits until then by its clock, unless a request is there.
     pub(super) fn wait(&mut self, id: ProcessId, operation_number: u64, until: f64) {
         let Some(process) = self.process(id) else {
             return;
@@ -102,6 +106,7 @@
         self.schedule(at, over);
     }
 
+    /// A wait of a process is over.
     pub(super) fn wait_over(&mut self, id: ProcessId, operation_number: u64) {
         let Some(process) = self.process(id) else {
             return;
@@ -116,6 +121,7 @@
         self.handle(id, input);
     }
 
+    /// A request to the election of a node.
     pub(super) fn request(&mut self, node: usize, request: ElectionRequest) {
         let Some(id) = self.process_id(node) else {
             return;
@@ -134,6 +140,7 @@
         }
     }
 
+    /// A process is told of an event of its election.
     pub(super) fn notified(&mut self, id: ProcessId, event: ElectionEvent) {
         let now = self.local_time(id.node);
         let Some(process) = self.process(id) else {
@@ -172,6 +179,7 @@
         self.schedule(self.now + WRITE_INTERVAL, SimulatedEvent::WriteDue(id));
     }
 
+    /// A write with a token arrives at the state service.
     pub(super) fn write_arrived(&mut self, id: ProcessId, token: u64) {
         let value = serde_json::json!(token);
         let write = Transaction::default()
--- a/tests/common/election_cluster/faults.rs
+++ b/tests/common/election_cluster/faults.rs
@@ -59,6 +59,7 @@
         }
     }
 
+    /// The state service answers again.
     pub(super) fn end_outage(&mut self) {
         self.store.end_outage(self.now);
         if let Some(unknown) = &mut self.unknown_record {
--- a/tests/common/election_cluster/invariants.rs
+++ b/tests/common/election_cluster/invariants.rs
@@ -35,6 +35,7 @@
         }
     }
 
+    /// Keeps since when the record has a version that no living process knows as its own.
     fn track_unknown_record(&mut self) {
         let version = self.store.version(LEADER_KEY);
         let processes = self.nodes.iter().filter_map(|node| node.process.as_ref());
--- a/tests/common/election_cluster/mod.rs
+++ b/tests/common/election_cluster/mod.rs
@@ -223,6 +223,7 @@
         cluster
     }
 
+    /// How many nodes there are.
     pub(crate) fn nodes(&self) -> usize {
         self.nodes.len()
     }
@@ -271,6 +272,7 @@
         }
     }
 
+    /// Lets virtual time pass.
     pub(crate) fn run_for(&mut self, time: Micros) {
         self.run_until(self.now + time);
     }
@@ -288,11 +290,13 @@
         panic!("nobody but {former:?} leads within {within} microseconds");
     }
 
+    /// An event happens then.
     fn schedule(&mut self, at: Micros, event: SimulatedEvent) {
         self.scheduled_events += 1;
         self.queue.insert((at, self.scheduled_events), event);
     }
 
+    /// What the clock of a node shows.
     fn local_time(&self, node: usize) -> f64 {
         let Some(process) = &self.nodes[node].process else {
             return 0.0;
@@ -306,16 +310,19 @@
         started + (local / self.nodes[node].clock_rate * SECOND as f64) as Micros + 2
     }
 
+    /// A process, if it still lives.
     fn process(&mut self, id: ProcessId) -> Option<&mut Process> {
         let process = self.nodes[id.node].process.as_mut();
         process.filter(|process| process.id == id.process)
     }
 
+    /// The process that lives on a node.
     fn process_id(&self, node: usize) -> Option<ProcessId> {
         let process = self.nodes[node].process.as_ref()?.id;
         Some(ProcessId { node, process })
     }
 
+    /// One event happens.
     fn dispatch(&mut self, event: SimulatedEvent) {
         if let Some(until) = self.paused_until(&event) {
             return self.schedule(until, event);
@@ -369,6 +376,7 @@
         (self.now < paused).then_some(paused)
     }
 
+    /// A process starts on a node.
     fn start(&mut self, node: usize) {
         if self.nodes[node].process.is_some() {
             return;
--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -35,6 +35,7 @@
 }
 
 impl LargestWrite {
+    /// Keeps the largest of what transactions hold.
     fn note(&mut self, transaction: &Transaction) {
         self.changes = self.changes.max(transaction.operations.len());
         self.conditions = self.conditions.max(transaction.compares.len());
@@ -105,10 +106,12 @@
     }
 }
 
+/// The number in the name of a machine.
 pub(crate) fn machine_number(name: &str) -> usize {
     name[2..].parse().unwrap()
 }
 
+/// Bytes that an effect sends to the state service or a worker.
 pub(crate) fn effect_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Write { transaction, .. } => serde_json::to_vec(transaction).unwrap().len(),
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -13,6 +13,7 @@
 /// Virtual time in microseconds.
 pub(crate) type Micros = u64;
 
+/// A second, in the unit of virtual time.
 pub(crate) const SECOND: Micros = 1_000_000;
 /// A lease expires late by at most this.
 pub(crate) const MAX_EXPIRY_DELAY: Micros = SECOND / 10;
@@ -41,12 +42,14 @@
     }
 }
 
+/// What a key holds, and the lease that it goes with.
 struct StoredKey {
     value: Value,
     version: u64,
     lease: Option<LeaseId>,
 }
 
+/// A lease and its end.
 struct Lease {
     life: Micros,
     expires_at: Micros,
@@ -106,6 +109,7 @@
         }
     }
 
+    /// Grants a lease for so long.
     pub(crate) fn grant(&mut self, life: Micros, now: Micros) -> LeaseId {
         self.revision += 1;
         let expires_at = now + life + self.random.between(0, self.max_expiry_delay);
@@ -114,6 +118,7 @@
         lease
     }
 
+    /// Renews a lease that has not ended.
     pub(crate) fn renew(&mut self, lease: LeaseId, now: Micros) -> Renewal {
         let Some(lease) = self.leases.get_mut(&lease) else {
             return Renewal::Expired;
@@ -136,10 +141,12 @@
         }
     }
 
+    /// The version of a key, 0 if there is none.
     pub(crate) fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
+    /// What the record of the leader says.
     pub(crate) fn leader(&self) -> Option<CurrentLeader> {
         let stored = self.keys.get(LEADER_KEY)?;
         let record: LeaderRecord = serde_json::from_value(stored.value.clone()).unwrap();
@@ -149,6 +156,7 @@
         })
     }
 
+    /// Applies a transaction if its leases live and all its conditions hold.
     pub(crate) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         let lease_of = |operation: &WriteOperation| match operation {
             WriteOperation::Put { lease, .. } => *lease,
@@ -173,6 +181,7 @@
         CommitOutcome::Applied(self.revision)
     }
 
+    /// Applies one operation at the present revision.
     fn apply(&mut self, operation: &WriteOperation) {
         match operation {
             WriteOperation::Put { key, value, lease } => {
@@ -191,6 +200,7 @@
         }
     }
 
+    /// Keeps a change for watches.
     fn record_change(&mut self, key: &str, value: Option<Value>) {
         if key != LEADER_KEY {
             return;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -66,6 +66,7 @@
         "fix_interval_s":0.0,"fix_s":0.0,"due_s":null})
 }
 
+/// The description of a job, as a submission gives it.
 pub(crate) fn parsed(submission: &Value) -> JobSpec {
     JobSpec::parse(submission.to_string().as_bytes()).unwrap()
 }
@@ -97,10 +98,12 @@
     }
 }
 
+/// The manager of the first leader.
 pub(crate) fn manager() -> ClusterManager {
     manager_with_token(1)
 }
 
+/// The manager of a leader whose tokens begin here, and whose lease never ends.
 pub(crate) fn manager_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
     let mut manager = ClusterManager::new(settings, token, 0.0);
@@ -109,6 +112,7 @@
     manager
 }
 
+/// Opens a job of four tasks, or a gang of eight.
 pub(crate) fn submit(
     manager: &mut ClusterManager,
     id: &str,
@@ -129,6 +133,7 @@
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, 0.0);
 }
 
+/// Hands in a heartbeat of the first machine; returns the commands in its response.
 pub(crate) fn heartbeat(
     manager: &mut ClusterManager,
     sequence: u64,
@@ -159,6 +164,7 @@
     }
 }
 
+/// Hands in a heartbeat of a machine; returns the commands in its response.
 pub(crate) fn heartbeat_from(
     manager: &mut ClusterManager,
     machine: &str,
@@ -222,6 +228,7 @@
     launched
 }
 
+/// The attempts that commands start.
 pub(crate) fn starts(commands: &[Command]) -> Vec<AttemptId> {
     let start = |c: &Command| match c {
         Command::Start { task, attempt } => Some(AttemptId::new(task, *attempt)),
@@ -230,6 +237,7 @@
     commands.iter().filter_map(start).collect()
 }
 
+/// How a heartbeat shows these attempts.
 pub(crate) fn shown(
     tasks: &[AttemptId],
     state: TaskState,
@@ -273,6 +281,7 @@
 }
 
 impl Store {
+    /// Whether a transaction keeps within the bounds of the service.
     fn takes(&self, txn: &Transaction) -> bool {
         let fits = |change: &WriteOperation| match change {
             WriteOperation::Put { value, .. } => value.to_string().len() <= self.value_bytes,
@@ -290,6 +299,7 @@
         failed.map(|c| c.key.clone()).collect()
     }
 
+    /// Applies a transaction if all its conditions hold; returns the new revision.
     pub(crate) fn commit(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
         if !self.takes(txn) {
             return Err(Refusal::TooLarge);
@@ -312,6 +322,7 @@
         Ok(self.revision)
     }
 
+    /// What a key holds.
     pub(crate) fn item(&self, key: &str) -> Option<VersionedValue> {
         let (value, version) = self.values.get(key)?.clone();
         Some(VersionedValue {
@@ -346,11 +357,13 @@
         }
     }
 
+    /// What all keys under a prefix hold.
     pub(crate) fn under(&self, prefix: &str) -> Vec<VersionedValue> {
         let keys = self.values.keys().filter(|k| k.starts_with(prefix));
         keys.filter_map(|k| self.item(k)).collect()
     }
 
+    /// What a new leader reads.
     pub(crate) fn records(&self) -> Records {
         Records {
             open: self.under(OPEN_PREFIX),
--- a/tests/common/random.rs
+++ b/tests/common/random.rs
@@ -4,6 +4,7 @@
 pub(crate) struct SplitMix64(pub u64);
 
 impl SplitMix64 {
+    /// The next number.
     pub(crate) fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
--- a/tests/common/standins.rs
+++ b/tests/common/standins.rs
@@ -129,6 +129,7 @@
         }
     }
 
+    /// Grants a lease for as long as it is asked for.
     fn grant_lease(&mut self, body: &Value) -> (u16, Value) {
         self.revision += 1;
         let life = Duration::from_millis(body["life_ms"].as_u64().unwrap());
@@ -136,6 +137,7 @@
         (200, json!({"mooring": self.revision}))
     }
 
+    /// Renews a lease that has not ended.
     fn extend_lease(&mut self, id: &str) -> (u16, Value) {
         match self.leases.get_mut(&id.parse().unwrap()) {
             Some(lease) => {
@@ -181,6 +183,7 @@
         (200, page)
     }
 
+    /// What a key holds.
     fn read(&self, key: &str) -> (u16, Value) {
         match self.keys.get(key) {
             Some(entry) => (
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,6 +6,7 @@
 use stairstage::coordination::scheduling::backfill::{reserve, FutureRelease, FutureResources};
 use stairstage::coordination::state::Resources;
 
+/// So many processors, and nothing else.
 fn cpus(n: u32) -> Resources {
     Resources {
         cpus: f64::from(n),
@@ -22,8 +23,10 @@
     times.into_iter().find(|t| free_at(*t) >= need)
 }
 
+/// Free processors of a machine, and when how many more become free.
 type Machine = (u32, Vec<(u32, u32)>);
 
+/// The same as the scheduler takes them.
 fn future_resources(machines: &[Machine]) -> Vec<FutureResources> {
     let release = |e: &(u32, u32)| FutureRelease {
         at: f64::from(e.0),
@@ -37,6 +40,7 @@
     machines.iter().enumerate().map(machine).collect()
 }
 
+/// A few machines with tasks that end.
 fn machines() -> impl Strategy<Value = Vec<Machine>> {
     let machine = (
         0u32..4,
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -114,6 +114,7 @@
     }
 }
 
+/// Idle machines of the smaller type.
 const SMALL_MACHINES: usize = 6;
 
 /// Idle machines of the smaller of two types; the cloud has none of the larger type.
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -13,10 +13,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// The lease of a leader.
 const LEASE: Micros = 16 * SECOND / 10;
 /// The time after which a node leads again: a watch whose connection was lost is held open for four
 /// leases.
 const RECOVERY: Micros = 7 * LEASE;
+/// The same faults in each run.
 const SEED: u64 = 7;
 
 /// A cluster whose faults affect every request.
@@ -24,6 +26,7 @@
     Cluster::new(LEASE, MAX_EXPIRY_DELAY, 1.0, SEED)
 }
 
+/// The same with an elected node.
 fn cluster_with_leader() -> (Cluster, usize) {
     let mut cluster = cluster();
     let leader = cluster.run_until_elected(None, LEASE);
@@ -43,6 +46,7 @@
     assert_eq!(cluster.valid_token(leader), Some(record.version));
 }
 
+/// What goes wrong, with whom and for how long.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Restart(usize, Micros),
@@ -61,6 +65,7 @@
     RaiseToken,
 }
 
+/// Any fault.
 fn fault() -> impl Strategy<Value = Fault> {
     let node = 0..3usize;
     let brief = SECOND / 20..SECOND;
@@ -85,6 +90,7 @@
     ]
 }
 
+/// A fault begins.
 fn apply(cluster: &mut Cluster, fault: Fault) {
     match fault {
         Fault::Restart(node, time) => cluster.restart(node, time),
@@ -104,6 +110,7 @@
     }
 }
 
+/// A fault begins that strikes whoever leads.
 fn apply_to_leader(cluster: &mut Cluster, fault: Fault, leader: usize) {
     match fault {
         Fault::LeaderRefusedThenAll(time) => {
@@ -119,6 +126,7 @@
     }
 }
 
+/// All processes end, and are back after so long.
 fn restart_all(cluster: &mut Cluster, downtime: Micros) {
     for node in 0..cluster.nodes() {
         cluster.restart(node, downtime);
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -20,9 +20,12 @@
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{ClusterVersion, Fence, VersionRange, VersionRecord};
 
+/// The stamp of the record of the version that a controller has read.
 const STAMP: u64 = 5;
+/// The stamp of a newer one.
 const LATER_STAMP: u64 = 9;
 
+/// The record of the version, with this one active.
 fn record(active: u32) -> VersionRecord {
     VersionRecord {
         active: ClusterVersion(active),
@@ -31,11 +34,13 @@
     }
 }
 
+/// The fence of a controller that has read that record.
 fn write_fence(active: u32) -> WriteFence {
     let range = VersionRange::OF_THIS_RELEASE;
     WriteFence::Read(Fence::new(range, &record(active), STAMP))
 }
 
+/// A newer record, as the state service holds it.
 fn item(active: u32) -> VersionedValue {
     VersionedValue {
         key: VERSION.into(),
@@ -44,6 +49,7 @@
     }
 }
 
+/// The stamp that a transaction depends on.
 fn stamp_in(transaction: &Transaction) -> Option<u64> {
     let condition = transaction.compares.iter().find(|c| c.key == VERSION);
     condition.map(|c| c.version)
@@ -59,6 +65,7 @@
     (manager, id, transaction)
 }
 
+/// The next write of a leader.
 fn next_write(manager: &mut ClusterManager, now: f64) -> Option<(u64, Transaction)> {
     manager.tick(now);
     manager.step(now);
@@ -135,6 +142,7 @@
     assert_eq!(transaction.compares.len(), most);
 }
 
+/// The transaction that a request commits.
 fn committed(effects: &[RequestEffect]) -> &Transaction {
     match effects {
         [RequestEffect::Store(StoreCall::Commit(transaction))] => transaction,
@@ -142,11 +150,13 @@
     }
 }
 
+/// A transaction fails because the version was raised.
 fn version_raised() -> RequestEvent {
     let failed = vec![VERSION.to_string()];
     RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::Conflict(failed)))
 }
 
+/// Whether a user is asked to come back later.
 fn is_turned_away(effects: &[RequestEffect]) -> bool {
     matches!(effects, [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some())
@@ -176,6 +186,7 @@
     assert!(is_turned_away(&answer), "{answer:?}");
 }
 
+/// A submission of a job that waits for another.
 fn waiting_submission() -> String {
     let mut body = submission("req-2", "sweep", "normal", 4);
     body["waits_on"] = json!(["req-1"]);
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -28,6 +28,7 @@
         self.check_quota();
     }
 
+    /// A task runs once, after what it waits for, while it is not cancelled, and where it may.
     fn check_start(&self, worker: usize, task: &str) {
         let present = self.workers.iter().enumerate();
         let elsewhere = present
@@ -84,6 +85,7 @@
         }
     }
 
+    /// Processors that each team has in use.
     fn team_use(&self) -> BTreeMap<&str, f64> {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for w in self.workers.iter().filter(|w| !w.gone) {
@@ -160,6 +162,7 @@
         }
     }
 
+    /// A task of a cancelled job is gone within the time that the operators set.
     fn check_cancelled(&self, task: &str, job: &Job, at: f64) {
         let limit = self.settings.cluster.workers.cancel_s;
         let late = job.cancelled_at.map_or(0.0, |t| at - t - limit);
--- a/tests/histories/combinations/mod.rs
+++ b/tests/histories/combinations/mod.rs
@@ -6,6 +6,7 @@
 mod messages;
 mod mixed;
 
+/// Histories of most tests.
 const SEEDS: u64 = 20;
 /// How long the lease of a leader goes on that has lost the state service, at the most.
 const LEADER_LEASE_S: f64 = 5.0;
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -12,6 +12,7 @@
 use stairstage::storage::records::LEADER_KEY;
 
 impl World {
+    /// The number of a machine, if there was one of this name.
     pub(crate) fn worker_named(&self, name: &str) -> Option<usize> {
         self.workers.iter().position(|w| w.name == name)
     }
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Carries out one effect of the controller with this leadership.
     pub(crate) fn carry_out(&mut self, from: u64, effect: Effect) {
         let now = self.now;
         match effect {
@@ -104,6 +106,7 @@
         }
     }
 
+    /// The record of the leader is written anew, if it still names this one.
     fn raise_token(&mut self, from: u64) -> Option<u64> {
         let leader = self.controller(from).filter(|l| l.reaches_store)?;
         let txn = Transaction::default()
@@ -112,6 +115,7 @@
         self.store.commit(&txn).ok()
     }
 
+    /// Carries out a write as far as its fate allows; the controller hears what it would hear.
     fn write(&mut self, from: u64, id: u64, transaction: Transaction) {
         let reaches_store = self.controller(from).is_some_and(|l| l.reaches_store);
         if !reaches_store {
@@ -140,6 +144,7 @@
         self.with_controller(from, |manager| manager.write_finished(id, written, now));
     }
 
+    /// No write is larger than the state service takes.
     pub(crate) fn check_size(&self, transaction: &Transaction, result: &Result<u64, Refusal>) {
         assert!(
             *result != Err(Refusal::TooLarge),
--- a/tests/histories/generated.rs
+++ b/tests/histories/generated.rs
@@ -4,6 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// So many cases, the same ones in each run.
 fn config(cases: u32, seed: u64) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -13,6 +14,7 @@
     }
 }
 
+/// Plays steps from a world with a job and three known machines; then everything heals.
 fn play(steps: Vec<Step>) {
     let mut world = world();
     world.submit_number(0, 0, true);
--- a/tests/histories/job.rs
+++ b/tests/histories/job.rs
@@ -35,6 +35,7 @@
         }
     }
 
+    /// Whether its tasks run until it is cancelled.
     pub(crate) fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
@@ -44,14 +45,17 @@
         self.run_times.first_s + self.run_times.stagger_s * f64::from(number)
     }
 
+    /// Whether its tasks run together.
     pub(crate) fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
+    /// Whether it is neither complete nor cancelled, and no user was told an end.
     pub(crate) fn is_open(&self) -> bool {
         self.told.is_none() && self.cancelled_at.is_none() && !self.is_complete()
     }
 
+    /// Whether all its tasks have completed.
     pub(crate) fn is_complete(&self) -> bool {
         !self.is_service() && self.done.len() == self.spec.tasks as usize
     }
@@ -96,6 +100,7 @@
 }
 
 impl JobShape {
+    /// What its user submits.
     pub(crate) fn submission(&self, id: &str) -> Value {
         let (rig, precedence) = match self.kind {
             JobKind::Array => ("sweep", "normal"),
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -6,6 +6,7 @@
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Workers;
 
+/// A controller that leads or has led.
 pub(crate) struct Leader {
     pub manager: ClusterManager,
     /// Whether it still reaches the state service, and so learns of every confirmed cancellation.
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -23,13 +23,17 @@
     }
 }
 
-/// A sender of direct commands gives up on an answer after this time, and so does one of writes.
+/// A sender of direct commands gives up on an answer after this time.
 const COMMAND_TIMEOUT_S: f64 = 2.0;
+/// The same of a write.
 const WRITE_TIMEOUT_S: f64 = 1.0;
-/// For how long commands, and writes that got no answer, may be held up on their way.
+/// For how long direct commands that are answered in time are held up on their way.
 const SLOW_COMMAND_DELAY: DelayRange = DelayRange::new(0.1, 0.9);
+/// The same of direct commands that their sender has given up on.
 const LATE_COMMAND_DELAY: DelayRange = DelayRange::new(2.0, 16.0);
+/// The same of such writes.
 const LATE_WRITE_DELAY: DelayRange = DelayRange::new(2.0, 12.0);
+/// The same of writes that are still answered in time.
 const SLOW_WRITE_DELAY: DelayRange = DelayRange::new(0.2, 0.9);
 /// Responses to heartbeats may take longer than a worker waits.
 const SLOW_RESPONSE_DELAY: DelayRange = DelayRange::new(0.3, 4.5);
@@ -107,11 +111,13 @@
     pub write: u64,
 }
 
+/// A message that arrives then.
 struct Delayed {
     at: f64,
     message: Message,
 }
 
+/// Messages on their way, and the random numbers that decide on them.
 pub(crate) struct Network {
     pub faults: Faults,
     pub random: Random,
@@ -129,19 +135,23 @@
         }
     }
 
+    /// Sends a message that arrives then.
     pub(crate) fn send(&mut self, at: f64, message: Message) {
         self.delayed.push(Delayed { at, message });
     }
 
+    /// Sends a message that takes a time within the range.
     fn send_within(&mut self, now: f64, delay: DelayRange, message: Message) {
         let delay_s = self.random.between(delay.min_s, delay.max_s);
         self.send(now + delay_s, message);
     }
 
+    /// How long a machine takes to boot.
     pub(crate) fn boot_s(&mut self) -> f64 {
         self.random.between(BOOT_DELAY.min_s, BOOT_DELAY.max_s)
     }
 
+    /// How long news of a job takes to the leader at the most.
     pub(crate) fn max_announcement_delay_s(&self) -> f64 {
         ANNOUNCEMENT_DELAY.max_s
     }
@@ -196,16 +206,19 @@
         }
     }
 
+    /// Sends news of a job to the leader.
     fn announce(&mut self, now: f64, message: Message) {
         self.send_within(now, ANNOUNCEMENT_DELAY, message);
     }
 }
 
 impl World {
+    /// The network, which only timed histories have.
     pub(crate) fn net(&mut self) -> &mut Network {
         self.network.as_mut().expect("a timed history")
     }
 
+    /// The leader learns of an accepted job: soon, or at once without a network.
     pub(crate) fn announce_job(&mut self, record: OpenRecord, version: u64) {
         let now = self.now;
         match &mut self.network {
@@ -218,6 +231,7 @@
         }
     }
 
+    /// The leader learns of a cancellation: soon, or at once without a network.
     pub(crate) fn announce_end(&mut self, id: &str) {
         let now = self.now;
         let state = JobState::Cancelled;
@@ -312,6 +326,7 @@
         self.carry_out_write(transaction, (!unanswered).then_some(to));
     }
 
+    /// Applies a write; its controller hears of it if there is an answer.
     fn carry_out_write(&mut self, transaction: Transaction, answer: Option<AnswerTo>) {
         let result = self.store.commit(&transaction);
         self.check_size(&transaction, &result);
@@ -336,6 +351,7 @@
         }
     }
 
+    /// One message arrives.
     fn arrive(&mut self, message: Message) {
         let now = self.now;
         match message {
@@ -400,6 +416,7 @@
         }
     }
 
+    /// Direct commands arrive, and are answered if somebody still waits.
     fn command_arrives(&mut self, machine: &Name, batch: CommandBatch, answer_to: Option<u64>) {
         let now = self.now;
         let i = self.worker_named(machine).expect("a machine");
--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -5,14 +5,17 @@
 
 /// Cancellations that a controller keeps: more than any history has.
 const CAPACITY: usize = 10_000;
+/// The other controllers.
 const NAMES: [&str; 2] = ["b", "c"];
 
+/// A controller that keeps a log of the cancellations that it has confirmed.
 struct Peer {
     name: String,
     log: CancellationLog,
     incarnation: u64,
 }
 
+/// The other controllers of a history.
 pub(crate) struct Peers {
     peers: Vec<Peer>,
     /// Cancellations that were confirmed so far; users ask one controller after the other.
@@ -32,6 +35,7 @@
         }
     }
 
+    /// Their names.
     pub(crate) fn names(&self) -> impl Iterator<Item = &String> {
         self.peers.iter().map(|p| &p.name)
     }
--- a/tests/histories/settings.rs
+++ b/tests/histories/settings.rs
@@ -6,6 +6,7 @@
 /// The zones that machines are in.
 pub(crate) const ZONES: [&str; 2] = ["z", "y"];
 
+/// Two teams with limits; the next limits of the state service are narrow.
 pub(crate) const SETTINGS: &str = r#"
 host_name = "a"
 zone = "z"
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -109,6 +109,7 @@
     },
 }
 
+/// A step of any history.
 pub(crate) fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (1u8..30).prop_map(Step::Pass),
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -15,13 +15,15 @@
 const TICK_S: f64 = 0.25;
 /// Heartbeat intervals differ by up to this share.
 const HEARTBEAT_SPREAD: f64 = 0.25;
-/// Seconds between slower decisions of the leader, and between two lists of machines, in ticks.
+/// Ticks from one slower decision of the leader to the next.
 const TICKS_A_DECISION: u64 = 4;
+/// Ticks from one list of machines to the next.
 const TICKS_A_LIST: u64 = 16;
 /// Questions of a leader to each other controller in a heartbeat interval.
 const PEER_QUERIES: f64 = 4.0;
-/// Open jobs that keep the teams at their limits, and the share of ticks in which one is cancelled.
+/// Open jobs that keep the teams at their limits.
 const SMALL_JOBS: usize = 16;
+/// The share of ticks in which one of them is cancelled.
 const CANCELLED_SHARE: f64 = 0.15;
 /// Once all faults are over, every job has come to its end within this time.
 const QUIET_S: f64 = 150.0;
@@ -69,14 +71,17 @@
 }
 
 impl World {
+    /// What goes wrong with messages from now on.
     pub(crate) fn set_faults(&mut self, faults: Faults) {
         self.net().faults = faults;
     }
 
+    /// Whether something happens that does in this share of cases.
     pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.net().random.chance(share)
     }
 
+    /// A number in this range.
     pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
         self.net().random.between(low, high)
     }
@@ -103,6 +108,7 @@
         id
     }
 
+    /// The users of this share of jobs cancel them.
     pub(crate) fn cancel_some(&mut self, share: f64) {
         let open = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_none());
         let ids: Vec<String> = open.map(|(id, _)| id.clone()).collect();
@@ -113,6 +119,7 @@
         }
     }
 
+    /// Lets time pass in ticks, with all that happens in each.
     pub(crate) fn run_for(&mut self, seconds: f64) {
         let ticks = (seconds / TICK_S).ceil() as u64;
         for _ in 0..ticks {
@@ -141,6 +148,7 @@
         }
     }
 
+    /// Jobs that have not come to their end.
     fn open_jobs(&self) -> usize {
         self.jobs.values().filter(|j| j.is_open()).count()
     }
@@ -155,6 +163,7 @@
         }
     }
 
+    /// A small job of either team.
     fn small_shape(&mut self) -> JobShape {
         let random = &mut self.net().random;
         JobShape {
@@ -166,6 +175,7 @@
         }
     }
 
+    /// The leader and former leaders decide, with what they have learned until now.
     fn let_controllers_decide(&mut self) {
         let now = self.now;
         let tick = (now / TICK_S).round() as u64;
@@ -260,6 +270,8 @@
         }
     }
 
+    /// Sends a heartbeat to the leader that the worker reaches, if any, and takes or awaits the
+    /// response.
     fn send_heartbeat(&mut self, i: usize) {
         let now = self.now;
         let report_s = self.settings.cluster.workers.report_s;
@@ -352,6 +364,7 @@
         }
     }
 
+    /// All links of a machine are whole again; what was held up arrives.
     pub(crate) fn reconnect(&mut self, i: usize) {
         let w = &mut self.workers[i];
         w.partitioned = false;
@@ -364,6 +377,7 @@
         }
     }
 
+    /// A machine that hangs runs again.
     pub(crate) fn resume(&mut self, i: usize) {
         if self.workers[i].hung {
             let now = self.now;
@@ -379,6 +393,7 @@
         }
     }
 
+    /// No machine hangs or is out of reach any more.
     pub(crate) fn reconnect_all(&mut self) {
         for i in 0..self.workers.len() {
             self.resume(i);
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -8,12 +8,14 @@
 
 /// Processors of a machine.
 pub(crate) const CPUS: f64 = 4.0;
-/// A worker takes no response to a heartbeat after this time, and tries the next node a second later.
+/// A worker takes no response to a heartbeat after this time.
 pub(crate) const RESPONSE_TIMEOUT_S: f64 = 4.0;
+/// Seconds until a worker tries the next node.
 pub(crate) const RETRY_S: f64 = 1.0;
 /// A worker sends no two heartbeats within this time.
 const MIN_HEARTBEAT_PAUSE_S: f64 = 0.5;
 
+/// A task on a machine, with the time since it is in its state.
 #[derive(Clone)]
 pub(crate) struct TaskOnWorker {
     pub state: TaskState,
@@ -28,6 +30,7 @@
     pub sent: f64,
 }
 
+/// A machine with its worker, and what keeps it from others.
 pub(crate) struct Worker {
     pub name: String,
     pub kind: &'static str,
@@ -101,6 +104,7 @@
         self.tasks.clear();
     }
 
+    /// Whether it has booted and is not gone.
     pub(crate) fn is_up(&self, now: f64) -> bool {
         !self.gone && now >= self.up_at
     }
@@ -149,6 +153,7 @@
         self.heartbeat()
     }
 
+    /// The next heartbeat.
     pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -175,6 +180,7 @@
         }
     }
 
+    /// The tasks that have not exited.
     pub(crate) fn live(&self) -> impl Iterator<Item = &String> {
         let live = self
             .tasks
@@ -183,6 +189,7 @@
         live.map(|(id, _)| &id.task)
     }
 
+    /// A task exits, which the next heartbeat shows.
     pub(crate) fn exit(&mut self, id: &AttemptId, cause: Cause, now: f64) {
         if let Some(task) = self.tasks.get_mut(id) {
             task.state = TaskState::Exited;
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -31,6 +31,7 @@
     Late,
 }
 
+/// All parts of a history, and what its checks know.
 pub(crate) struct World {
     pub now: f64,
     pub settings: Arc<Settings>,
@@ -167,10 +168,12 @@
         all.find(|l| l.id() == id)
     }
 
+    /// The decisions of the leader, which there must be.
     pub(crate) fn manager(&mut self) -> &mut ClusterManager {
         &mut self.leader.as_mut().expect("somebody leads").manager
     }
 
+    /// Whether all tasks of a job have completed.
     pub(crate) fn is_complete(&self, job: &str) -> bool {
         self.jobs.get(job).is_some_and(Job::is_complete)
     }
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -34,10 +34,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Counts what is allocated.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
+/// Machines of a fleet that others are compared with.
 const SMALL: u32 = 1000;
+/// Machines of the largest fleet.
 const LARGEST: u32 = 6000;
 
 /// Tests that count allocated bytes, or build a whole fleet, run one after the other.
@@ -54,6 +57,7 @@
     largest: LargestWrite,
 }
 
+/// What events cost the leader of this fleet.
 fn costs(fleet: FullFleet) -> Costs {
     let FullFleet {
         mut manager,
--- a/tests/lookups.rs
+++ b/tests/lookups.rs
@@ -14,14 +14,17 @@
 use stairstage::storage::records::{end_key, open_key, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
+/// The settings of most tests.
 fn settings() -> Settings {
     Settings::parse("test", SETTINGS).unwrap()
 }
 
+/// A batcher without polls.
 fn batcher() -> PollBatcher {
     PollBatcher::new(Limits::of(&settings()))
 }
 
+/// A poll of a job that no leader knows of.
 fn poll(job: &str) -> Poll {
     Poll {
         job: job.into(),
@@ -57,6 +60,7 @@
     }
 }
 
+/// What the state service answers to a call.
 fn answer_of(store: &Store, call: StoreCall) -> StoreAnswer {
     match call {
         StoreCall::Read(key) => StoreAnswer::Read(Ok(store.item(&key))),
@@ -86,6 +90,7 @@
     store
 }
 
+/// How a poll is answered of a job that waits for one with such an end.
 fn answers_of_pipeline(needed_end: Option<&str>) -> Vec<(u64, u16)> {
     let mut batcher = batcher();
     let first = batcher.enqueue(1, poll("req-2"), 0.0);
@@ -171,6 +176,7 @@
     assert_eq!(*ends, ["req-1", "req-2", "req-3"].map(done));
 }
 
+/// Whether this poll is handed on to another node.
 fn is_forwarded(effects: &[PollEffect], number: u64) -> bool {
     matches!(effects, [PollEffect::Forward(n)] if *n == number)
 }
--- a/tests/mistakes.rs
+++ b/tests/mistakes.rs
@@ -10,7 +10,9 @@
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
+/// Machines of the only type.
 const MACHINES: u64 = 20;
+/// Tasks that run at once.
 const SLOTS: usize = 4 * MACHINES as usize;
 
 /// A fleet whose tasks fail when their machine next reports, or run on.
@@ -42,6 +44,7 @@
         fleet
     }
 
+    /// Opens an array.
     fn open(&mut self, id: &str, tasks: u32, sequence: u64) {
         let spec = parsed(&submission(id, "sweep", "normal", tasks));
         let record = OpenRecord::accepted(spec, 0);
@@ -104,6 +107,7 @@
     }
 }
 
+/// Whether a task is of this job.
 fn of_job<'a>(id: &'a str) -> impl Fn(&str) -> bool + 'a {
     move |task| task.starts_with(id)
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -19,6 +19,7 @@
 /// the others for its lease and its records.
 const USERS_SHARE: f64 = 0.4;
 
+/// What a question finds at a node with two peers.
 fn context() -> Context {
     let mut settings = Settings::parse("test", SETTINGS).unwrap();
     for name in ["b", "c"] {
@@ -62,6 +63,7 @@
 }
 
 impl Seen {
+    /// Carries out what a batcher asks for: no job is known.
     fn carry_out(&mut self, batcher: &mut PollBatcher, effects: Vec<PollEffect>, now: f64) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -54,6 +54,7 @@
     }
 }
 
+/// An address on loopback that nobody listens on.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -53,6 +53,7 @@
         self
     }
 
+    /// A job is submitted that waits for these, and the leader hears of it.
     fn submit(&mut self, id: &str, waits_on: &[&str], change: impl FnOnce(&mut Value), now: f64) {
         let mut body = submission(id, "sweep", "normal", 2);
         body["waits_on"] = json!(waits_on);
@@ -77,6 +78,7 @@
         self.manager.job_end_recorded(id, JobState::Cancelled, now);
     }
 
+    /// Lets the leader decide; writes, reads and ends are carried out.
     fn act(&mut self, now: f64) {
         let Leader {
             manager,
@@ -136,17 +138,20 @@
         );
     }
 
+    /// Whether a task of a job was launched.
     fn has_launched(&self, id: &str) -> bool {
         self.launched
             .iter()
             .any(|t| t.task.starts_with(&format!("{id}/")))
     }
 
+    /// The end of a job on record.
     fn end(&self, id: &str) -> Option<Value> {
         Some(self.store.item(&end_key(id))?.value["state"].clone())
     }
 }
 
+/// Changes nothing about a submission.
 fn plain(_: &mut Value) {}
 
 /// Whether a transaction puts the end of a job on record.
--- a/tests/play/failures.rs
+++ b/tests/play/failures.rs
@@ -5,6 +5,7 @@
 use crate::simulation::{Simulation, UNLIMITED};
 use crate::workload::{mixed, stream, JobPlan, Random};
 
+/// Days of each test.
 const SEEDS: u64 = 12;
 
 /// Jobs that fail on every machine until their users cancel them.
--- a/tests/play/leaders.rs
+++ b/tests/play/leaders.rs
@@ -5,6 +5,7 @@
 use crate::simulation::{team, Simulation, UNLIMITED};
 use crate::workload::{mixed, JobPlan, Random};
 
+/// Days of each test.
 const SEEDS: u64 = 12;
 
 /// Machines of an earlier leader that nothing can be learned about while the cloud takes none back.
--- a/tests/play/meetings.rs
+++ b/tests/play/meetings.rs
@@ -5,10 +5,12 @@
 use crate::simulation::{team, Simulation};
 use crate::workload::{mixed, JobPlan, Random};
 
+/// The zones of each day.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 /// Faults begin and end within this time.
 const FAULTS_END_S: f64 = 120.0;
 
+/// What goes wrong for a while.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     LeaderEnds,
@@ -26,6 +28,7 @@
     NoPromises,
 }
 
+/// All faults, to draw from.
 const FAULTS: [Fault; 13] = [
     Fault::LeaderEnds,
     Fault::ZonePartitioned,
@@ -51,6 +54,7 @@
     which: usize,
 }
 
+/// Between four and eight faults that overlap as they may.
 fn windows(random: &mut Random) -> Vec<FaultWindow> {
     let count = 4 + random.below(5);
     let window = |_| {
@@ -71,6 +75,7 @@
     (window.from + (window.until - window.from) / 5.0).ceil()
 }
 
+/// What a fault does once, as it begins.
 fn begin(play: &mut Simulation, window: &FaultWindow) {
     let machines = play.workers.values_mut();
     let some = machines.skip(window.which).step_by(3);
@@ -111,6 +116,7 @@
     play.state.set(state);
 }
 
+/// Jobs of all kinds, some of which are broken or cancelled.
 fn jobs(random: &mut Random) -> Vec<JobPlan> {
     let share = random.between(0.5, 1.2);
     let mut plans = mixed(random, 24.0, share, FAULTS_END_S);
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -11,6 +11,7 @@
 use stairstage::storage::records::OpenRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A job, and how long its tasks really run.
 #[derive(Clone, Debug)]
 struct Load {
     at_s: f64,
@@ -33,8 +34,10 @@
     done: Option<f64>,
 }
 
+/// Machines of the only type.
 const MACHINES: usize = 6;
 
+/// A leader with machines whose answers come at once.
 struct Play {
     manager: ClusterManager,
     now: f64,
@@ -61,6 +64,7 @@
         }
     }
 
+    /// A user submits a job.
     fn submit(&mut self, number: usize, load: &Load) {
         let id = format!("req-{number}");
         let mut body = submission(&id, load.rig, "normal", load.tasks);
@@ -84,6 +88,7 @@
         );
     }
 
+    /// A machine carries out commands.
     fn run(&mut self, machine: usize, commands: &[Command]) {
         for command in commands {
             match command {
@@ -108,6 +113,7 @@
         }
     }
 
+    /// The next heartbeat of a machine; tasks that have run for long enough are done in it.
     fn heartbeat(&mut self, machine: usize) -> Heartbeat {
         self.seqs[machine] += 1;
         let now = self.now;
@@ -138,6 +144,7 @@
         }
     }
 
+    /// A second passes.
     fn second(&mut self) {
         for machine in 0..MACHINES {
             let heartbeat = self.heartbeat(machine);
@@ -160,6 +167,7 @@
         self.now += 1.0;
     }
 
+    /// Carries out one effect.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Write { id, .. } => {
--- a/tests/play/reservations.rs
+++ b/tests/play/reservations.rs
@@ -5,12 +5,15 @@
 use crate::simulation::{Simulation, UNLIMITED};
 use crate::workload::{stream, JobPlan, Random};
 
+/// Days of each test.
 const SEEDS: u64 = 12;
+/// Machines of each day.
 const MACHINES: usize = 4;
 /// A reservation withholds a job from room for less than this time.
 const YIELDS_WITHIN_S: f64 = 60.0;
-/// When machines begin and cease to fail what they start.
+/// Machines begin to fail what they start after so long.
 const FAILURES_BEGIN_S: f64 = 15.0;
+/// Failures end between these seconds of the day.
 const FAILURES_END_S: (f64, f64) = (95.0, 140.0);
 
 /// Tasks that leave a little room on every machine, and run for longer than their owner expects;
--- a/tests/play/rules.rs
+++ b/tests/play/rules.rs
@@ -16,6 +16,7 @@
 /// Broken rules that a failing test prints.
 const REPORTED: usize = 5;
 
+/// Of those that waited, how many were served in time.
 #[derive(Default)]
 struct Served {
     all: usize,
@@ -23,6 +24,7 @@
 }
 
 impl Served {
+    /// Counts one that was served, or not.
     fn count(&mut self, served: bool) {
         self.all += 1;
         self.served += usize::from(served);
@@ -71,6 +73,8 @@
     outcomes.filter(|(_, o)| o.plan.cancel_after_s.is_none())
 }
 
+/// What was not served: large jobs that began too late, and groups of which less than half was
+/// done.
 fn unserved(simulation: &Simulation) -> Vec<String> {
     let mut largest: BTreeMap<&str, f64> = BTreeMap::new();
     for (_, outcome) in wanted(simulation) {
--- a/tests/play/services.rs
+++ b/tests/play/services.rs
@@ -74,6 +74,7 @@
         allowed
     }
 
+    /// What becomes of a transaction now.
     pub(crate) fn fate(&mut self, txn: &Transaction, random: &mut Random, now: f64) -> Fate {
         if self.refuses || !self.allows(txn.operations.len(), now) {
             Fate::Refused
@@ -116,6 +117,7 @@
         }
     }
 
+    /// A cloud with so many machines in each zone, that are up within two seconds.
     pub(crate) fn with_capacity(most_in_zone: usize) -> Cloud {
         Cloud {
             rents: true,
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -40,6 +40,7 @@
         self.leader = Some(manager);
     }
 
+    /// Transactions that were given up on are carried out.
     pub(super) fn carry_out_late(&mut self) {
         let now = self.now;
         let late = std::mem::take(&mut self.late);
@@ -51,6 +52,7 @@
         }
     }
 
+    /// Writes are answered, or found to be unanswered, when that is due.
     pub(super) fn answer_writes(&mut self) {
         let now = self.now;
         let pending = std::mem::take(&mut self.pending);
@@ -69,6 +71,7 @@
         }
     }
 
+    /// Applies a transaction; what the leader hears of it.
     pub(super) fn commit(&mut self, txn: &Transaction) -> WriteOutcome {
         match self.store.commit(txn) {
             Ok(revision) => WriteOutcome::Applied(revision),
@@ -77,6 +80,7 @@
         }
     }
 
+    /// The leader decides until it has nothing more to say.
     pub(super) fn decide(&mut self) {
         let now = self.now;
         let Some(manager) = &mut self.leader else {
@@ -98,6 +102,7 @@
         }
     }
 
+    /// Carries out one effect of the leader.
     pub(super) fn carry_out(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
@@ -135,10 +140,12 @@
         }
     }
 
+    /// The decisions of the leader, which there must be.
     pub(super) fn manager(&mut self) -> &mut ClusterManager {
         self.leader.as_mut().expect("its effects are carried out")
     }
 
+    /// Sends a write to the state service, which treats it as it does at the moment.
     pub(super) fn write(&mut self, id: u64, transaction: Transaction) {
         let now = self.now;
         let fate = self.state.fate(&transaction, &mut self.random, now);
@@ -175,6 +182,7 @@
         });
     }
 
+    /// Delivers direct commands; what their sender hears of it.
     pub(super) fn deliver(&mut self, name: &str, batch: &CommandBatch) -> CommandOutcome {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -199,6 +207,7 @@
         }
     }
 
+    /// The record of the leader is written anew.
     pub(super) fn raise_token(&mut self) -> Option<u64> {
         if self.state.refuses {
             return None;
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -36,6 +36,7 @@
         (0..count).map(|_| self.add_machine(zone, now)).collect()
     }
 
+    /// Adds a machine that is up from then on.
     pub(super) fn add_machine(&mut self, zone: &str, up_s: f64) -> String {
         let name = format!("m-{:06}", self.rented);
         self.rented += 1;
@@ -45,6 +46,7 @@
         name
     }
 
+    /// Fetches and runs go on, and leases end.
     pub(super) fn advance_workers(&mut self) {
         let (now, lease_s) = (self.now, self.settings.cluster.workers.lease_s);
         for worker in self.workers.values_mut() {
@@ -93,6 +95,7 @@
         }
     }
 
+    /// The live tasks of an attempt of a gang, on all machines.
     pub(super) fn of_gang<'a>(
         &'a mut self,
         gang: &'a GangAttempt,
@@ -104,6 +107,8 @@
         })
     }
 
+    /// Each machine that reaches the leader sends a heartbeat, and takes the response if it
+    /// arrives.
     pub(super) fn send_heartbeats(&mut self) {
         let now = self.now;
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -126,6 +131,7 @@
         }
     }
 
+    /// A machine carries out commands, and what starts is checked.
     pub(super) fn execute(&mut self, name: &str, commands: &[Command]) {
         for command in commands {
             let (Command::Start { task, .. }
@@ -162,6 +168,7 @@
         assert!(used <= limit + 1e-6, "quota: {used} of {limit} CPUs");
     }
 
+    /// Processors that a team may use.
     pub(super) fn limit(&self, team: &str) -> f64 {
         match self.settings.team(team).expect("a known team").cpus_max {
             limit if limit > 0.0 => limit,
@@ -169,6 +176,7 @@
         }
     }
 
+    /// Processors that each team has in use.
     pub(super) fn team_use(&self) -> HashMap<&str, f64> {
         let mut team_use: HashMap<&str, f64> = HashMap::new();
         for (attempt, t) in self.workers.values().flat_map(Worker::live) {
@@ -178,6 +186,7 @@
         team_use
     }
 
+    /// The leader gets the list of the cloud, now and then.
     pub(super) fn list_machines(&mut self) {
         if self.now - self.listed < LIST_S {
             return;
@@ -189,6 +198,7 @@
         }
     }
 
+    /// A machine as the cloud lists it.
     pub(super) fn listing(&self, worker: &Worker) -> ListedMachine {
         ListedMachine {
             name: worker.name.clone(),
@@ -205,6 +215,7 @@
         }
     }
 
+    /// The cloud rents what it has in a zone.
     pub(super) fn rent(&mut self, zone: &str, count: usize) -> Vec<String> {
         let there = self.workers.values().filter(|w| w.zone == zone).count();
         let free = self.cloud.most_in_zone.saturating_sub(there);
--- a/tests/play/simulation/mod.rs
+++ b/tests/play/simulation/mod.rs
@@ -17,6 +17,7 @@
 use std::sync::Arc;
 pub(crate) use users::Outcome;
 
+/// Seconds of a step.
 pub(crate) const STEP_S: f64 = 1.0;
 
 /// A team with its limit on processors; 0 for none.
@@ -29,6 +30,7 @@
 /// The teams of most days, without limits.
 pub(crate) const UNLIMITED: [TeamLimit; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
 
+/// A team with a guarantee and a limit.
 pub(crate) const fn team(name: &'static str, guarantee: f64, limit: f64) -> TeamLimit {
     TeamLimit {
         name,
@@ -37,6 +39,7 @@
     }
 }
 
+/// All parts of a simulated day, and what became of its jobs.
 pub(crate) struct Simulation {
     pub now: f64,
     pub random: Random,
@@ -108,11 +111,13 @@
         simulation
     }
 
+    /// Adds jobs that users submit when their time has come.
     pub(crate) fn plan(&mut self, plans: Vec<JobPlan>) {
         self.plans.extend(plans);
         self.plans.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     }
 
+    /// Milliseconds since the day began.
     fn wall_ms(&self) -> u64 {
         (1000.0 * self.now) as u64
     }
@@ -125,6 +130,7 @@
         }
     }
 
+    /// A second passes, in which each part acts once.
     fn step(&mut self) {
         self.carry_out_late();
         self.answer_writes();
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -25,6 +25,7 @@
 }
 
 impl Outcome {
+    /// Whether it is neither done nor cancelled.
     fn is_open(&self) -> bool {
         self.done.is_none() && self.cancelled.is_none()
     }
@@ -64,6 +65,7 @@
         }
     }
 
+    /// Users cancel the jobs whose time has come.
     pub(super) fn cancel_due(&mut self) {
         if self.state.refuses {
             return;
@@ -164,6 +166,7 @@
         open.map(|(id, _)| id.clone()).collect()
     }
 
+    /// Whether machines have room for so many tasks of a job.
     pub(super) fn has_room(&self, plan: &JobPlan, tasks: u32) -> bool {
         let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
         for worker in self.workers.values() {
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -8,10 +8,12 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a fetch of an image takes, and how long a task runs before it fails.
+/// How long a fetch of an image takes.
 const FETCH_S: f64 = 1.0;
+/// How long a task runs before it fails, if it does.
 const FAILS_AFTER_S: f64 = 1.0;
 
+/// A task on a machine.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskOnWorker {
     pub state: TaskState,
@@ -23,16 +25,19 @@
 }
 
 impl TaskOnWorker {
+    /// Whether it has not exited.
     pub(crate) fn is_live(&self) -> bool {
         self.state != TaskState::Exited
     }
 
+    /// It exits for this cause.
     pub(crate) fn exit(&mut self, cause: Cause) {
         self.state = TaskState::Exited;
         self.cause = Some(cause);
     }
 }
 
+/// A machine with its worker, and what keeps it from others.
 pub(crate) struct Worker {
     pub name: String,
     pub kind: String,
@@ -88,10 +93,12 @@
         }
     }
 
+    /// Whether it has booted.
     pub(crate) fn is_up(&self, now: f64) -> bool {
         now >= self.up_s
     }
 
+    /// Whether it is up and not partitioned.
     pub(crate) fn is_reachable(&self, now: f64) -> bool {
         self.is_up(now) && now >= self.partitioned_until
     }
@@ -101,18 +108,22 @@
         self.is_reachable(now) && now >= self.heartbeats_lost_until
     }
 
+    /// Whether responses and direct commands reach it.
     pub(crate) fn receives(&self, now: f64) -> bool {
         self.is_reachable(now) && now >= self.inbound_lost_until
     }
 
+    /// The tasks that have not exited.
     pub(crate) fn live(&self) -> impl Iterator<Item = (&AttemptId, &TaskOnWorker)> {
         self.tasks.iter().filter(|(_, t)| t.is_live())
     }
 
+    /// Processors that no live task uses.
     pub(crate) fn free_cpus(&self) -> f64 {
         self.cpus - self.live().map(|(_, t)| t.cpus).sum::<f64>()
     }
 
+    /// The next heartbeat.
     pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|(id, t)| TaskStatus {
@@ -136,6 +147,7 @@
         }
     }
 
+    /// Takes a response to the heartbeat that it sent then, unless its token is outdated.
     pub(crate) fn accept_response(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
         if answer.token < self.token {
             return false;
@@ -145,10 +157,12 @@
         true
     }
 
+    /// Whether it executes direct commands.
     pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
         batch.token >= self.token && batch.incarnation == self.incarnation
     }
 
+    /// If its lease is over, it has killed and forgotten every task.
     pub(crate) fn expire(&mut self, lease_s: f64, now: f64) {
         if self.is_up(now) && now - self.lease_renewed_at > lease_s {
             self.incarnation += 1;
@@ -204,6 +218,7 @@
         }
     }
 
+    /// How a task begins: fetching its image, or refused.
     fn start_state(&self, task: &str, plan: &JobPlan) -> (TaskState, Option<Cause>) {
         let refused = |cause| (TaskState::Exited, Some(cause));
         if self.live().any(|(other, _)| other.task == *task) {
--- a/tests/play/workload.rs
+++ b/tests/play/workload.rs
@@ -12,14 +12,17 @@
         Random(SplitMix64(seed))
     }
 
+    /// A whole number below the bound.
     pub(crate) fn below(&mut self, most: u64) -> u64 {
         self.0.next() % most.max(1)
     }
 
+    /// A number in this range.
     pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * (self.0.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
+    /// Whether something happens that does in this share of cases.
     pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.between(0.0, 1.0) < share
     }
@@ -74,6 +77,7 @@
 }
 
 impl JobPlan {
+    /// Whether its tasks run together.
     pub(crate) fn is_gang(&self) -> bool {
         self.rig == "group"
     }
@@ -83,10 +87,12 @@
         f64::from(self.tasks) * self.cpus
     }
 
+    /// How long the task with this number runs.
     pub(crate) fn task_run_s(&self, task: u32) -> f64 {
         self.run_s + self.later_s * f64::from(task)
     }
 
+    /// What its user submits.
     pub(crate) fn body(&self, id: &str) -> Value {
         let mut body = submission(id, self.rig, self.priority, self.tasks);
         let last_s = self.task_run_s(self.tasks - 1);
@@ -127,6 +133,7 @@
     plans
 }
 
+/// One job of a mixed load.
 fn mixed_job(random: &mut Random, number: usize, at_s: f64) -> JobPlan {
     let (class, rig, tasks) = match number % 5 {
         3 => ("array", "sweep", 4 + random.below(8) as u32),
--- a/tests/play/zones.rs
+++ b/tests/play/zones.rs
@@ -5,9 +5,11 @@
 use crate::simulation::{Simulation, UNLIMITED};
 use crate::workload::{mixed, JobPlan, Random};
 
+/// Days of each test.
 const SEEDS: u64 = 12;
 /// Less than it takes until a job goes past a reservation that withholds it.
 const SOON_S: f64 = 45.0;
+/// The zones of each day.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Machines in all zones.
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -16,9 +16,11 @@
 use std::collections::BTreeMap;
 use users::{Users, PERIOD_S};
 
+/// Simulations of each test.
 const SEEDS: std::ops::Range<u64> = 1..3;
 /// Jobs with an open poll: at five seconds a poll, 400 questions a second.
 const JOBS: usize = 2000;
+/// How long each simulation lasts.
 const DURATION_S: f64 = 120.0;
 /// What users call forgotten.
 const FORGOTTEN_S: f64 = 75.0;
@@ -31,6 +33,7 @@
     cut_off: bool,
 }
 
+/// Lets users poll for that time.
 fn simulate(seed: u64, scenario: Scenario) -> (Users, Cluster) {
     let mut cluster = Cluster::new(seed, scenario.jobs, scenario.leadership, scenario.cut_off);
     let mut users = Users::new(seed, scenario.jobs);
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -8,19 +8,27 @@
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
 use std::collections::{BTreeMap, VecDeque};
 
+/// Controllers that users ask.
 pub(crate) const NODES: usize = 3;
+/// Seconds of a step.
 const STEP_S: f64 = 0.01;
-/// Seconds that a call takes; one in so many takes long.
+/// Seconds that most calls take.
 const CALL_S: f64 = 0.01;
+/// Seconds that the others take.
 const SLOW_CALL_S: f64 = 0.3;
+/// One of so many calls is slow.
 const SLOW_EVERY: u64 = 50;
+/// Requests a second that the state service takes from all.
 const RPS: f64 = 200.0;
+/// Conditions of a transaction.
 const CONDITIONS: usize = 32;
-/// The maximum number of records in a page, and records in a page for each one that is queued.
+/// The maximum number of records in a page.
 const MAX_PAGE_LEN: usize = 400;
+/// Records in a page for each poll that is queued.
 const PAGE_LEN_PER_QUEUED: usize = 16;
-/// A leader leads for so long, then nobody.
+/// A leader leads for so long.
 const LED_S: f64 = 15.0;
+/// Then nobody leads for so long.
 const UNLED_S: f64 = 6.0;
 /// The last node can't ask the state service in this part of the scenario.
 const CUT_OFF_S: std::ops::Range<f64> = 20.0..100.0;
@@ -33,6 +41,7 @@
     Nobody,
 }
 
+/// A controller, as far as its polls go.
 struct Node {
     batcher: PollBatcher,
     /// A call to the state service, and when its answer comes.
@@ -41,6 +50,7 @@
     askers: BTreeMap<u64, Asker>,
 }
 
+/// Who gets the answer to a poll.
 #[derive(Clone, Copy)]
 enum Asker {
     User(usize),
@@ -62,6 +72,7 @@
     pub answer: Answer,
 }
 
+/// The nodes, the state service and the answers under way.
 pub(crate) struct Cluster {
     pub now: f64,
     pub service: StateService,
@@ -122,10 +133,12 @@
         self.limits.requests_per_s * NODES as f64
     }
 
+    /// The most requests that the nodes have sent in any second.
     pub(crate) fn max_requests_per_s(&self) -> usize {
         self.max_sent_per_s
     }
 
+    /// The node that leads at the moment.
     fn leader(&self) -> Option<usize> {
         let turn_s = LED_S + UNLED_S;
         let (turn, within) = ((self.now / turn_s) as usize, self.now % turn_s);
@@ -133,6 +146,7 @@
         leads.then_some(turn % NODES)
     }
 
+    /// Whether a node does not reach the state service at the moment.
     fn is_cut_off(&self, node: usize) -> bool {
         self.cut_off && node == NODES - 1 && CUT_OFF_S.contains(&self.now)
     }
@@ -163,6 +177,7 @@
         })
     }
 
+    /// A node polls the records.
     fn ask_batcher(
         &mut self,
         node: usize,
@@ -186,6 +201,7 @@
         std::mem::take(&mut self.delivered)
     }
 
+    /// Time passes: calls are answered, and batchers tick.
     pub(crate) fn step(&mut self) {
         self.now += STEP_S;
         self.service.pass(STEP_S, self.now);
@@ -196,6 +212,7 @@
         }
     }
 
+    /// A node gets the answer to its call, if that is due.
     fn receive(&mut self, node: usize) {
         let is_due = |call: &mut (f64, StoreCall)| call.0 <= self.now;
         let Some((_, call)) = self.nodes[node].call.take_if(is_due) else {
@@ -211,6 +228,7 @@
         self.carry_out(node, effects);
     }
 
+    /// Carries out what a batcher asks for.
     fn carry_out(&mut self, node: usize, effects: Vec<PollEffect>) {
         for effect in effects {
             match effect {
@@ -225,6 +243,7 @@
         }
     }
 
+    /// A node sends a call.
     fn send(&mut self, node: usize, call: StoreCall) {
         self.sent.push_back(self.now);
         self.sent.retain(|at| *at > self.now - 1.0);
@@ -251,6 +270,7 @@
         }
     }
 
+    /// An answer goes to whoever asked.
     fn answer(&mut self, asker: Asker, answer: Answer) {
         match asker {
             Asker::User(job) => self.delivered.push(DeliveredAnswer { job, answer }),
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -17,6 +17,7 @@
 /// what users submit and cancel.
 const OTHERS_SHARE: f64 = 0.9;
 
+/// The state service with the records of jobs, which others use too.
 pub(crate) struct StateService {
     store: Store,
     requests: TokenBucket,
@@ -48,6 +49,7 @@
         service
     }
 
+    /// Writes a key.
     fn write(&mut self, key: String, value: Value) {
         self.store.revision += 1;
         let version = self.store.revision;
@@ -90,6 +92,7 @@
         }
     }
 
+    /// A job ends.
     fn record_end(&mut self, number: usize, state: JobState, value: &Value) {
         self.open.retain(|open| *open != number);
         self.store.values.remove(&open_key(&jobs::id_of(number)));
--- a/tests/polls/users.rs
+++ b/tests/polls/users.rs
@@ -12,6 +12,7 @@
 /// No user waits longer for a response.
 const RESPONSE_S: f64 = 2.0;
 
+/// The user of one job.
 struct User {
     asked_at: f64,
     /// Since when it has had no answer.
@@ -21,6 +22,7 @@
     end: Option<JobState>,
 }
 
+/// Everybody who polls.
 pub(crate) struct Users {
     users: Vec<User>,
     /// Who asks next, and when, in milliseconds.
@@ -46,15 +48,18 @@
         }
     }
 
+    /// The longest that any user went without an answer.
     pub(crate) fn longest_wait_s(&self) -> f64 {
         let waits = self.users.iter().map(|user| user.longest_wait_s);
         waits.fold(0.0, f64::max)
     }
 
+    /// Answers by their status.
     pub(crate) fn counts(&self) -> &BTreeMap<u16, usize> {
         &self.counts
     }
 
+    /// Users take their answers, and ask when it is time to.
     pub(crate) fn step(&mut self, cluster: &mut Cluster) {
         for delivered in cluster.take_delivered() {
             self.on_answer(&delivered, cluster);
@@ -75,6 +80,7 @@
         }
     }
 
+    /// A user gets an answer, and asks again later.
     fn on_answer(&mut self, delivered: &DeliveredAnswer, cluster: &Cluster) {
         let status = delivered.answer.status();
         *self.counts.entry(status).or_default() += 1;
@@ -104,15 +110,18 @@
     }
 }
 
+/// Seconds as whole milliseconds.
 fn in_ms(seconds: f64) -> u64 {
     (seconds * 1000.0) as u64
 }
 
 impl User {
+    /// Has had no answer until now.
     fn waited_until(&mut self, now: f64) {
         self.longest_wait_s = self.longest_wait_s.max(now - self.since);
     }
 
+    /// A state is true, and no end is taken back.
     fn check_state(&mut self, job: usize, state: JobState, cluster: &Cluster) {
         assert!(jobs::is_submitted(job), "invented: {job}");
         let recorded = cluster.service.ends.get(&job).copied();
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -174,6 +174,7 @@
     );
 }
 
+/// What a request finds at a node with two peers.
 fn context(from_peer: bool) -> Context {
     Context {
         peers: vec!["n1".into(), "n2".into()],
@@ -182,14 +183,17 @@
     }
 }
 
+/// The outcome of a transaction.
 fn committed(outcome: CommitOutcome) -> RequestEvent {
     RequestEvent::Store(StoreAnswer::Committed(outcome))
 }
 
+/// A transaction got no answer.
 fn unanswered() -> RequestEvent {
     committed(CommitOutcome::Unknown)
 }
 
+/// A read failed.
 fn unavailable() -> RequestEvent {
     RequestEvent::Store(StoreAnswer::Read(Err(Unavailable)))
 }
@@ -221,14 +225,17 @@
     }))
 }
 
+/// Whether a record is read.
 fn reads_store(effects: &[RequestEffect]) -> bool {
     matches!(effects, [RequestEffect::Store(StoreCall::Read(_))])
 }
 
+/// A batcher without polls.
 fn batcher() -> PollBatcher {
     PollBatcher::new(Limits::of(&context(false).settings))
 }
 
+/// The poll that a request goes on as.
 fn poll_of(effects: Vec<RequestEffect>) -> Poll {
     match effects.into_iter().next() {
         Some(RequestEffect::ReadRecords(poll)) => poll,
@@ -236,6 +243,7 @@
     }
 }
 
+/// Whether a batcher asks the state service to compare records.
 fn compares(effects: &[PollEffect]) -> bool {
     matches!(effects, [PollEffect::Store(StoreCall::Commit(transaction))]
         if transaction.operations.is_empty())
@@ -249,6 +257,7 @@
     }
 }
 
+/// Whether a request is handed on to this peer.
 fn asks(effects: &[RequestEffect], peer: &str) -> bool {
     matches!(effects, [RequestEffect::Forward(asked)] if asked == peer)
 }
--- a/tests/requests/coverage.rs
+++ b/tests/requests/coverage.rs
@@ -33,6 +33,7 @@
 }
 
 impl Coverage {
+    /// Counts a request.
     pub(crate) fn asked(&mut self, question: &Question) {
         *self
             .asked
@@ -40,19 +41,23 @@
             .or_default() += 1;
     }
 
+    /// Counts an answer.
     pub(crate) fn answered(&mut self, question: &Question, answer: &PeerAnswer) {
         let key = (question.kind, answer.status);
         *self.answered.entry(key).or_default() += 1;
     }
 
+    /// Counts a request that met the end of its job.
     pub(crate) fn end_met(&mut self, kind: Kind) {
         *self.ends_met.entry(kind).or_default() += 1;
     }
 
+    /// Counts a request that met the refusal of all nodes.
     pub(crate) fn refusal_met(&mut self, kind: Kind) {
         *self.refusals_met.entry(kind).or_default() += 1;
     }
 
+    /// A transaction was applied, and its sender does not know.
     pub(crate) fn answer_lost(&mut self, by: u64, node: usize, transaction: &Transaction) {
         let key_of = |change: &WriteOperation| match change {
             WriteOperation::Put { key, .. } | WriteOperation::Delete { key } => key.clone(),
@@ -61,6 +66,7 @@
         self.unknown.insert(by, (node, keys));
     }
 
+    /// A node reads a key.
     pub(crate) fn read(&mut self, key: &str, node: usize) {
         let mut unknown = self.unknown.values();
         if unknown.any(|(by, keys)| *by != node && keys.contains(key)) {
@@ -68,10 +74,12 @@
         }
     }
 
+    /// A request is over: what it does not know matters no more.
     pub(crate) fn finished(&mut self, request: u64) {
         self.unknown.remove(&request);
     }
 
+    /// Counts a transaction that was carried out late.
     pub(crate) fn late_write(&mut self, applied: bool, is_newer: bool, is_given_up: bool) {
         self.late_applied += usize::from(applied);
         self.late_after_newer += usize::from(is_newer);
@@ -84,20 +92,24 @@
         count.copied().unwrap_or_default()
     }
 
+    /// How many requests of a kind were answered with a status.
     pub(crate) fn answers(&self, kind: Kind, status: u16) -> usize {
         let count = self.answered.get(&(kind, status));
         count.copied().unwrap_or_default()
     }
 
+    /// How many requests of a kind met the end of their job.
     pub(crate) fn ends_met(&self, kind: Kind) -> usize {
         self.ends_met.get(&kind).copied().unwrap_or_default()
     }
 
+    /// How many requests of a kind met the refusal of all nodes.
     pub(crate) fn refusals_met(&self, kind: Kind) -> usize {
         self.refusals_met.get(&kind).copied().unwrap_or_default()
     }
 }
 
+/// Adds counts to others.
 fn add<K: Ord>(to: &mut BTreeMap<K, usize>, from: BTreeMap<K, usize>) {
     for (key, count) in from {
         *to.entry(key).or_default() += count;
--- a/tests/requests/jobs.rs
+++ b/tests/requests/jobs.rs
@@ -7,12 +7,18 @@
 
 /// Jobs bear the numbers below this.
 pub(crate) const JOBS: u8 = 8;
+/// Waits for job 0.
 const FIRST_WAITING: u8 = 3;
+/// Waits for the one before.
 const SECOND_WAITING: u8 = 4;
+/// Needs more than any machine has.
 pub(crate) const FITS_NO_MACHINE: u8 = 5;
+/// Its submission is no description of a job.
 pub(crate) const LACKS_A_FIELD: u8 = 6;
+/// Only asked about, and cancelled.
 pub(crate) const NEVER_SUBMITTED: u8 = 7;
 
+/// The id of a job.
 pub(crate) fn id_of(job: u8) -> String {
     format!("req-{job}")
 }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -12,11 +12,13 @@
 use stairstage::storage::records::{end_key, open_key, EndRecord, OpenRecord, LEADER_KEY};
 
 impl Simulation {
+    /// The decisions of a node, if it leads.
     fn leads(&mut self, node: usize) -> Option<&mut ClusterManager> {
         let leader = self.leader.as_mut().filter(|l| l.node == node);
         leader.map(|l| &mut l.manager)
     }
 
+    /// A node learns of an accepted job.
     pub(crate) fn job_accepted(&mut self, node: usize, record: OpenRecord, version: u64) {
         let is_over = self.nodes[node].ends.get(&record.spec.id).is_some();
         if is_over && !record.cancelled {
@@ -27,6 +29,7 @@
         }
     }
 
+    /// A node learns of the end of a job.
     pub(crate) fn job_end_recorded(&mut self, node: usize, job: u8, state: JobState) {
         self.nodes[node].ends.insert(&id_of(job), state);
         if let Some(manager) = self.leads(node) {
@@ -34,6 +37,7 @@
         }
     }
 
+    /// What a node knows of a job by itself.
     pub(crate) fn locate(&mut self, node: usize, job: u8) -> LocalJobView {
         let id = id_of(job);
         let end = self.nodes[node].ends.get(&id).map(|&state| JobStatus {
--- a/tests/requests/parts.rs
+++ b/tests/requests/parts.rs
@@ -22,6 +22,7 @@
     Refused,
 }
 
+/// A controller, as far as its requests go.
 pub(crate) struct Node {
     pub ends: EndIndex,
     /// Who leads, as far as it knows.
@@ -47,6 +48,7 @@
     Nobody,
 }
 
+/// What works on a request, or on the calls of a batcher.
 pub(crate) enum Machine {
     Request(Box<Request>, Kind, Origin),
     /// A call of the node's batcher of polls.
@@ -62,6 +64,7 @@
     Child,
 }
 
+/// A machine that has not come to its end.
 pub(crate) struct Running {
     pub node: usize,
     pub job: Option<u8>,
@@ -77,6 +80,7 @@
     pub applied_before: usize,
 }
 
+/// The node that leads, with its decisions.
 pub(crate) struct Leader {
     pub node: usize,
     pub token: u64,
--- a/tests/requests/rules.rs
+++ b/tests/requests/rules.rs
@@ -8,6 +8,7 @@
 use stairstage::storage::records::open_key;
 use std::collections::BTreeMap;
 
+/// What a user asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Kind {
     Submit,
@@ -41,6 +42,7 @@
 }
 
 impl Ledger {
+    /// The state of a job that users know.
     pub(crate) fn reported(&self, job: u8) -> Option<ReportedState> {
         self.reported.get(&job).copied()
     }
@@ -85,6 +87,7 @@
         }
     }
 
+    /// An answer that names a state agrees with the records and with earlier answers.
     fn check_statement(
         &mut self,
         question: &Question,
@@ -111,6 +114,7 @@
         self.record_report(question, state)
     }
 
+    /// A state goes back neither for this user nor, once it is an end, for any other.
     fn record_report(&mut self, question: &Question, state: JobState) -> Option<ReportedState> {
         let reported = match state {
             JobState::Pending | JobState::Running => ReportedState::Accepted,
@@ -135,6 +139,7 @@
     }
 }
 
+/// The state that an answer names.
 fn state_in(answer: &PeerAnswer) -> JobState {
     if let Ok(status) = serde_json::from_slice::<JobStatus>(&answer.body) {
         return status.state;
@@ -160,10 +165,12 @@
     }
 }
 
+/// Whether the record of a job is there.
 fn is_open(store: &Store, job: u8) -> bool {
     store.item(&open_key(&id_of(job))).is_some()
 }
 
+/// What is known is not denied, and each denial has its status.
 fn check_denial(question: &Question, status: u16) {
     let known = question.before.is_some();
     assert!(!known, "forgotten: {question:?} is told {status}");
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -11,11 +11,15 @@
 use stairstage::protocol::job::JobState;
 use std::cell::RefCell;
 
+/// The same schedules in each run.
 const SEED: u64 = 20;
+/// Schedules of each test.
 const CASES: u32 = 300;
+/// Steps of a schedule.
 const STEPS: std::ops::Range<usize> = 50..300;
 /// Jobs below this number are accepted and end.
 const ENDING: u8 = 5;
+/// A bit for each node.
 const ALL_NODES: u8 = (1 << NODES) - 1;
 
 /// What happens next.
@@ -110,6 +114,7 @@
         elections: 0,
     };
 
+    /// What becomes of a call.
     fn fate(self) -> impl Strategy<Value = Fate> {
         any_of(vec![
             (20, Just(Fate::Answered).boxed()),
@@ -120,6 +125,7 @@
         ])
     }
 
+    /// A user asks for something.
     fn ask(self) -> impl Strategy<Value = Step> {
         let kind = prop_oneof![
             5 => Just(Kind::Submit),
@@ -131,6 +137,7 @@
         (kind, job, 0..NODES).prop_map(|(kind, job, node)| Step::Ask(kind, job, node))
     }
 
+    /// Any step.
     fn step(self) -> impl Strategy<Value = Step> {
         let nodes = || 0..NODES;
         let advance = (any::<u8>(), self.fate()).prop_map(|(pick, fate)| Step::Advance(pick, fate));
@@ -176,6 +183,7 @@
     }
 }
 
+/// Carries out one step.
 fn carry_out_step(simulation: &mut Simulation, step: &Step) {
     match *step {
         Step::Ask(kind, job, node) => simulation.ask(kind, job, node),
@@ -192,6 +200,7 @@
     }
 }
 
+/// Plays a schedule to its end, and checks what is known then.
 fn play(steps: &[Step], close_looks: bool) -> Coverage {
     let mut simulation = Simulation::new();
     simulation.close_looks = close_looks;
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -18,9 +18,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
+/// Controllers that users ask.
 pub(crate) const NODES: usize = 3;
+/// Ends that a node remembers: few, so that some are forgotten.
 const ENDS_KEPT: usize = 3;
 
+/// Nodes, their requests and the state service.
 pub(crate) struct Simulation {
     pub store: Store,
     pub nodes: Vec<Node>,
@@ -37,10 +40,12 @@
     now: f64,
 }
 
+/// The name of a node.
 pub(crate) fn name_of(node: usize) -> String {
     format!("n{node}")
 }
 
+/// The node of a name.
 fn number_of(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
@@ -52,6 +57,7 @@
 /// Keys in a page of a list: few, so that there are several pages.
 const PAGE: usize = 2;
 
+/// The job of an id, if there is one.
 fn job_of(id: &str) -> Option<u8> {
     id.strip_prefix("req-")?.parse().ok()
 }
@@ -85,6 +91,7 @@
         simulation
     }
 
+    /// What a request finds at a node.
     fn context(&self, node: usize, from_peer: bool) -> Context {
         let mut machine_type = common::machine_type();
         if self.nodes[node].small_types {
@@ -110,6 +117,7 @@
         self.begin(kind, job, node, Origin::User(question));
     }
 
+    /// A request begins at a node; returns its key.
     fn begin(&mut self, kind: Kind, job: u8, node: usize, origin: Origin) -> u64 {
         let context = self.context(node, !matches!(origin, Origin::User(_)));
         let (request, effects) = match kind {
@@ -123,6 +131,7 @@
         })
     }
 
+    /// A machine begins at a node with what it does first; returns its key.
     fn run(
         &mut self,
         node: usize,
@@ -170,6 +179,7 @@
         }
     }
 
+    /// A request goes on as a poll of its node.
     fn enqueue_poll(&mut self, node: usize, poll: Poll, origin: Origin) {
         self.counter += 1;
         let (number, now) = (self.counter, self.now);
@@ -180,6 +190,7 @@
         self.batcher_effects(node, effects);
     }
 
+    /// Carries out what a batcher asks for.
     fn batcher_effects(&mut self, node: usize, effects: Vec<PollEffect>) {
         for effect in effects {
             match effect {
@@ -215,6 +226,7 @@
         });
     }
 
+    /// A machine waits until a step lets it go on.
     fn wait(&mut self, key: u64, waiting: Waiting) {
         self.running.get_mut(&key).unwrap().waiting = waiting;
     }
@@ -229,6 +241,7 @@
         }
     }
 
+    /// An answer goes to whoever asked.
     fn answer(&mut self, origin: Origin, answer: Answer) {
         let answer = PeerAnswer::from(answer);
         match origin {
@@ -238,6 +251,7 @@
         }
     }
 
+    /// A user gets an answer, which is checked.
     fn tell(&mut self, question: &Question, answer: &PeerAnswer) {
         self.coverage.answered(question, answer);
         let news = self.ledger.answered(question, answer, &self.store);
@@ -250,10 +264,12 @@
         }
     }
 
+    /// A request hears from another node, or does not.
     fn peer_answered(&mut self, key: u64, answer: Option<PeerAnswer>) {
         self.on(key, RequestEvent::Peer(answer));
     }
 
+    /// A machine goes on with an event.
     fn on(&mut self, key: u64, event: RequestEvent) {
         match (&mut self.running.get_mut(&key).unwrap().machine, event) {
             (Machine::Request(request, ..), event) => {
@@ -283,6 +299,7 @@
         }
     }
 
+    /// What a machine waits for comes about, or fails.
     fn resume(&mut self, key: u64, fate: Fate) {
         let running = self.running.get_mut(&key).unwrap();
         let (node, job) = (running.node, running.job);
@@ -300,6 +317,7 @@
         }
     }
 
+    /// A request is handed on to another node.
     fn forward(&mut self, key: u64, peer: usize, job: u8, fate: Fate) {
         let Machine::Request(_, kind, _) = self.running[&key].machine else {
             panic!("only requests are handed on");
@@ -317,6 +335,7 @@
         }
     }
 
+    /// What the state service answers to a call.
     fn store_answer(&mut self, by: u64, node: usize, call: StoreCall, fate: Fate) -> StoreAnswer {
         let refused = self.nodes[node].refused || fate == Fate::Refused;
         match call {
@@ -343,6 +362,7 @@
         }
     }
 
+    /// A transaction is carried out as far as its fate allows.
     pub(crate) fn commit(
         &mut self,
         by: u64,
@@ -373,6 +393,7 @@
         }
     }
 
+    /// A transaction is carried out if its conditions hold.
     fn apply(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
         let conflicts = self.store.conflicts(transaction);
         match self.store.commit(transaction) {
@@ -432,6 +453,7 @@
         (0..NODES).for_each(|node| self.follow(node));
     }
 
+    /// Lets all that is in flight come to its end, with answers to all calls.
     pub(crate) fn finish_all(&mut self) {
         loop {
             (0..NODES).for_each(|node| self.tick(node));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -178,6 +178,7 @@
     assert!(waited < 8.0, "{waited} s");
 }
 
+/// Serves users and workers within these bounds; answers everything.
 fn serve(bounds: Bounds) -> SocketAddr {
     let runtime = Runtime::start().unwrap();
     let handler = |_call, respond: stairstage::transport::Responder| respond(Reply::json(200, &()));
@@ -185,6 +186,7 @@
     front::serve(&runtime, any, bounds, Arc::new(handler), Arc::new(|| true)).unwrap()
 }
 
+/// Room for four workers and three users, of six connections.
 fn bounds() -> Bounds {
     Bounds {
         connections: 6,
@@ -195,6 +197,7 @@
     }
 }
 
+/// Whether an answer asks to come back in a second.
 fn refused(text: &str) -> bool {
     text.starts_with("http/1.1 503") && text.contains("retry-after: 1")
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -45,6 +45,7 @@
     (manager, tasks)
 }
 
+/// The name of a machine.
 fn machine_name(i: u64) -> String {
     format!("m-{i:02}")
 }
--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -21,16 +21,20 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
+/// The same changes in each run.
 const SEED: u64 = 24;
+/// Operators finalize by hand.
 const POLICY: &str = "(upgrade (finalize by-hand) (member-lease 2))";
 /// Between two submissions, and between two changes of a controller.
 const SUBMISSION_PAUSE: Duration = Duration::from_millis(250);
+/// The time between two changes of a controller.
 const CHANGE_PAUSE: Duration = Duration::from_secs(4);
 /// Of these, one is a kill, a rollback or a replacement, and one leaves a controller offline.
 const OFFLINE_EVERY: u64 = 5;
 /// The parts of the time before the upgrade is finalized.
 const MIXED_SHARE: f64 = 0.6;
 
+/// The grid under change, and what users know of their jobs.
 struct Proof {
     grid: Grid,
     former: PathBuf,
@@ -66,10 +70,12 @@
         proof
     }
 
+    /// A number below the bound.
     fn pick(&mut self, most: usize) -> usize {
         self.random.next() as usize % most
     }
 
+    /// Starts a controller with the present or the former program.
     fn start(&mut self, i: usize, present: bool) {
         self.nodes[i] = None;
         self.present[i] = present;
@@ -118,6 +124,7 @@
         self.ask_about(&id, node);
     }
 
+    /// A user asks a node about a job; no end is taken back.
     fn ask_about(&mut self, id: &str, node: usize) {
         let path = format!("/v2/runs/{id}");
         let answer = call("GET", &self.grid.front(node), &path, &Value::Null);
@@ -156,6 +163,7 @@
         self.start(away.unwrap_or(i), present);
     }
 
+    /// Users submit and ask while controllers change.
     fn rounds(&mut self, until: Instant, finalized: bool) {
         let (mut submitted, mut changed) = (Instant::now(), Instant::now());
         while Instant::now() < until {
@@ -173,6 +181,7 @@
         }
     }
 
+    /// All controllers have the present version, and an operator finalizes.
     fn finalize(&mut self) {
         (0..3).for_each(|i| self.start(i, true));
         until("the upgrade is finalized", || {
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -9,6 +9,7 @@
 use std::path::Path;
 use std::process::Command;
 
+/// Operators finalize by hand.
 const BY_HAND: &str = "(upgrade (finalize by-hand) (member-lease 2))";
 
 /// The exit code of the command, and its standard output.
@@ -17,6 +18,7 @@
     text: String,
 }
 
+/// Runs the command for operators.
 fn upgrade(grid: &Grid, policy: &Path, arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
         .arg("upgrade")
@@ -33,16 +35,19 @@
     }
 }
 
+/// Starts a controller that follows the policy.
 fn staged(grid: &Grid, i: usize, policy: &Path) -> Option<ControllerProcess> {
     grid.start_with(i, &[OsStr::new("--upgrade"), policy.as_os_str()])
 }
 
+/// A small job that waits for another.
 fn waiting_job(id: &str, needed: &str) -> Value {
     let mut job = small_job(id);
     job["waits_on"] = json!([needed]);
     job
 }
 
+/// Whether a controller serves users.
 fn healthy(grid: &Grid, i: usize) -> bool {
     call("GET", &grid.front(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -25,6 +25,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+/// Tasks of the array whose completions are recorded.
 const TASKS: u32 = 90;
 
 /// A state service that takes values of any size.
@@ -78,6 +79,7 @@
     }
 }
 
+/// An array is accepted.
 fn accept(store: &mut Store, id: &str, tasks: u32) {
     let spec = parsed(&submission(id, "sweep", "normal", tasks));
     let record = OpenRecord::accepted(spec, 0);
@@ -105,6 +107,7 @@
 /// and which tasks complete under it.
 type Term = (f64, usize, BTreeSet<u32>);
 
+/// A few leaders, one after the other.
 fn terms() -> impl Strategy<Value = Vec<Term>> {
     let sizes = prop::sample::select(vec![0.1, 0.13, 0.25, 0.6, 2.0, 16.0]);
     let tasks = prop::collection::btree_set(0..TASKS, 0..30);
