--- a/tests/play/main.rs
+++ b/tests/play/main.rs
@@ -2,19 +2,19 @@
 //! are checked at the end of a day.
 
 mod cancellations;
+mod combined_faults;
 #[path = "../common/mod.rs"]
 mod common;
 mod failures;
 mod guests;
 mod leaders;
 mod limits;
-mod links;
-mod meetings;
 mod overload;
 mod reservations;
 mod rules;
 mod services;
 mod simulation;
+mod slow_links;
 mod state_service;
 mod worker;
 mod workload;
