--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -1,4 +1,4 @@
-//! The users' newer faults, one small case each.
+//! Recovery from single faults: late copies, lost answers, restarted processes and a leader in doubt.
 
 mod common;
 
--- a/tests/play/slow_links.rs
+++ b/tests/play/slow_links.rs
@@ -1,4 +1,4 @@
-//! ControllerHandles between the leader and the workers on which answers take too long.
+//! Slow links between the leader and the workers: answers take longer than their receivers wait.
 
 use crate::rules::check_days;
 use crate::simulation::Simulation;
