--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -7,21 +7,21 @@
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobSpec;
 use stairstage::storage::records::OpenRecord;
-use standins::*;
+use standins::{accepted, call, small_job, until, ControllerProcess, Entry, Grid, Lease};
 use std::sync::atomic::Ordering;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 #[test]
 fn a_job_outlives_the_leader_that_started_it() {
     let grid = Grid::new("outlives");
-    let mut nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let worker = &grid.worker;
-    let report = || grid.report_to(&[0, 1, 2]);
+    let send_heartbeats = || grid.send_heartbeats(&[0, 1, 2]);
     let job = small_job("req-1");
     let submitted = accepted(&grid.front(0), &job);
     assert!(submitted == 201 || submitted == 200, "{submitted}");
     until("both tasks run", || {
-        report();
+        send_heartbeats();
         (worker.lock().unwrap().tasks.len() == 2).then_some(())
     });
     let leader = until("there is a leader", || grid.leader());
@@ -29,13 +29,13 @@
     let other = &grid.front((leader + 1) % 3);
     let token = worker.lock().unwrap().token;
     until("another node leads", || {
-        report();
+        send_heartbeats();
         (worker.lock().unwrap().token > token).then_some(())
     });
     assert_eq!(accepted(other, &job), 200, "a repeat is known");
     worker.lock().unwrap().finish = true;
     let told = until("the job is done", || {
-        report();
+        send_heartbeats();
         let (_, answer) = call("GET", other, "/v2/runs/req-1", &Value::Null)?;
         (answer["status"] == "done").then_some(answer)
     });
@@ -53,7 +53,7 @@
     // All controllers restart while the cloud is down: the machine types are on record.
     grid.cloud_down.store(true, Ordering::Relaxed);
     nodes.clear();
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let another = small_job("req-3");
     until("a job is accepted without the cloud", || {
         call("POST", other, "/v2/runs", &another).filter(|a| a.0 == 201 || a.0 == 200)
@@ -67,22 +67,22 @@
 #[test]
 fn a_leader_that_hears_no_worker_hands_over_to_one_that_does() {
     let grid = Grid::new("deaf");
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     accepted(&grid.front(0), &small_job("req-1"));
     until("both tasks run", || {
-        grid.report_to(&[0, 1, 2]);
+        grid.send_heartbeats(&[0, 1, 2]);
         (grid.worker.lock().unwrap().tasks.len() == 2).then_some(())
     });
-    let deaf = until("there is a leader", || grid.leader());
-    let others: Vec<usize> = (0..3).filter(|i| *i != deaf).collect();
+    let cut_off = until("there is a leader", || grid.leader());
+    let others: Vec<usize> = (0..3).filter(|i| *i != cut_off).collect();
     // The leader answers its peers and holds its lease; the worker only gets through to them.
     until("another node leads", || {
-        grid.report_to(&others);
-        grid.leader().filter(|leader| *leader != deaf)
+        grid.send_heartbeats(&others);
+        grid.leader().filter(|leader| *leader != cut_off)
     });
     until("the worker follows it", || {
-        grid.report_to(&others);
-        let token = grid.state.lock().unwrap().keys.get("leader")?.1;
+        grid.send_heartbeats(&others);
+        let token = grid.state.lock().unwrap().keys.get("leader")?.version;
         (grid.worker.lock().unwrap().token == token).then_some(())
     });
     assert_eq!(grid.worker.lock().unwrap().starts.len(), 2, "none twice");
@@ -95,19 +95,23 @@
     {
         let mut state = grid.state.lock().unwrap();
         state.revision = 7;
-        let record = (json!({"node": "n0"}), 7, Some(7));
+        let record = Entry {
+            value: json!({"node": "n0"}),
+            version: 7,
+            lease: Some(7),
+        };
         state.keys.insert("leader".into(), record);
-        let life = (Instant::now(), Duration::from_secs(3600));
-        state.leases.insert(7, life);
+        let lease = Lease::new(Duration::from_secs(3600));
+        state.leases.insert(7, lease);
     }
     let _node = grid.start(0);
     until("the worker is answered with a newer token", || {
-        grid.report_to(&[0]);
+        grid.send_heartbeats(&[0]);
         (grid.worker.lock().unwrap().token > 7).then_some(())
     });
     accepted(&grid.front(0), &small_job("req-1"));
     until("a task runs", || {
-        grid.report_to(&[0]);
+        grid.send_heartbeats(&[0]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
     });
 }
@@ -115,17 +119,17 @@
 #[test]
 fn a_job_whose_news_was_lost_is_found_by_reading_the_records_anew() {
     let grid = Grid::new("reread");
-    let _nodes: Vec<Option<Killed>> = (0..2).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..2).map(|i| grid.start(i)).collect();
     let leader = until("there is a leader", || grid.leader());
     until("the worker is known", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().token > 0).then_some(())
     });
-    grid.watch_deaf.store(true, Ordering::Relaxed);
+    grid.job_changes_lost.store(true, Ordering::Relaxed);
     // Recorded by the other node: the leader's watch would tell of it.
     accepted(&grid.front(1 - leader), &small_job("req-1"));
     until("a task runs", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
     });
     assert_eq!(grid.leader(), Some(leader), "by no other leader's reading");
@@ -156,12 +160,12 @@
 #[test]
 fn a_leader_without_the_state_service_stops_what_another_controller_has_confirmed_as_cancelled() {
     let grid = Grid::new("refused");
-    let _nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
+    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     accepted(&grid.front(0), &small_job("req-1"));
     accepted(&grid.front(0), &small_job("req-2"));
     let leader = until("there is a leader", || grid.leader());
     until("all tasks run", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().tasks.len() == 4).then_some(())
     });
     // Nobody else is elected before the state service is down for all.
@@ -173,15 +177,12 @@
     });
     grid.state_down.store(true, Ordering::Relaxed);
     until("its tasks are stopped", || {
-        grid.report_to(&[leader]);
+        grid.send_heartbeats(&[leader]);
         let worker = grid.worker.lock().unwrap();
-        let left = worker
-            .tasks
-            .keys()
-            .all(|(task, _)| task.starts_with("req-2/"));
+        let left = worker.tasks.keys().all(|id| id.task.starts_with("req-2/"));
         left.then_some(())
     });
-    grid.report_to(&[leader]);
+    grid.send_heartbeats(&[leader]);
     assert_eq!(
         grid.worker.lock().unwrap().tasks.len(),
         2,
@@ -196,89 +197,122 @@
     job
 }
 
-#[test]
-fn pipelines_go_through_any_node_and_outlive_the_leader() {
-    let grid = Grid::new("pipelines");
-    let mut nodes: Vec<Option<Killed>> = (0..3).map(|i| grid.start(i)).collect();
-    let worker = &grid.worker;
-    let report = |nodes: &[usize]| grid.report_to(nodes);
-    let state = |i: usize, id: &str| {
-        let (status, answer) = call(
-            "GET",
-            &grid.front(i),
-            &format!("/v2/runs/{id}"),
-            &Value::Null,
-        )?;
-        (status == 200).then(|| answer["status"].as_str().unwrap().to_string())
-    };
-    let submit = |i: usize, job: &Value| accepted(&grid.front(i), job);
-    // A try that was accepted may have gone unanswered: the next one is told that it is known.
-    let take = |i: usize, job: &Value| assert_eq!(submit(i, job) / 100, 2);
-    // What was never accepted cannot be waited for, nor can the job itself.
-    assert_eq!(submit(1, &waiting("req-2", &["req-1"])), 422);
-    assert_eq!(submit(1, &waiting("req-2", &["req-2"])), 422);
-    assert_eq!(submit(1, &waiting("req-2", &["nothing"])), 400);
+/// The state of a job as a node tells it, if it does.
+fn job_state(grid: &Grid, node: usize, id: &str) -> Option<String> {
+    let path = format!("/v2/runs/{id}");
+    let (status, answer) = call("GET", &grid.front(node), &path, &Value::Null)?;
+    (status == 200).then(|| answer["status"].as_str().unwrap().to_string())
+}
+
+/// A node accepts a job. A try that was accepted may have gone unanswered: the next one is told
+/// that it is known.
+fn submit(grid: &Grid, node: usize, job: &Value) {
+    assert_eq!(accepted(&grid.front(node), job) / 100, 2);
+}
+
+/// The tasks of all jobs that were started, in their order.
+fn starts(grid: &Grid) -> Vec<String> {
+    grid.worker.lock().unwrap().starts.clone()
+}
+
+/// Whether a task of a job was started.
+fn has_started(grid: &Grid, id: &str) -> bool {
+    let starts = starts(grid);
+    starts.iter().any(|s| s.starts_with(&format!("{id}/")))
+}
+
+/// What was never accepted cannot be waited for, nor can the job itself, nor too many jobs.
+fn check_impossible_dependencies_are_refused(grid: &Grid) {
+    let front = &grid.front(1);
+    assert_eq!(accepted(front, &waiting("req-2", &["req-1"])), 422);
+    assert_eq!(accepted(front, &waiting("req-2", &["req-2"])), 422);
+    assert_eq!(accepted(front, &waiting("req-2", &["nothing"])), 400);
     // More than a record can hold: the answer names the bound, and asks nobody first.
     let many: Vec<String> = (100..2000).map(|n| format!("req-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    let path = &grid.front(1);
     let (status, told) = until("an answer", || {
-        call("POST", path, "/v2/runs", &waiting("req-2", &many)).filter(|a| a.0 < 500)
+        call("POST", front, "/v2/runs", &waiting("req-2", &many)).filter(|a| a.0 < 500)
     });
     assert_eq!(status, 400);
     assert!(
         told["error"].as_str().unwrap().contains("of at most 13926"),
         "{told}"
     );
-    take(0, &small_job("req-1"));
-    take(1, &waiting("req-2", &["req-1"]));
-    take(2, &waiting("req-3", &["req-2", "req-1"]));
-    assert_eq!(submit(0, &waiting("req-3", &["req-9"])), 200, "is known");
-    let started = |id: &str| {
-        let starts = worker.lock().unwrap().starts.clone();
-        starts.iter().any(|s| s.starts_with(&format!("{id}/")))
-    };
+}
+
+/// A pipeline of three jobs, submitted to one node each, is done in its order though the leader
+/// ends. Returns the nodes that are left.
+fn check_a_pipeline_outlives_the_leader(
+    grid: &Grid,
+    nodes: &mut [Option<ControllerProcess>],
+) -> Vec<usize> {
+    submit(grid, 0, &small_job("req-1"));
+    submit(grid, 1, &waiting("req-2", &["req-1"]));
+    submit(grid, 2, &waiting("req-3", &["req-2", "req-1"]));
+    let repeated = accepted(&grid.front(0), &waiting("req-3", &["req-9"]));
+    assert_eq!(repeated, 200, "is known");
     until("the first runs", || {
-        report(&[0, 1, 2]);
-        started("req-1").then_some(())
+        grid.send_heartbeats(&[0, 1, 2]);
+        has_started(grid, "req-1").then_some(())
     });
     let leader = until("there is a leader", || grid.leader());
     nodes[leader] = None;
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-    assert!(!started("req-2") && !started("req-3"));
-    worker.lock().unwrap().finish = true;
+    assert!(!has_started(grid, "req-2") && !has_started(grid, "req-3"));
+    grid.worker.lock().unwrap().finish = true;
     until("the last is done", || {
-        report(&others);
-        (state(others[0], "req-3")? == "done").then_some(())
+        grid.send_heartbeats(&others);
+        (job_state(grid, others[0], "req-3")? == "done").then_some(())
     });
-    let order: Vec<String> = worker.lock().unwrap().starts.clone();
+    let order = starts(grid);
     let first = |id: &str| order.iter().position(|s| s.starts_with(id)).unwrap();
     let last = |id: &str| order.iter().rposition(|s| s.starts_with(id)).unwrap();
     assert!(last("req-1/") < first("req-2/") && last("req-2/") < first("req-3/"));
+    others
+}
 
-    worker.lock().unwrap().finish = false;
-    let (a, b) = (others[0], others[1]);
-    take(a, &small_job("req-4"));
-    take(b, &waiting("req-5", &["req-4"]));
-    take(a, &waiting("req-6", &["req-5", "req-3"]));
+/// Jobs that need a cancelled one are cancelled too, whichever of two nodes is asked.
+fn check_dependents_of_a_cancelled_job_are_cancelled(grid: &Grid, a: usize, b: usize) {
+    grid.worker.lock().unwrap().finish = false;
+    submit(grid, a, &small_job("req-4"));
+    submit(grid, b, &waiting("req-5", &["req-4"]));
+    submit(grid, a, &waiting("req-6", &["req-5", "req-3"]));
     until("the cancellation is taken", || {
         call("POST", &grid.front(b), "/v2/runs/req-4/abort", &json!({})).filter(|a| a.0 == 200)
     });
-    for (i, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
+    for (node, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
         until("what needs it is cancelled", || {
-            report(&others);
-            (state(i, id)? == "cancelled").then_some(())
+            grid.send_heartbeats(&[a, b]);
+            (job_state(grid, node, id)? == "cancelled").then_some(())
         });
     }
-    // One that comes later is accepted, and cancelled at once.
-    take(a, &waiting("req-7", &["req-6"]));
-    let told = until("a node tells", || state(b, "req-7"));
+}
+
+/// A job that is submitted after the one that it needs was cancelled.
+fn check_late_dependents_of_a_cancelled_job(grid: &Grid, a: usize, b: usize) {
+    // It is accepted, and cancelled at once.
+    submit(grid, a, &waiting("req-7", &["req-6"]));
+    let told = until("a node tells", || job_state(grid, b, "req-7"));
     assert_eq!(told, "cancelled");
-    assert_eq!(submit(b, &waiting("req-7", &["req-6"])), 200);
-    assert!(!started("req-5") && !started("req-6"));
+    let repeated = accepted(&grid.front(b), &waiting("req-7", &["req-6"]));
+    assert_eq!(repeated, 200);
+    assert!(!has_started(grid, "req-5") && !has_started(grid, "req-6"));
     // A cancelled one does not hide another that was never accepted, whichever is named first.
-    assert_eq!(submit(a, &waiting("req-8", &["req-6", "req-9"])), 422);
-    assert_eq!(submit(b, &waiting("req-8", &["req-0", "req-6"])), 422);
+    let hidden_last = accepted(&grid.front(a), &waiting("req-8", &["req-6", "req-9"]));
+    assert_eq!(hidden_last, 422);
+    let hidden_first = accepted(&grid.front(b), &waiting("req-8", &["req-0", "req-6"]));
+    assert_eq!(hidden_first, 422);
+}
+
+#[test]
+fn pipelines_go_through_any_node_and_outlive_the_leader() {
+    let grid = Grid::new("pipelines");
+    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
+    check_impossible_dependencies_are_refused(&grid);
+    let others = check_a_pipeline_outlives_the_leader(&grid, &mut nodes);
+    let (a, b) = (others[0], others[1]);
+    check_dependents_of_a_cancelled_job_are_cancelled(&grid, a, b);
+    check_late_dependents_of_a_cancelled_job(&grid, a, b);
 }
 
 #[test]
@@ -295,7 +329,12 @@
         state.revision = 9;
         let mut put = |key: &str, value: Value| {
             let lease = (key == "leader").then_some(7);
-            state.keys.insert(key.into(), (value, 9, lease));
+            let entry = Entry {
+                value,
+                version: 9,
+                lease,
+            };
+            state.keys.insert(key.into(), entry);
         };
         put("leader", json!({"node": "n9"}));
         put("end/req-1", json!({"state": "cancelled"}));
@@ -303,8 +342,8 @@
         put("open/req-3", spec("req-3", &["req-2", "req-1"]));
         put("open/req-4", spec("req-4", &["req-3"]));
         put("open/req-5", spec("req-5", &["req-2"]));
-        let life = (Instant::now(), Duration::from_secs(3600));
-        state.leases.insert(7, life);
+        let lease = Lease::new(Duration::from_secs(3600));
+        state.leases.insert(7, lease);
     }
     let _node = grid.start(0);
     let poll = |id: &str| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,15 +14,34 @@
 use stairstage::protocol::cloud::MachineType;
 use stairstage::protocol::job::JobSpec;
 use stairstage::protocol::store::{Compare, Page, Transaction, VersionedValue, WriteOperation};
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, Heartbeat, TaskState, TaskStatus};
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{
+    completion_key, end_key, parse_completion_key, placement_key, EndRecord, OpenRecord,
+    StoredCompletions, StoredPlacements, COMPLETION_PREFIX, OPEN_PREFIX, PLACEMENT_PREFIX,
+};
 use stairstage_upgrade::fence::WriteFence;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::sync::Arc;
 
+/// One attempt of a task, which its worker knows by this.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptId {
+    pub task: String,
+    pub attempt: u64,
+}
+
+impl AttemptId {
+    pub(crate) fn new(task: &str, attempt: u64) -> AttemptId {
+        AttemptId {
+            task: task.to_string(),
+            attempt,
+        }
+    }
+}
+
 /// The only type of machine: room for four tasks of a job as described below.
 pub(crate) fn machine_type() -> MachineType {
     MachineType {
@@ -47,6 +66,7 @@
         "fix_interval_s":0.0,"fix_s":0.0,"due_s":null})
 }
 
+/// The description of a job, as a submission gives it.
 pub(crate) fn parsed(submission: &Value) -> JobSpec {
     JobSpec::parse(submission.to_string().as_bytes()).unwrap()
 }
@@ -67,22 +87,24 @@
 "#;
 
 /// What a user's request finds at a node that may write so much.
-pub(crate) fn request_context(clearance: WriteFence) -> Context {
+pub(crate) fn request_context(write_fence: WriteFence) -> Context {
     Context {
         settings: Arc::new(Settings::parse("test", SETTINGS).unwrap()),
         machine_types: Arc::new(vec![machine_type()]),
-        write_fence: clearance,
+        write_fence,
         peers: vec!["b".into(), "c".into()],
         from_peer: false,
         now_ms: 0,
     }
 }
 
+/// The manager of the first leader.
 pub(crate) fn manager() -> ClusterManager {
-    core_with_token(1)
+    manager_with_token(1)
 }
 
-pub(crate) fn core_with_token(token: u64) -> ClusterManager {
+/// The manager of a leader whose tokens begin here, and whose lease never ends.
+pub(crate) fn manager_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
     let mut manager = ClusterManager::new(settings, token, 0.0);
     manager.set_lease_valid_until(f64::INFINITY);
@@ -90,6 +112,7 @@
     manager
 }
 
+/// Opens a job of four tasks, or a gang of eight.
 pub(crate) fn submit(
     manager: &mut ClusterManager,
     id: &str,
@@ -110,17 +133,18 @@
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, 0.0);
 }
 
-pub(crate) fn report(
+/// Hands in a heartbeat of the first machine; returns the commands in its response.
+pub(crate) fn heartbeat(
     manager: &mut ClusterManager,
     sequence: u64,
     tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    report_of(manager, "m-1", sequence, None, tasks, now)
+    heartbeat_from(manager, "m-1", sequence, None, tasks, now)
 }
 
-/// A report of a machine of the only type, in its worker's first incarnation.
-pub(crate) fn worker_report(
+/// A heartbeat of a machine of the only type, in its worker's first incarnation.
+pub(crate) fn worker_heartbeat(
     machine: &str,
     sequence: u64,
     token: u64,
@@ -140,7 +164,8 @@
     }
 }
 
-pub(crate) fn report_of(
+/// Hands in a heartbeat of a machine; returns the commands in its response.
+pub(crate) fn heartbeat_from(
     manager: &mut ClusterManager,
     machine: &str,
     sequence: u64,
@@ -148,9 +173,9 @@
     tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    let mut report = worker_report(machine, sequence, 1, tasks);
-    report.notice_s = notice_s;
-    match manager.heartbeat(&report, now) {
+    let mut heartbeat = worker_heartbeat(machine, sequence, 1, tasks);
+    heartbeat.notice_s = notice_s;
+    match manager.heartbeat(&heartbeat, now) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
@@ -190,35 +215,37 @@
 }
 
 /// The names of tasks that are then launched directly.
-pub(crate) fn launched(manager: &mut ClusterManager, now: f64) -> Vec<(String, u64)> {
+pub(crate) fn launched(manager: &mut ClusterManager, now: f64) -> Vec<AttemptId> {
     let mut launched = Vec::new();
     carry_out(manager, now, |_, effect| {
         if let Effect::SendCommands {
-            commands: orders, ..
+            commands: batch, ..
         } = effect
         {
-            launched.extend(starts(&orders.commands));
+            launched.extend(starts(&batch.commands));
         }
     });
     launched
 }
 
-pub(crate) fn starts(commands: &[Command]) -> Vec<(String, u64)> {
+/// The attempts that commands start.
+pub(crate) fn starts(commands: &[Command]) -> Vec<AttemptId> {
     let start = |c: &Command| match c {
-        Command::Start { task, attempt } => Some((task.clone(), *attempt)),
+        Command::Start { task, attempt } => Some(AttemptId::new(task, *attempt)),
         _ => None,
     };
     commands.iter().filter_map(start).collect()
 }
 
+/// How a heartbeat shows these attempts.
 pub(crate) fn shown(
-    tasks: &[(String, u64)],
+    tasks: &[AttemptId],
     state: TaskState,
     cause: Option<Cause>,
 ) -> Vec<TaskStatus> {
-    let show = |(task, attempt): &(String, u64)| TaskStatus {
-        task: task.clone(),
-        attempt: *attempt,
+    let show = |id: &AttemptId| TaskStatus {
+        task: id.task.clone(),
+        attempt: id.attempt,
         state,
         cause,
         saved: None,
@@ -254,6 +281,7 @@
 }
 
 impl Store {
+    /// Whether a transaction keeps within the bounds of the service.
     fn takes(&self, txn: &Transaction) -> bool {
         let fits = |change: &WriteOperation| match change {
             WriteOperation::Put { value, .. } => value.to_string().len() <= self.value_bytes,
@@ -271,6 +299,7 @@
         failed.map(|c| c.key.clone()).collect()
     }
 
+    /// Applies a transaction if all its conditions hold; returns the new revision.
     pub(crate) fn commit(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
         if !self.takes(txn) {
             return Err(Refusal::TooLarge);
@@ -293,6 +322,7 @@
         Ok(self.revision)
     }
 
+    /// What a key holds.
     pub(crate) fn item(&self, key: &str) -> Option<VersionedValue> {
         let (value, version) = self.values.get(key)?.clone();
         Some(VersionedValue {
@@ -327,11 +357,13 @@
         }
     }
 
+    /// What all keys under a prefix hold.
     pub(crate) fn under(&self, prefix: &str) -> Vec<VersionedValue> {
         let keys = self.values.keys().filter(|k| k.starts_with(prefix));
         keys.filter_map(|k| self.item(k)).collect()
     }
 
+    /// What a new leader reads.
     pub(crate) fn records(&self) -> Records {
         Records {
             open: self.under(OPEN_PREFIX),
@@ -407,10 +439,10 @@
     carry_out(manager, now, |manager, effect| match effect {
         Effect::SendCommands {
             machine,
-            commands: orders,
+            commands: batch,
             ..
         } => {
-            launches.extend(starts(&orders.commands).into_iter().map(|s| s.0));
+            launches.extend(starts(&batch.commands).into_iter().map(|s| s.task));
             manager.commands_answered(&machine, CommandOutcome::Unknown, now);
         }
         Effect::ReturnMachines(names) => {
@@ -422,12 +454,17 @@
     (launches, returned)
 }
 
-/// Hands in a report; returns what its answer launches.
-pub(crate) fn answered(manager: &mut ClusterManager, report: &Heartbeat, now: f64) -> Vec<String> {
-    match manager.heartbeat(report, now) {
-        HeartbeatOutcome::Answer(answer) => {
-            starts(&answer.commands).into_iter().map(|s| s.0).collect()
-        }
+/// Hands in a heartbeat; returns what its answer launches.
+pub(crate) fn answered(
+    manager: &mut ClusterManager,
+    heartbeat: &Heartbeat,
+    now: f64,
+) -> Vec<String> {
+    match manager.heartbeat(heartbeat, now) {
+        HeartbeatOutcome::Answer(answer) => starts(&answer.commands)
+            .into_iter()
+            .map(|s| s.task)
+            .collect(),
         other => panic!("{other:?}"),
     }
 }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::*;
+use common::{
+    carry_out, heartbeat, heartbeat_from, launched, machine_type, manager, parsed, shown, starts,
+    submission, worker_heartbeat,
+};
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::coordination::manager::ClusterManager;
@@ -21,7 +24,7 @@
         zones: vec!["z".into(), "y".into()],
         ..machine_type()
     }]);
-    report(&mut manager, 1, Vec::new(), 0.0);
+    heartbeat(&mut manager, 1, Vec::new(), 0.0);
     manager
 }
 
@@ -40,7 +43,7 @@
     let mut rents = Vec::new();
     for second in 1..5 {
         let now = f64::from(second);
-        report(manager, 1 + second as u64, Vec::new(), now);
+        heartbeat(manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
         carry_out(manager, now, |_, effect| {
             if let Effect::RentMachines(rent) = effect {
@@ -101,7 +104,7 @@
             assert_eq!(rent.zone, "y", "at {second} s");
             manager.machines_rented(&rent.request, Some(Vec::new()), now);
         }
-        report(&mut manager, 1 + second as u64, Vec::new(), now);
+        heartbeat(&mut manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
         carry_out(&mut manager, now, |_, effect| {
             if let Effect::RentMachines(rent) = effect {
@@ -111,6 +114,7 @@
     }
 }
 
+/// Idle machines of the smaller type.
 const SMALL_MACHINES: usize = 6;
 
 /// Idle machines of the smaller of two types; the cloud has none of the larger type.
@@ -156,7 +160,7 @@
             let now = self.now;
             for machine in (0..SMALL_MACHINES).map(|i| format!("m-{i}")) {
                 if !self.returned.contains(&machine) {
-                    report_of(
+                    heartbeat_from(
                         &mut self.manager,
                         &machine,
                         now as u64,
@@ -204,16 +208,16 @@
     assert!(large.count() > 0, "the first job wants larger machines");
 }
 
-/// What a report in the second incarnation of the only machine's worker is answered.
+/// What a heartbeat in the second incarnation of the only machine's worker is answered.
 fn answer_in_second_incarnation(
     manager: &mut ClusterManager,
     sequence: u64,
     tasks: Vec<TaskStatus>,
     now: f64,
 ) -> Vec<Command> {
-    let mut report = worker_report("m-1", sequence, 1, tasks);
-    report.incarnation = 2;
-    match manager.heartbeat(&report, now) {
+    let mut heartbeat = worker_heartbeat("m-1", sequence, 1, tasks);
+    heartbeat.incarnation = 2;
+    match manager.heartbeat(&heartbeat, now) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
@@ -227,7 +231,7 @@
     manager.job_accepted(OpenRecord::accepted(parsed(&job), 0), 1, 0, 0.0);
     let first = launched(&mut manager, 0.5);
     assert_eq!(first.len(), 1);
-    report(
+    heartbeat(
         &mut manager,
         2,
         shown(&first, TaskState::Running, None),
@@ -245,7 +249,7 @@
         Vec::new(),
         17.5,
     ));
-    assert!(others.iter().all(|(task, _)| task.starts_with("req-2/")));
+    assert!(others.iter().all(|id| id.task.starts_with("req-2/")));
     assert_eq!(others.len(), 4);
     let mut rented = 0;
     for second in 18..18 + OVERDUE_S {
--- a/tests/mistakes.rs
+++ b/tests/failing_jobs.rs
@@ -3,14 +3,16 @@
 
 mod common;
 
-use common::*;
+use common::{each_effect, heartbeat_from, manager, parsed, shown, starts, submission};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
+/// Machines of the only type.
 const MACHINES: u64 = 20;
+/// Tasks that run at once.
 const SLOTS: usize = 4 * MACHINES as usize;
 
 /// A fleet whose tasks fail when their machine next reports, or run on.
@@ -38,10 +40,11 @@
             changes: 0,
             busy_s: 0.0,
         };
-        fleet.report(|_| false);
+        fleet.heartbeat(|_| false);
         fleet
     }
 
+    /// Opens an array.
     fn open(&mut self, id: &str, tasks: u32, sequence: u64) {
         let spec = parsed(&submission(id, "sweep", "normal", tasks));
         let record = OpenRecord::accepted(spec, 0);
@@ -49,7 +52,7 @@
     }
 
     /// All machines report; tasks of which `fails` holds have failed since the last time.
-    fn report(&mut self, fails: impl Fn(&str) -> bool) {
+    fn heartbeat(&mut self, fails: impl Fn(&str) -> bool) {
         self.sequence += 1;
         for (machine, tasks) in &mut self.tasks {
             for task in tasks.iter_mut() {
@@ -59,7 +62,7 @@
                     task.cause = Some(Cause::Error);
                 }
             }
-            let answer = report_of(
+            let answer = heartbeat_from(
                 &mut self.manager,
                 machine,
                 self.sequence,
@@ -85,10 +88,10 @@
                 }
                 Effect::SendCommands {
                     machine,
-                    commands: orders,
+                    commands: batch,
                     ..
                 } => {
-                    let started = starts(&orders.commands);
+                    let started = starts(&batch.commands);
                     *launches += started.len();
                     let here = tasks.get_mut(&*machine).unwrap();
                     here.extend(shown(&started, TaskState::Fetching, None));
@@ -100,10 +103,11 @@
         self.now += 2.0;
         let failing = self.tasks.values().flatten().filter(|t| fails(&t.task));
         self.busy_s += 2.0 * failing.count() as f64;
-        self.report(fails);
+        self.heartbeat(fails);
     }
 }
 
+/// Whether a task is of this job.
 fn of_job<'a>(id: &'a str) -> impl Fn(&str) -> bool + 'a {
     move |task| task.starts_with(id)
 }
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -1,16 +1,21 @@
 //! A machine with its worker, as the protocol describes them.
 
-use stairstage::protocol::worker::*;
+use super::common::AttemptId;
+use stairstage::protocol::worker::{
+    Cause, Command, CommandBatch, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+};
 use std::collections::BTreeMap;
 
 /// Processors of a machine.
 pub(crate) const CPUS: f64 = 4.0;
-/// A worker takes no answer to a report after this time, and tries the next node a second later.
-pub(crate) const ANSWER_TIMEOUT_S: f64 = 4.0;
+/// A worker takes no response to a heartbeat after this time.
+pub(crate) const RESPONSE_TIMEOUT_S: f64 = 4.0;
+/// Seconds until a worker tries the next node.
 pub(crate) const RETRY_S: f64 = 1.0;
-/// A worker sends no two reports within this time.
-const MIN_REPORT_PAUSE_S: f64 = 0.5;
+/// A worker sends no two heartbeats within this time.
+const MIN_HEARTBEAT_PAUSE_S: f64 = 0.5;
 
+/// A task on a machine, with the time since it is in its state.
 #[derive(Clone)]
 pub(crate) struct TaskOnWorker {
     pub state: TaskState,
@@ -18,13 +23,14 @@
     pub since: f64,
 }
 
-/// A report that its worker waits to have answered.
+/// A heartbeat that its worker waits to have answered.
 #[derive(Clone, Copy)]
-pub(crate) struct AwaitedAnswer {
+pub(crate) struct AwaitedResponse {
     pub sequence: u64,
     pub sent: f64,
 }
 
+/// A machine with its worker, and what keeps it from others.
 pub(crate) struct Worker {
     pub name: String,
     pub kind: &'static str,
@@ -35,23 +41,26 @@
     pub incarnation: u64,
     pub sequence: u64,
     pub token: u64,
-    /// By task and attempt.
-    pub tasks: BTreeMap<(String, u64), TaskOnWorker>,
-    /// When the last answered report was sent; infinite once its lease is over while it hangs.
-    pub renewed: f64,
-    /// Cut off from the controllers; from all but the former leader, which is in its zone; heard, but
-    /// out of reach; in reach of direct commands, but not heard; hanging; or gone for good.
-    pub cut: bool,
-    pub with_former: bool,
-    pub deaf: bool,
-    pub mute: bool,
+    pub tasks: BTreeMap<AttemptId, TaskOnWorker>,
+    /// When the last answered heartbeat was sent; infinite once its lease is over while it hangs.
+    pub lease_renewed_at: f64,
+    /// It reaches no controller, and none reaches it.
+    pub partitioned: bool,
+    /// The partition leaves it the former leader, which is in its zone.
+    pub with_former_leader: bool,
+    /// Its heartbeats arrive; responses to them and direct commands are lost.
+    pub inbound_lost: bool,
+    /// Direct commands arrive and are answered; its own heartbeats are lost.
+    pub heartbeats_lost: bool,
+    /// It does not run, and holds back what comes to it.
     pub hung: bool,
+    /// It is gone for good, with all that was on it.
     pub gone: bool,
     /// Direct commands that arrive once it runs again, or is no longer cut off.
     pub held: Vec<CommandBatch>,
-    pub next_report: f64,
-    last_report: f64,
-    pub awaited: Option<AwaitedAnswer>,
+    pub next_heartbeat_at: f64,
+    last_heartbeat_at: f64,
+    pub awaited: Option<AwaitedResponse>,
 }
 
 impl Worker {
@@ -66,16 +75,16 @@
             sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            renewed: now,
-            cut: false,
-            with_former: false,
-            deaf: false,
-            mute: false,
+            lease_renewed_at: now,
+            partitioned: false,
+            with_former_leader: false,
+            inbound_lost: false,
+            heartbeats_lost: false,
             hung: false,
             gone: false,
             held: Vec::new(),
-            next_report: now,
-            last_report: f64::NEG_INFINITY,
+            next_heartbeat_at: now,
+            last_heartbeat_at: f64::NEG_INFINITY,
             awaited: None,
         }
     }
@@ -86,7 +95,7 @@
         self.sequence = 0;
         self.token = 0;
         self.tasks.clear();
-        self.renewed = now;
+        self.lease_renewed_at = now;
     }
 
     /// It stops with all that is on it.
@@ -95,6 +104,7 @@
         self.tasks.clear();
     }
 
+    /// Whether it has booted and is not gone.
     pub(crate) fn is_up(&self, now: f64) -> bool {
         !self.gone && now >= self.up_at
     }
@@ -105,45 +115,46 @@
         self.incarnation += 1;
         self.tasks.clear();
         self.awaited = None;
-        self.renewed = if self.hung { f64::INFINITY } else { now };
-        self.report_change(now);
+        self.lease_renewed_at = if self.hung { f64::INFINITY } else { now };
+        self.hasten_heartbeat(now);
     }
 
     /// It runs again; what was held back meanwhile is handed out.
     pub(crate) fn resume(&mut self, now: f64) -> Vec<CommandBatch> {
         self.hung = false;
-        if self.renewed == f64::INFINITY {
-            self.renewed = now;
+        if self.lease_renewed_at == f64::INFINITY {
+            self.lease_renewed_at = now;
         }
-        self.next_report = now;
+        self.next_heartbeat_at = now;
         std::mem::take(&mut self.held)
     }
 
     /// Something has changed, which it reports soon.
-    pub(crate) fn report_change(&mut self, now: f64) {
-        let soon = now.max(self.last_report + MIN_REPORT_PAUSE_S);
-        self.next_report = self.next_report.min(soon);
+    pub(crate) fn hasten_heartbeat(&mut self, now: f64) {
+        let soon = now.max(self.last_heartbeat_at + MIN_HEARTBEAT_PAUSE_S);
+        self.next_heartbeat_at = self.next_heartbeat_at.min(soon);
     }
 
-    /// Takes an answer to the report that it sent then; returns the tasks that started.
+    /// Takes a response to the heartbeat that it sent then; returns the tasks that started.
     pub(crate) fn take(&mut self, answer: &HeartbeatResponse, sent: f64, now: f64) -> Vec<String> {
         self.token = answer.token;
-        self.renewed = sent;
+        self.lease_renewed_at = sent;
         self.run(&answer.commands, now)
     }
 
     /// Whether it executes direct commands.
-    pub(crate) fn accepts(&self, orders: &CommandBatch) -> bool {
-        orders.token >= self.token && orders.incarnation == self.incarnation
+    pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
+        batch.token >= self.token && batch.incarnation == self.incarnation
     }
 
-    /// A report of its own; one that answers a direct command has a later number too.
-    pub(crate) fn own_report(&mut self, now: f64) -> Heartbeat {
-        self.last_report = now;
-        self.report()
+    /// A heartbeat of its own; one that answers a direct command has a later number too.
+    pub(crate) fn own_heartbeat(&mut self, now: f64) -> Heartbeat {
+        self.last_heartbeat_at = now;
+        self.heartbeat()
     }
 
-    pub(crate) fn report(&mut self) -> Heartbeat {
+    /// The next heartbeat.
+    pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -158,9 +169,9 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskStatus {
-                    task: task.clone(),
-                    attempt: *attempt,
+                .map(|(id, t)| TaskStatus {
+                    task: id.task.clone(),
+                    attempt: id.attempt,
                     state: t.state,
                     cause: t.cause,
                     saved: None,
@@ -169,19 +180,21 @@
         }
     }
 
+    /// The tasks that have not exited.
     pub(crate) fn live(&self) -> impl Iterator<Item = &String> {
         let live = self
             .tasks
             .iter()
             .filter(|(_, t)| t.state != TaskState::Exited);
-        live.map(|((task, _), _)| task)
+        live.map(|(id, _)| &id.task)
     }
 
-    pub(crate) fn exit(&mut self, key: &(String, u64), cause: Cause, now: f64) {
-        if let Some(task) = self.tasks.get_mut(key) {
+    /// A task exits, which the next heartbeat shows.
+    pub(crate) fn exit(&mut self, id: &AttemptId, cause: Cause, now: f64) {
+        if let Some(task) = self.tasks.get_mut(id) {
             task.state = TaskState::Exited;
             task.cause = Some(cause);
-            self.report_change(now);
+            self.hasten_heartbeat(now);
         }
     }
 
@@ -191,9 +204,9 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    let key = (task.clone(), *attempt);
+                    let id = AttemptId::new(task, *attempt);
                     let full = self.live().count() as f64 + 1.0 > CPUS;
-                    if self.tasks.contains_key(&key) || full || self.live().any(|t| t == task) {
+                    if self.tasks.contains_key(&id) || full || self.live().any(|t| t == task) {
                         continue;
                     }
                     let on_worker = TaskOnWorker {
@@ -201,30 +214,30 @@
                         cause: None,
                         since: now,
                     };
-                    self.tasks.insert(key, on_worker);
+                    self.tasks.insert(id, on_worker);
                     started.push(task.clone());
                 }
                 Command::Stop { task, attempt, .. } => {
-                    let t = self.tasks.get_mut(&(task.clone(), *attempt));
+                    let t = self.tasks.get_mut(&AttemptId::new(task, *attempt));
                     if let Some(t) = t.filter(|t| t.state != TaskState::Exited) {
                         t.state = TaskState::Exited;
                         t.cause = Some(Cause::Stopped);
                     }
                 }
                 Command::Forget { task, attempt } => {
-                    let key = (task.clone(), *attempt);
+                    let id = AttemptId::new(task, *attempt);
                     if self
                         .tasks
-                        .get(&key)
+                        .get(&id)
                         .is_some_and(|t| t.state == TaskState::Exited)
                     {
-                        self.tasks.remove(&key);
+                        self.tasks.remove(&id);
                     }
                 }
             }
         }
         if !commands.is_empty() {
-            self.report_change(now);
+            self.hasten_heartbeat(now);
         }
         started
     }
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -4,15 +4,19 @@
 #[path = "common/standins.rs"]
 mod standins;
 
-use common::full_fleet::*;
-use common::http::*;
-use common::*;
+use common::full_fleet::{
+    full_fleet, heartbeats_without_news, job_of_machine, machine_number, FullFleet, LargestWrite,
+};
+use common::http::send;
+use common::{
+    answered, carry_out, heartbeat_from, manager_with_token, starts, worker_heartbeat, SETTINGS,
+};
 use crossbeam::channel::bounded;
 use serde_json::json;
 use stairstage::coordination::cluster::recovery::Records;
 use stairstage::coordination::cluster::{CommandOutcome, Effect};
 use stairstage::protocol::store::VersionedValue;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState};
 use stairstage::service::cloud_client::CloudClient;
 use stairstage::service::messages::{AcceptedJob, Message};
 use stairstage::service::record_reader::RecordReader;
@@ -30,10 +34,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Counts what is allocated.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
+/// Machines of a fleet that others are compared with.
 const SMALL: u32 = 1000;
+/// Machines of the largest fleet.
 const LARGEST: u32 = 6000;
 
 /// Tests that count allocated bytes, or build a whole fleet, run one after the other.
@@ -50,6 +57,7 @@
     largest: LargestWrite,
 }
 
+/// What events cost the leader of this fleet.
 fn costs(fleet: FullFleet) -> Costs {
     let FullFleet {
         mut manager,
@@ -58,12 +66,12 @@
         now,
         ..
     } = fleet;
-    let (report_looks, report_bytes) = reports_without_news(&mut manager, &tasks, now);
+    let (report_looks, report_bytes) = heartbeats_without_news(&mut manager, &tasks, now);
     let looks = manager.machines_examined();
     for (i, here) in tasks.iter_mut().enumerate().skip(100).take(20) {
         here[0].state = TaskState::Exited;
         here[0].cause = Some(Cause::Done);
-        report_of(&mut manager, &format!("m-{i}"), 3, None, here.clone(), now);
+        heartbeat_from(&mut manager, &format!("m-{i}"), 3, None, here.clone(), now);
         manager.step(now);
         manager.take_effects();
     }
@@ -120,7 +128,7 @@
         let now = fleet.now + f64::from(tick) / 2.0;
         for i in (0..half).filter(|i| i % 4 == tick as usize % 4) {
             let sequence = 10 + u64::from(tick as u32);
-            report_of(
+            heartbeat_from(
                 manager,
                 &format!("m-{i}"),
                 sequence,
@@ -195,27 +203,27 @@
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
     let fleet = full_fleet(LARGEST);
     let token = 1_000_000;
-    let mut next = core_with_token(token);
+    let mut next = manager_with_token(token);
     next.recover(records_of(&fleet), 0, 0.0);
     assert_eq!(next.machine_count(), fleet.tasks.len());
     let mut launched = 0;
     let mut running = 0;
-    // All come within a report interval, as after a restart of all controllers.
+    // All come within a heartbeat interval, as after a restart of all controllers.
     for (i, tasks) in fleet.tasks.iter().enumerate() {
         let now = 2.0 * i as f64 / fleet.tasks.len() as f64;
         for (sequence, seen) in [(3, 1), (4, token)] {
-            let report = worker_report(&format!("m-{i}"), sequence, seen, tasks.clone());
-            launched += answered(&mut next, &report, now).len();
+            let heartbeat = worker_heartbeat(&format!("m-{i}"), sequence, seen, tasks.clone());
+            launched += answered(&mut next, &heartbeat, now).len();
         }
         if i % 500 == 0 {
             carry_out(&mut next, now, |manager, effect| {
                 if let Effect::SendCommands {
                     machine,
-                    commands: orders,
+                    commands: batch,
                     ..
                 } = effect
                 {
-                    launched += starts(&orders.commands).len();
+                    launched += starts(&batch.commands).len();
                     manager.commands_answered(&machine, CommandOutcome::Unknown, now);
                 }
             });
@@ -230,10 +238,14 @@
 
 #[test]
 fn all_open_jobs_are_read_anew_in_one_message() {
-    let mut state = standins::State::default();
+    let mut state = standins::KeyValueStore::default();
     for i in 0..LARGEST {
         state.revision += 1;
-        let record = (json!(job_of_machine(i)), state.revision, None);
+        let record = standins::Entry {
+            value: json!(job_of_machine(i)),
+            version: state.revision,
+            lease: None,
+        };
         state.keys.insert(format!("{OPEN_PREFIX}req-{i}"), record);
     }
     let state = Mutex::new(state);
@@ -301,7 +313,7 @@
     assert_eq!(names.len(), LARGEST as usize);
 }
 
-/// Sends a worker's report; the answer.
+/// Sends a worker's heartbeat; the answer.
 fn report_on(stream: &mut TcpStream, worker: u32) -> String {
     send(stream, "POST", "/agent/beat", &worker.to_string())
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -2,14 +2,17 @@
 
 mod common;
 
-use common::*;
+use common::{
+    each_effect, machine_type, manager, manager_with_token, parsed, shown, starts, submission,
+    worker_heartbeat, AttemptId, Store, SETTINGS,
+};
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::job::{JobSpec, JobState};
 use stairstage::protocol::store::{Transaction, WriteOperation};
-use stairstage::protocol::worker::*;
-use stairstage::storage::records::*;
+use stairstage::protocol::worker::{Cause, TaskState};
+use stairstage::storage::records::{end_key, open_key, OpenRecord, LEADER_KEY, OPEN_PREFIX};
 use std::collections::BTreeMap;
 
 /// A manager with the records that it writes, and the ends that it has looked up.
@@ -17,7 +20,7 @@
     manager: ClusterManager,
     store: Store,
     sought: Vec<String>,
-    launched: Vec<(String, u64)>,
+    launched: Vec<AttemptId>,
     ended: BTreeMap<String, JobState>,
     /// Writes that end a job get no answer, and are not applied.
     ends_held: bool,
@@ -43,13 +46,14 @@
     fn elected(mut self, now: f64) -> Leader {
         let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
-        self.manager = core_with_token(token);
+        self.manager = manager_with_token(token);
         // The time of day is that of the test.
         self.manager
             .recover(self.store.records(), (1000.0 * now) as u64, now);
         self
     }
 
+    /// A job is submitted that waits for these, and the leader hears of it.
     fn submit(&mut self, id: &str, waits_on: &[&str], change: impl FnOnce(&mut Value), now: f64) {
         let mut body = submission(id, "sweep", "normal", 2);
         body["waits_on"] = json!(waits_on);
@@ -74,6 +78,7 @@
         self.manager.job_end_recorded(id, JobState::Cancelled, now);
     }
 
+    /// Lets the leader decide; writes, reads and ends are carried out.
     fn act(&mut self, now: f64) {
         let Leader {
             manager,
@@ -99,8 +104,8 @@
                 manager.ends_found(ends, now);
             }
             Effect::SendCommands {
-                commands: orders, ..
-            } => launched.extend(starts(&orders.commands)),
+                commands: batch, ..
+            } => launched.extend(starts(&batch.commands)),
             Effect::JobEnded { id, state } => {
                 ended.insert(id.to_string(), state);
             }
@@ -109,41 +114,44 @@
     }
 
     /// The machine shows what was launched on it: these jobs' tasks are over, the others run.
-    fn report(&mut self, sequence: u64, over: &[&str], now: f64) {
+    fn heartbeat(&mut self, sequence: u64, over: &[&str], now: f64) {
         let done = |name: &str| over.iter().any(|id| name.starts_with(&format!("{id}/")));
-        let show = |(task, attempt): &(String, u64)| {
-            let (state, cause) = if done(task) {
+        let show = |id: &AttemptId| {
+            let (state, cause) = if done(&id.task) {
                 (TaskState::Exited, Some(Cause::Done))
             } else {
                 (TaskState::Running, None)
             };
-            shown(&[(task.clone(), *attempt)], state, cause).remove(0)
+            shown(std::slice::from_ref(id), state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(show).collect();
-        let report = worker_report("m-1", sequence, self.manager.token(), tasks);
-        let mut answer = self.manager.heartbeat(&report, now);
+        let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token(), tasks);
+        let mut answer = self.manager.heartbeat(&heartbeat, now);
         if let stairstage::coordination::cluster::HeartbeatOutcome::Answer(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
         }
         // A direct command has been answered by that as well.
         self.manager.commands_answered(
             &"m-1".into(),
-            stairstage::coordination::cluster::CommandOutcome::Executed(report),
+            stairstage::coordination::cluster::CommandOutcome::Executed(heartbeat),
             now,
         );
     }
 
+    /// Whether a task of a job was launched.
     fn has_launched(&self, id: &str) -> bool {
         self.launched
             .iter()
-            .any(|(t, _)| t.starts_with(&format!("{id}/")))
+            .any(|t| t.task.starts_with(&format!("{id}/")))
     }
 
+    /// The end of a job on record.
     fn end(&self, id: &str) -> Option<Value> {
         Some(self.store.item(&end_key(id))?.value["state"].clone())
     }
 }
 
+/// Changes nothing about a submission.
 fn plain(_: &mut Value) {}
 
 /// Whether a transaction puts the end of a job on record.
@@ -158,14 +166,14 @@
 #[test]
 fn a_job_starts_only_once_the_end_of_what_it_needs_is_recorded() {
     let mut leader = Leader::new();
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     leader.submit("req-1", &[], plain, 0.0);
     leader.submit("req-2", &["req-1"], plain, 0.0);
     leader.act(0.0);
     assert!(leader.has_launched("req-1") && !leader.has_launched("req-2"));
     // All its tasks are complete, but that is not on record: a cancellation could still win.
     leader.ends_held = true;
-    leader.report(2, &["req-1"], 1.0);
+    leader.heartbeat(2, &["req-1"], 1.0);
     leader.act(1.0);
     leader.act(2.0);
     assert!(!leader.has_launched("req-2"));
@@ -175,9 +183,9 @@
     );
     let mut leader = leader.elected(2.0);
     leader.ends_held = false;
-    leader.report(3, &["req-1"], 3.0);
+    leader.heartbeat(3, &["req-1"], 3.0);
     leader.act(3.0);
-    leader.report(4, &["req-1"], 3.5);
+    leader.heartbeat(4, &["req-1"], 3.5);
     leader.act(4.0);
     assert_eq!(leader.end("req-1"), Some(json!("done")));
     assert!(leader.has_launched("req-2"));
@@ -194,7 +202,7 @@
     leader.submit("req-3", &["req-1", "req-2"], plain, 0.0);
     leader.reads = false;
     let mut leader = leader.elected(1.0);
-    leader.report(1, &[], 1.0);
+    leader.heartbeat(1, &[], 1.0);
     leader.act(1.0);
     assert!(
         leader.launched.is_empty(),
@@ -216,7 +224,7 @@
 #[test]
 fn cancelling_a_job_cancels_all_that_need_it_and_nothing_else() {
     let mut leader = Leader::new();
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     leader.submit("req-1", &[], plain, 0.0);
     leader.submit("req-2", &["req-1"], plain, 0.0);
     leader.submit("req-3", &["req-2"], plain, 0.0);
@@ -262,7 +270,7 @@
         .store
         .values
         .insert(end_key("req-1"), (json!({"state": "done"}), 1));
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     leader.act(0.0);
     leader
         .manager
@@ -297,7 +305,7 @@
     leader.manager = ClusterManager::new(settings.into(), 1, 0.0);
     leader.manager.set_lease_valid_until(f64::INFINITY);
     leader.manager.set_machine_types(vec![machine_type()]);
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     // The first waits for ever; the last fits the guarantee and the limit by itself, and so goes
     // before another team's work that came earlier and would fill the machine.
     leader.submit("req-1", &["req-9"], plain, 0.0);
@@ -312,7 +320,7 @@
         leader
             .launched
             .iter()
-            .filter(|(t, _)| t.starts_with(id))
+            .filter(|t| t.task.starts_with(id))
             .count()
     };
     assert_eq!((of("req-3/"), of("req-2/")), (2, 2));
@@ -321,14 +329,19 @@
 /// Which of two jobs of different pipelines goes first, on a machine with room for one of them.
 fn first_of(a: impl FnOnce(&mut Leader), b: impl FnOnce(&mut Leader)) -> String {
     let mut leader = Leader::new();
-    leader.report(1, &[], 0.0);
+    leader.heartbeat(1, &[], 0.0);
     let wide = |v: &mut Value| v["cpus"] = json!(2.0);
     leader.submit("req-1", &[], wide, 0.0);
     leader.submit("req-2", &[], wide, 0.0);
     a(&mut leader);
     b(&mut leader);
     leader.act(0.5);
-    leader.launched[0].0.rsplit_once('/').unwrap().0.to_string()
+    leader.launched[0]
+        .task
+        .rsplit_once('/')
+        .unwrap()
+        .0
+        .to_string()
 }
 
 #[test]
@@ -374,7 +387,7 @@
     leader.store.values.insert(end_key("req-1"), (end, 1));
     let mut leader = leader.elected(150.0);
     leader.act(150.0);
-    leader.report(1, &[], 150.0);
+    leader.heartbeat(1, &[], 150.0);
     leader.act(150.5);
     // It came first, but may begin last.
     assert!(leader.has_launched("req-3") && !leader.has_launched("req-2"));
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -1,16 +1,17 @@
 //! A clock-free play of the scheduler over generated loads: more work than room, floods of small
 //! jobs, deadlines that cannot be met. Everybody is served, and the largest begin in time.
 
-use crate::common::*;
+use crate::common::{manager, parsed, shown, submission, AttemptId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, Heartbeat, TaskState};
 use stairstage::storage::records::OpenRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A job, and how long its tasks really run.
 #[derive(Clone, Debug)]
 struct Load {
     at_s: f64,
@@ -33,15 +34,17 @@
     done: Option<f64>,
 }
 
+/// Machines of the only type.
 const MACHINES: usize = 6;
 
+/// A leader with machines whose answers come at once.
 struct Play {
     manager: ClusterManager,
     now: f64,
     seqs: [u64; MACHINES],
     /// Tasks on each machine, with their ends.
-    running: Vec<BTreeMap<(String, u64), f64>>,
-    exited: Vec<BTreeSet<(String, u64)>>,
+    running: Vec<BTreeMap<AttemptId, f64>>,
+    exited: Vec<BTreeSet<AttemptId>>,
     run_s: BTreeMap<String, f64>,
     fates: BTreeMap<String, Fate>,
     written: u64,
@@ -61,6 +64,7 @@
         }
     }
 
+    /// A user submits a job.
     fn submit(&mut self, number: usize, load: &Load) {
         let id = format!("req-{number}");
         let mut body = submission(&id, load.rig, "normal", load.tasks);
@@ -84,45 +88,46 @@
         );
     }
 
+    /// A machine carries out commands.
     fn run(&mut self, machine: usize, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    let key = (task.clone(), *attempt);
-                    if self.running[machine].contains_key(&key)
-                        || self.exited[machine].contains(&key)
+                    let id = AttemptId::new(task, *attempt);
+                    if self.running[machine].contains_key(&id) || self.exited[machine].contains(&id)
                     {
                         continue;
                     }
-                    let id = task.rsplit_once('/').unwrap().0;
-                    self.running[machine].insert(key, self.now + self.run_s[id]);
-                    let fate = self.fates.get_mut(id).unwrap();
+                    let job = task.rsplit_once('/').unwrap().0;
+                    self.running[machine].insert(id, self.now + self.run_s[job]);
+                    let fate = self.fates.get_mut(job).unwrap();
                     fate.began.get_or_insert(self.now);
                 }
                 Command::Stop { task, attempt, .. } => {
-                    self.running[machine].remove(&(task.clone(), *attempt));
+                    self.running[machine].remove(&AttemptId::new(task, *attempt));
                 }
                 Command::Forget { task, attempt } => {
-                    self.exited[machine].remove(&(task.clone(), *attempt));
+                    self.exited[machine].remove(&AttemptId::new(task, *attempt));
                 }
             }
         }
     }
 
-    fn report(&mut self, machine: usize) -> Heartbeat {
+    /// The next heartbeat of a machine; tasks that have run for long enough are done in it.
+    fn heartbeat(&mut self, machine: usize) -> Heartbeat {
         self.seqs[machine] += 1;
         let now = self.now;
-        let over: Vec<(String, u64)> = self.running[machine]
+        let over: Vec<AttemptId> = self.running[machine]
             .iter()
             .filter(|(_, end)| **end <= now)
-            .map(|(key, _)| key.clone())
+            .map(|(id, _)| id.clone())
             .collect();
-        for key in over {
-            self.running[machine].remove(&key);
-            self.exited[machine].insert(key);
+        for id in over {
+            self.running[machine].remove(&id);
+            self.exited[machine].insert(id);
         }
-        let running: Vec<(String, u64)> = self.running[machine].keys().cloned().collect();
-        let exited: Vec<(String, u64)> = self.exited[machine].iter().cloned().collect();
+        let running: Vec<AttemptId> = self.running[machine].keys().cloned().collect();
+        let exited: Vec<AttemptId> = self.exited[machine].iter().cloned().collect();
         let mut tasks = shown(&running, TaskState::Running, None);
         tasks.extend(shown(&exited, TaskState::Exited, Some(Cause::Done)));
         Heartbeat {
@@ -139,10 +144,11 @@
         }
     }
 
+    /// A second passes.
     fn second(&mut self) {
         for machine in 0..MACHINES {
-            let report = self.report(machine);
-            if let HeartbeatOutcome::Answer(answer) = self.manager.heartbeat(&report, self.now) {
+            let heartbeat = self.heartbeat(machine);
+            if let HeartbeatOutcome::Answer(answer) = self.manager.heartbeat(&heartbeat, self.now) {
                 self.run(machine, &answer.commands);
             }
         }
@@ -161,6 +167,7 @@
         self.now += 1.0;
     }
 
+    /// Carries out one effect.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Write { id, .. } => {
@@ -170,15 +177,15 @@
             }
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => {
                 let i: usize = machine[2..].parse().unwrap();
-                self.run(i, &orders.commands);
-                let report = self.report(i);
+                self.run(i, &batch.commands);
+                let heartbeat = self.heartbeat(i);
                 self.manager.commands_answered(
                     &machine,
-                    CommandOutcome::Executed(report),
+                    CommandOutcome::Executed(heartbeat),
                     self.now,
                 );
             }
@@ -256,8 +263,8 @@
         let loads = loads(&sizes, pressure);
         let mut play = Play::new();
         for machine in 0..MACHINES {
-            let report = play.report(machine);
-            play.manager.heartbeat(&report, 0.0);
+            let heartbeat = play.heartbeat(machine);
+            play.manager.heartbeat(&heartbeat, 0.0);
         }
         let end_s = loads.last().unwrap().at_s + 240.0;
         let mut next = 0;
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -1,16 +1,34 @@
 //! Machines and their workers: what they run, report and are told.
 
 use super::Simulation;
+use crate::common::AttemptId;
 use crate::worker::Worker;
 use stairstage::coordination::cluster::HeartbeatOutcome;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
 use stairstage::protocol::job::parse_task;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, Command, TaskState};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Seconds between two looks at the cloud's list.
 const LIST_S: f64 = 5.0;
 
+/// An attempt of a gang: all its tasks have the same.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct GangAttempt {
+    job: String,
+    attempt: u64,
+}
+
+impl GangAttempt {
+    /// The gang that an attempt of one of its tasks is part of.
+    fn of(id: &AttemptId) -> GangAttempt {
+        GangAttempt {
+            job: parse_task(&id.task).unwrap().0.to_string(),
+            attempt: id.attempt,
+        }
+    }
+}
+
 impl Simulation {
     /// Adds machines that are up already; returns their names.
     pub(crate) fn add_machines(&mut self, zone: &str, count: usize) -> Vec<String> {
@@ -18,6 +36,7 @@
         (0..count).map(|_| self.add_machine(zone, now)).collect()
     }
 
+    /// Adds a machine that is up from then on.
     pub(super) fn add_machine(&mut self, zone: &str, up_s: f64) -> String {
         let name = format!("m-{:06}", self.rented);
         self.rented += 1;
@@ -27,14 +46,15 @@
         name
     }
 
+    /// Fetches and runs go on, and leases end.
     pub(super) fn advance_workers(&mut self) {
         let (now, lease_s) = (self.now, self.settings.cluster.workers.lease_s);
         for worker in self.workers.values_mut() {
             worker.expire(lease_s, now);
-            let keys: Vec<(String, u64)> = worker.live().map(|(key, _)| key.clone()).collect();
-            for key in keys {
-                let plan = &self.outcomes[parse_task(&key.0).unwrap().0].plan;
-                worker.advance(&key, plan, now);
+            let ids: Vec<AttemptId> = worker.live().map(|(id, _)| id.clone()).collect();
+            for id in ids {
+                let plan = &self.outcomes[parse_task(&id.task).unwrap().0].plan;
+                worker.advance(&id, plan, now);
             }
         }
         self.advance_gangs();
@@ -42,11 +62,11 @@
 
     /// The tasks of a gang start together, complete together, and exit when one is gone.
     pub(super) fn advance_gangs(&mut self) {
-        let mut gangs: BTreeMap<(String, u64), Vec<TaskState>> = BTreeMap::new();
-        let mut done: BTreeSet<(String, u64)> = BTreeSet::new();
+        let mut gangs: BTreeMap<GangAttempt, Vec<TaskState>> = BTreeMap::new();
+        let mut done: BTreeSet<GangAttempt> = BTreeSet::new();
         for worker in self.workers.values() {
-            for ((task, attempt), t) in worker.tasks.iter().filter(|(_, t)| t.gang) {
-                let gang = (parse_task(task).unwrap().0.to_string(), *attempt);
+            for (id, t) in worker.tasks.iter().filter(|(_, t)| t.gang) {
+                let gang = GangAttempt::of(id);
                 match t.cause {
                     Some(Cause::Done) => drop(done.insert(gang)),
                     Some(_) => {}
@@ -56,7 +76,7 @@
         }
         let (now, wait_s) = (self.now, self.settings.cluster.workers.gang_wait_s);
         for (gang, states) in gangs {
-            let plan = self.outcomes[&gang.0].plan.clone();
+            let plan = self.outcomes[&gang.job].plan.clone();
             let whole = states.len() == plan.tasks as usize;
             let ready = states.iter().all(|s| *s == TaskState::Waiting);
             let runs = states.contains(&TaskState::Running);
@@ -75,36 +95,44 @@
         }
     }
 
+    /// The live tasks of an attempt of a gang, on all machines.
     pub(super) fn of_gang<'a>(
         &'a mut self,
-        gang: &'a (String, u64),
-    ) -> impl Iterator<Item = &'a mut crate::worker::OnWorker> + 'a {
+        gang: &'a GangAttempt,
+    ) -> impl Iterator<Item = &'a mut crate::worker::TaskOnWorker> + 'a {
         let tasks = self.workers.values_mut().flat_map(|w| w.tasks.iter_mut());
-        tasks.filter_map(move |((task, attempt), t)| {
-            let same = parse_task(task).unwrap().0 == gang.0 && *attempt == gang.1;
+        tasks.filter_map(move |(id, t)| {
+            let same = GangAttempt::of(id) == *gang;
             (same && t.is_live()).then_some(t)
         })
     }
 
-    pub(super) fn report_all(&mut self) {
+    /// Each machine that reaches the leader sends a heartbeat, and takes the response if it
+    /// arrives.
+    pub(super) fn send_heartbeats(&mut self) {
         let now = self.now;
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
             let worker = self.workers.get_mut(&name).unwrap();
-            let Some(manager) = self.leader.as_mut().filter(|_| worker.is_heard(now)) else {
+            let Some(manager) = self
+                .leader
+                .as_mut()
+                .filter(|_| worker.heartbeats_arrive(now))
+            else {
                 continue;
             };
-            let heard = manager.heartbeat(&worker.report(), now);
+            let outcome = manager.heartbeat(&worker.heartbeat(), now);
             let in_time = !self.random.chance(self.slow_links);
-            if let HeartbeatOutcome::Answer(answer) = heard {
-                if in_time && worker.hears(now) && worker.take_answer(&answer, now) {
-                    self.obey(&name, &answer.commands);
+            if let HeartbeatOutcome::Answer(answer) = outcome {
+                if in_time && worker.receives(now) && worker.accept_response(&answer, now) {
+                    self.execute(&name, &answer.commands);
                 }
             }
         }
     }
 
-    pub(super) fn obey(&mut self, name: &str, commands: &[Command]) {
+    /// A machine carries out commands, and what starts is checked.
+    pub(super) fn execute(&mut self, name: &str, commands: &[Command]) {
         for command in commands {
             let (Command::Start { task, .. }
             | Command::Stop { task, .. }
@@ -112,7 +140,7 @@
             let (id, _) = parse_task(task).unwrap();
             let outcome = self.outcomes.get_mut(id).expect("a job of this day");
             let worker = self.workers.get_mut(name).unwrap();
-            let started = worker.obey(command, &outcome.plan, self.now);
+            let started = worker.execute(command, &outcome.plan, self.now);
             if let Some(task) = started {
                 outcome.began.get_or_insert(self.now);
                 self.check_start(name, &task);
@@ -127,7 +155,7 @@
         let others = self.workers.values().filter(|w| w.name != name);
         let twice = others
             .flat_map(Worker::live)
-            .any(|((other, _), _)| other == task);
+            .any(|(other, _)| other.task == task);
         assert!(!twice, "ran_twice: {task} starts on {name}");
         let zone = &self.workers[name].zone;
         let allowed = outcome.plan.zone.is_none_or(|z| z == zone);
@@ -140,6 +168,7 @@
         assert!(used <= limit + 1e-6, "quota: {used} of {limit} CPUs");
     }
 
+    /// Processors that a team may use.
     pub(super) fn limit(&self, team: &str) -> f64 {
         match self.settings.team(team).expect("a known team").cpus_max {
             limit if limit > 0.0 => limit,
@@ -147,15 +176,17 @@
         }
     }
 
+    /// Processors that each team has in use.
     pub(super) fn team_use(&self) -> HashMap<&str, f64> {
         let mut team_use: HashMap<&str, f64> = HashMap::new();
-        for ((task, _), t) in self.workers.values().flat_map(Worker::live) {
-            let id = parse_task(task).unwrap().0;
+        for (attempt, t) in self.workers.values().flat_map(Worker::live) {
+            let id = parse_task(&attempt.task).unwrap().0;
             *team_use.entry(self.outcomes[id].plan.team).or_default() += t.cpus;
         }
         team_use
     }
 
+    /// The leader gets the list of the cloud, now and then.
     pub(super) fn list_machines(&mut self) {
         if self.now - self.listed < LIST_S {
             return;
@@ -167,6 +198,7 @@
         }
     }
 
+    /// A machine as the cloud lists it.
     pub(super) fn listing(&self, worker: &Worker) -> ListedMachine {
         ListedMachine {
             name: worker.name.clone(),
@@ -183,6 +215,7 @@
         }
     }
 
+    /// The cloud rents what it has in a zone.
     pub(super) fn rent(&mut self, zone: &str, count: usize) -> Vec<String> {
         let there = self.workers.values().filter(|w| w.zone == zone).count();
         let free = self.cloud.most_in_zone.saturating_sub(there);
--- a/tests/play/simulation/mod.rs
+++ b/tests/play/simulation/mod.rs
@@ -17,6 +17,7 @@
 use std::sync::Arc;
 pub(crate) use users::Outcome;
 
+/// Seconds of a step.
 pub(crate) const STEP_S: f64 = 1.0;
 
 /// A team with its limit on processors; 0 for none.
@@ -29,6 +30,7 @@
 /// The teams of most days, without limits.
 pub(crate) const UNLIMITED: [TeamLimit; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
 
+/// A team with a guarantee and a limit.
 pub(crate) const fn team(name: &'static str, guarantee: f64, limit: f64) -> TeamLimit {
     TeamLimit {
         name,
@@ -37,6 +39,7 @@
     }
 }
 
+/// All parts of a simulated day, and what became of its jobs.
 pub(crate) struct Simulation {
     pub now: f64,
     pub random: Random,
@@ -46,7 +49,7 @@
     pub state: StateService,
     pub cloud: Cloud,
     pub leader: Option<ClusterManager>,
-    /// The share of answers to reports, and of answers to direct commands, that take longer than their
+    /// The share of responses to heartbeats, and of answers to direct commands, that take longer than their
     /// receivers wait.
     pub slow_links: f64,
     /// Whether other controllers can promise a new leader to answer nothing in its place.
@@ -59,7 +62,7 @@
     pending: Vec<PendingWrite>,
     late: Vec<(f64, Transaction)>,
     listed: f64,
-    /// When the last trouble is over; what users wait for is counted from then on.
+    /// When the last fault is over; what users wait for is counted from then on.
     pub calm_from: f64,
 }
 
@@ -108,30 +111,33 @@
         simulation
     }
 
+    /// Adds jobs that users submit when their time has come.
     pub(crate) fn plan(&mut self, plans: Vec<JobPlan>) {
         self.plans.extend(plans);
         self.plans.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     }
 
+    /// Milliseconds since the day began.
     fn wall_ms(&self) -> u64 {
         (1000.0 * self.now) as u64
     }
 
-    /// Plays until then; `trouble` may change anything before each step.
-    pub(crate) fn run(&mut self, until: f64, mut trouble: impl FnMut(&mut Simulation)) {
+    /// Plays until then; `fault` may change anything before each step.
+    pub(crate) fn run(&mut self, until: f64, mut fault: impl FnMut(&mut Simulation)) {
         while self.now < until {
-            trouble(self);
+            fault(self);
             self.step();
         }
     }
 
+    /// A second passes, in which each part acts once.
     fn step(&mut self) {
         self.carry_out_late();
         self.answer_writes();
         self.advance_workers();
         self.submit_due();
         self.cancel_due();
-        self.report_all();
+        self.send_heartbeats();
         self.list_machines();
         self.decide();
         self.advance_gangs();
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -6,7 +6,7 @@
 use crate::workload::JobPlan;
 use stairstage::protocol::job::{parse_task, JobState};
 use stairstage::protocol::store::Transaction;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of a job.
@@ -17,7 +17,7 @@
     pub began: Option<f64>,
     pub done: Option<f64>,
     pub cancelled: Option<f64>,
-    /// Since the last trouble: how long it has waited with room, and gone without an answer.
+    /// Since the last fault: how long it has waited with room, and gone without an answer.
     waits_s: f64,
     silence_s: f64,
     pub longest_wait_s: f64,
@@ -25,6 +25,7 @@
 }
 
 impl Outcome {
+    /// Whether it is neither done nor cancelled.
     fn is_open(&self) -> bool {
         self.done.is_none() && self.cancelled.is_none()
     }
@@ -64,6 +65,7 @@
         }
     }
 
+    /// Users cancel the jobs whose time has come.
     pub(super) fn cancel_due(&mut self) {
         if self.state.refuses {
             return;
@@ -149,7 +151,7 @@
         let team_use = self.team_use();
         let tasks = self.workers.values().flat_map(Worker::live);
         let running: BTreeSet<&str> = tasks
-            .map(|((task, _), _)| parse_task(task).unwrap().0)
+            .map(|(attempt, _)| parse_task(&attempt.task).unwrap().0)
             .collect();
         let waits = |(id, o): &(&String, &Outcome)| {
             let tasks = if o.plan.is_gang() { o.plan.tasks } else { 1 };
@@ -164,6 +166,7 @@
         open.map(|(id, _)| id.clone()).collect()
     }
 
+    /// Whether machines have room for so many tasks of a job.
     pub(super) fn has_room(&self, plan: &JobPlan, tasks: u32) -> bool {
         let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
         for worker in self.workers.values() {
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -1,16 +1,21 @@
 //! A simulated machine with its worker.
 
+use crate::common::AttemptId;
 use crate::workload::JobPlan;
 use stairstage::protocol::job::parse_task;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{
+    Cause, Command, CommandBatch, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a fetch of an image takes, and how long a task runs before it fails.
+/// How long a fetch of an image takes.
 const FETCH_S: f64 = 1.0;
+/// How long a task runs before it fails, if it does.
 const FAILS_AFTER_S: f64 = 1.0;
 
+/// A task on a machine.
 #[derive(Clone, Debug)]
-pub(crate) struct OnWorker {
+pub(crate) struct TaskOnWorker {
     pub state: TaskState,
     pub cause: Option<Cause>,
     /// When its present state is over: its fetch, its wait for a gang or its run.
@@ -19,17 +24,20 @@
     pub gang: bool,
 }
 
-impl OnWorker {
+impl TaskOnWorker {
+    /// Whether it has not exited.
     pub(crate) fn is_live(&self) -> bool {
         self.state != TaskState::Exited
     }
 
+    /// It exits for this cause.
     pub(crate) fn exit(&mut self, cause: Cause) {
         self.state = TaskState::Exited;
         self.cause = Some(cause);
     }
 }
 
+/// A machine with its worker, and what keeps it from others.
 pub(crate) struct Worker {
     pub name: String,
     pub kind: String,
@@ -40,17 +48,17 @@
     incarnation: u64,
     sequence: u64,
     pub token: u64,
-    renewed: f64,
-    /// By task and attempt.
-    pub tasks: BTreeMap<(String, u64), OnWorker>,
+    lease_renewed_at: f64,
+    pub tasks: BTreeMap<AttemptId, TaskOnWorker>,
     images: BTreeSet<String>,
     /// Results of tasks that completed here: started again, they exit at once.
     results: BTreeSet<String>,
-    /// Cut off from every controller until then.
-    pub cut_until: f64,
-    /// Its reports arrive, but nothing reaches it; or it reaches nobody, but commands arrive.
-    pub deaf_until: f64,
-    pub mute_until: f64,
+    /// Until then it reaches no controller, and none reaches it.
+    pub partitioned_until: f64,
+    /// Until then its heartbeats arrive; responses and direct commands are lost.
+    pub inbound_lost_until: f64,
+    /// Until then direct commands arrive; its heartbeats are lost.
+    pub heartbeats_lost_until: f64,
     /// Every task fails on it.
     pub faulty: bool,
 }
@@ -74,47 +82,53 @@
             incarnation: 1,
             sequence: 0,
             token: 0,
-            renewed: up_s,
+            lease_renewed_at: up_s,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             results: BTreeSet::new(),
-            cut_until: 0.0,
-            deaf_until: 0.0,
-            mute_until: 0.0,
+            partitioned_until: 0.0,
+            inbound_lost_until: 0.0,
+            heartbeats_lost_until: 0.0,
             faulty: false,
         }
     }
 
+    /// Whether it has booted.
     pub(crate) fn is_up(&self, now: f64) -> bool {
         now >= self.up_s
     }
 
+    /// Whether it is up and not partitioned.
     pub(crate) fn is_reachable(&self, now: f64) -> bool {
-        self.is_up(now) && now >= self.cut_until
+        self.is_up(now) && now >= self.partitioned_until
     }
 
-    /// Whether its reports arrive, and whether commands and answers do.
-    pub(crate) fn is_heard(&self, now: f64) -> bool {
-        self.is_reachable(now) && now >= self.mute_until
+    /// Whether its heartbeats arrive, and whether commands and answers do.
+    pub(crate) fn heartbeats_arrive(&self, now: f64) -> bool {
+        self.is_reachable(now) && now >= self.heartbeats_lost_until
     }
 
-    pub(crate) fn hears(&self, now: f64) -> bool {
-        self.is_reachable(now) && now >= self.deaf_until
+    /// Whether responses and direct commands reach it.
+    pub(crate) fn receives(&self, now: f64) -> bool {
+        self.is_reachable(now) && now >= self.inbound_lost_until
     }
 
-    pub(crate) fn live(&self) -> impl Iterator<Item = (&(String, u64), &OnWorker)> {
+    /// The tasks that have not exited.
+    pub(crate) fn live(&self) -> impl Iterator<Item = (&AttemptId, &TaskOnWorker)> {
         self.tasks.iter().filter(|(_, t)| t.is_live())
     }
 
+    /// Processors that no live task uses.
     pub(crate) fn free_cpus(&self) -> f64 {
         self.cpus - self.live().map(|(_, t)| t.cpus).sum::<f64>()
     }
 
-    pub(crate) fn report(&mut self) -> Heartbeat {
+    /// The next heartbeat.
+    pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), t)| TaskStatus {
-            task: task.clone(),
-            attempt: *attempt,
+        let tasks = self.tasks.iter().map(|(id, t)| TaskStatus {
+            task: id.task.clone(),
+            attempt: id.attempt,
             state: t.state,
             cause: t.cause,
             saved: None,
@@ -133,72 +147,81 @@
         }
     }
 
-    pub(crate) fn take_answer(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
+    /// Takes a response to the heartbeat that it sent then, unless its token is outdated.
+    pub(crate) fn accept_response(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
         if answer.token < self.token {
             return false;
         }
         self.token = answer.token;
-        self.renewed = sent;
+        self.lease_renewed_at = sent;
         true
     }
 
-    pub(crate) fn accepts(&self, orders: &CommandBatch) -> bool {
-        orders.token >= self.token && orders.incarnation == self.incarnation
+    /// Whether it executes direct commands.
+    pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
+        batch.token >= self.token && batch.incarnation == self.incarnation
     }
 
+    /// If its lease is over, it has killed and forgotten every task.
     pub(crate) fn expire(&mut self, lease_s: f64, now: f64) {
-        if self.is_up(now) && now - self.renewed > lease_s {
+        if self.is_up(now) && now - self.lease_renewed_at > lease_s {
             self.incarnation += 1;
-            self.renewed = now;
+            self.lease_renewed_at = now;
             self.tasks.clear();
         }
     }
 
     /// Takes a command; returns the task that it started.
-    pub(crate) fn obey(&mut self, command: &Command, plan: &JobPlan, now: f64) -> Option<String> {
+    pub(crate) fn execute(
+        &mut self,
+        command: &Command,
+        plan: &JobPlan,
+        now: f64,
+    ) -> Option<String> {
         match command {
             Command::Start { task, attempt } => {
-                let key = (task.clone(), *attempt);
-                if self.tasks.contains_key(&key) {
+                let id = AttemptId::new(task, *attempt);
+                if self.tasks.contains_key(&id) {
                     return None;
                 }
                 let (state, cause) = self.start_state(task, plan);
-                let placed = OnWorker {
+                let placed = TaskOnWorker {
                     state,
                     cause,
                     until: now + FETCH_S,
                     cpus: plan.cpus,
                     gang: plan.is_gang(),
                 };
-                self.tasks.insert(key, placed);
+                self.tasks.insert(id.clone(), placed);
                 if state == TaskState::Exited {
                     return None;
                 }
                 if self.images.contains(plan.class) {
-                    self.fetched(&(task.clone(), *attempt), plan, now);
+                    self.fetched(&id, plan, now);
                 }
                 Some(task.clone())
             }
             Command::Stop { task, attempt, .. } => {
-                let stopped = self.tasks.get_mut(&(task.clone(), *attempt));
+                let stopped = self.tasks.get_mut(&AttemptId::new(task, *attempt));
                 if let Some(t) = stopped.filter(|t| t.is_live()) {
                     t.exit(Cause::Stopped);
                 }
                 None
             }
             Command::Forget { task, attempt } => {
-                let key = (task.clone(), *attempt);
-                if self.tasks.get(&key).is_some_and(|t| !t.is_live()) {
-                    self.tasks.remove(&key);
+                let id = AttemptId::new(task, *attempt);
+                if self.tasks.get(&id).is_some_and(|t| !t.is_live()) {
+                    self.tasks.remove(&id);
                 }
                 None
             }
         }
     }
 
+    /// How a task begins: fetching its image, or refused.
     fn start_state(&self, task: &str, plan: &JobPlan) -> (TaskState, Option<Cause>) {
         let refused = |cause| (TaskState::Exited, Some(cause));
-        if self.live().any(|((other, _), _)| other == task) {
+        if self.live().any(|(other, _)| other.task == *task) {
             refused(Cause::Busy)
         } else if self.free_cpus() < plan.cpus {
             refused(Cause::NoRoom)
@@ -208,12 +231,12 @@
     }
 
     /// The machine has the image that a task waits for.
-    fn fetched(&mut self, key: &(String, u64), plan: &JobPlan, now: f64) {
+    fn fetched(&mut self, id: &AttemptId, plan: &JobPlan, now: f64) {
         self.images.insert(plan.class.to_string());
         let fails = plan.broken || self.faulty;
-        let (_, task) = parse_task(&key.0).unwrap();
-        let t = self.tasks.get_mut(key).expect("known task");
-        if self.results.contains(&key.0) {
+        let (_, task) = parse_task(&id.task).unwrap();
+        let t = self.tasks.get_mut(id).expect("known task");
+        if self.results.contains(&id.task) {
             return t.exit(Cause::Done);
         }
         let run_s = if fails {
@@ -230,18 +253,18 @@
     }
 
     /// Lets a task's fetch or run come to its end.
-    pub(crate) fn advance(&mut self, key: &(String, u64), plan: &JobPlan, now: f64) {
+    pub(crate) fn advance(&mut self, id: &AttemptId, plan: &JobPlan, now: f64) {
         let fails = plan.broken || self.faulty;
-        let t = self.tasks.get_mut(key).expect("known task");
+        let t = self.tasks.get_mut(id).expect("known task");
         if now < t.until {
             return;
         }
         match t.state {
-            TaskState::Fetching => self.fetched(key, plan, now),
+            TaskState::Fetching => self.fetched(id, plan, now),
             TaskState::Running if fails => t.exit(Cause::Error),
             TaskState::Running => {
                 t.exit(Cause::Done);
-                self.results.insert(key.0.clone());
+                self.results.insert(id.task.clone());
             }
             _ => {}
         }
--- a/tests/play/zones.rs
+++ b/tests/play/zones.rs
@@ -5,9 +5,11 @@
 use crate::simulation::{Simulation, UNLIMITED};
 use crate::workload::{mixed, JobPlan, Random};
 
+/// Days of each test.
 const SEEDS: u64 = 12;
 /// Less than it takes until a job goes past a reservation that withholds it.
 const SOON_S: f64 = 45.0;
+/// The zones of each day.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Machines in all zones.
@@ -40,7 +42,7 @@
         play.run(300.0, |play| {
             if play.now == lost_at {
                 let lost = play.workers.values_mut().filter(|w| w.zone == "a");
-                lost.for_each(|w| w.cut_until = f64::INFINITY);
+                lost.for_each(|w| w.partitioned_until = f64::INFINITY);
             }
         });
         play
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::*;
+use common::{
+    each_effect, heartbeat, launched, machine_type, manager, parsed, shown, starts, submission,
+    worker_heartbeat, AttemptId, Refusal, Store, SETTINGS,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{json, Value};
@@ -12,12 +15,17 @@
 use stairstage::coordination::state::{AllocationId, Placement, PlacementRecord};
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
-use stairstage::protocol::worker::*;
+use stairstage::protocol::worker::{Cause, TaskState};
 use stairstage::settings::Settings;
-use stairstage::storage::records::*;
+use stairstage::storage::records::{
+    end_key, open_key, parse_completion_key, CompletionShards, EndRecord, OpenRecord,
+    StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_BYTES, LEADER_KEY,
+    PLACEMENT_PREFIX,
+};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+/// Tasks of the array whose completions are recorded.
 const TASKS: u32 = 90;
 
 /// A state service that takes values of any size.
@@ -66,11 +74,12 @@
 /// So many machines report for the first time, with nothing on them.
 fn hear(manager: &mut ClusterManager, machines: usize, now: f64) {
     for i in 0..machines {
-        let report = worker_report(&format!("m-{i}"), 1, manager.token(), vec![]);
-        manager.heartbeat(&report, now);
+        let heartbeat = worker_heartbeat(&format!("m-{i}"), 1, manager.token(), vec![]);
+        manager.heartbeat(&heartbeat, now);
     }
 }
 
+/// An array is accepted.
 fn accept(store: &mut Store, id: &str, tasks: u32) {
     let spec = parsed(&submission(id, "sweep", "normal", tasks));
     let record = OpenRecord::accepted(spec, 0);
@@ -98,6 +107,7 @@
 /// and which tasks complete under it.
 type Term = (f64, usize, BTreeSet<u32>);
 
+/// A few leaders, one after the other.
 fn terms() -> impl Strategy<Value = Vec<Term>> {
     let sizes = prop::sample::select(vec![0.1, 0.13, 0.25, 0.6, 2.0, 16.0]);
     let tasks = prop::collection::btree_set(0..TASKS, 0..30);
@@ -132,18 +142,18 @@
             let before = recorded(&store);
             let mut manager = leader(&mut store, value_kb, now);
             prop_assert_eq!(manager.status("req-1").unwrap().done as usize, before.len());
-            let done: Vec<(String, u64)> = done.iter().map(|t| (format!("req-1/{t}"), 1)).collect();
+            let done: Vec<AttemptId> = done.iter().map(|t| AttemptId::new(&format!("req-1/{t}"), 1)).collect();
             let tasks = shown(&done, TaskState::Exited, Some(Cause::Done));
-            manager.heartbeat(&worker_report("m-1", 1 + i as u64, 1, tasks), now);
+            manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, tasks), now);
             // Long enough for a record of what completes to be due, however scarce the budget.
             now += 60.0;
             work(&mut manager, &mut store, now, writes);
             prop_assert!(recorded(&store).is_superset(&before));
         }
         let mut manager = leader(&mut store, 2.0, now);
-        let rest: Vec<(String, u64)> = (0..TASKS).map(|t| (format!("req-1/{t}"), 1)).collect();
+        let rest: Vec<AttemptId> = (0..TASKS).map(|t| AttemptId::new(&format!("req-1/{t}"), 1)).collect();
         let tasks = shown(&rest, TaskState::Exited, Some(Cause::Done));
-        manager.heartbeat(&worker_report("m-1", 99, 1, tasks), now);
+        manager.heartbeat(&worker_heartbeat("m-1", 99, 1, tasks), now);
         now += 1.0;
         work(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
@@ -220,11 +230,11 @@
             }
             Effect::SendCommands {
                 machine,
-                commands: orders,
+                commands: batch,
                 ..
             } => {
-                launched.extend(starts(&orders.commands).into_iter().map(|s| s.0));
-                let known = worker_report(&machine, 0, 1, vec![]);
+                launched.extend(starts(&batch.commands).into_iter().map(|s| s.task));
+                let known = worker_heartbeat(&machine, 0, 1, vec![]);
                 manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
             }
             _ => {}
@@ -295,7 +305,7 @@
     written.as_object_mut().unwrap().remove("waits");
     let back: OpenRecord = serde_json::from_value(written).unwrap();
     let mut manager = manager();
-    report(&mut manager, 1, vec![], 0.0);
+    heartbeat(&mut manager, 1, vec![], 0.0);
     manager.job_accepted(back, 5, 0, 0.0);
     assert!(launched(&mut manager, 0.0).is_empty());
     assert_eq!(
