--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -2,7 +2,7 @@
 
 use super::supply::{slots_by_zone, Supply};
 use super::{Demand, DemandEstimator};
-use crate::coordination::state::{may_use, Deadline, Job, Machine, Name};
+use crate::coordination::state::{may_use, Deadline, Job, JobId, Machine};
 use crate::coordination::Time;
 use std::collections::{HashMap, HashSet};
 
@@ -14,7 +14,7 @@
 /// Jobs that may use some machines only, in groups with the same choice of them.
 #[derive(Default)]
 struct RestrictedGroups<'a> {
-    group_of: HashMap<&'a Name, usize>,
+    group_of: HashMap<&'a JobId, usize>,
     /// The processors of each group's machines.
     cpus: Vec<f64>,
 }
@@ -138,7 +138,7 @@
     /// takes until a machine is up.
     fn cpus_taken(&self, jobs: &[&Job]) -> f64 {
         let until = self.now + self.cluster.machine_types().mean_boot_s();
-        let own: HashSet<&Name> = jobs.iter().map(|job| &job.id).collect();
+        let own: HashSet<&JobId> = jobs.iter().map(|job| &job.id).collect();
         let machines = self.cluster.machines();
         let suitable =
             machines.filter(|m| self.cluster.accepts_tasks(m, self.now) && may_use(jobs[0], m));
--- a/src/coordination/autoscaling/mod.rs
+++ b/src/coordination/autoscaling/mod.rs
@@ -1,15 +1,15 @@
 //! Scale out and in: how many machines the jobs need, which to rent, and which to return.
 //!
 //! - `demand`: what jobs lack beyond the machines that are up or coming;
-//! - [`scale_out`]: renting the cheapest machines for it;
-//! - [`scale_in`]: returning idle machines, and moving replicas off nearly empty ones.
+//! - `scale_out`: renting the cheapest machines for it;
+//! - `scale_in`: returning idle machines, and moving replicas off nearly empty ones.
 
 mod demand;
-pub mod scale_in;
-pub mod scale_out;
+mod scale_in;
+mod scale_out;
 
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::{MachinePhase, Name};
+use crate::coordination::state::{MachinePhase, MachineTypeName, ZoneName};
 use crate::coordination::Time;
 use crate::protocol::cloud::Rent;
 use demand::{merge, DemandEstimator};
@@ -23,8 +23,8 @@
 /// Machines that the cloud may rent out.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Offer {
-    machine_type: Name,
-    zone: Name,
+    machine_type: MachineTypeName,
+    zone: ZoneName,
     spot: bool,
 }
 
@@ -44,7 +44,7 @@
 
 /// The autoscaler of the leader.
 #[derive(Default)]
-pub struct Autoscaler {
+pub(super) struct Autoscaler {
     /// Offers that the cloud refused, and until when that is remembered.
     unavailable_offers: BTreeMap<Offer, Time>,
     /// Rentals that are not answered yet, by their requests.
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -4,7 +4,8 @@
 use crate::coordination::cluster::service_arrivals::ExpectedReplicas;
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::{
-    may_use, AllocationId, Job, Machine, MachinePhase, Name, Resources,
+    may_use, AllocationId, Job, Machine, MachineName, MachinePhase, MachineTypeName, Resources,
+    ZoneName,
 };
 use crate::coordination::Time;
 use std::collections::HashMap;
@@ -59,8 +60,8 @@
 /// Machines that are alike, as far as scaling in is concerned.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct MachineKind<'a> {
-    machine_type: &'a Name,
-    zone: &'a Name,
+    machine_type: &'a MachineTypeName,
+    zone: &'a ZoneName,
     spot: bool,
 }
 
@@ -72,7 +73,7 @@
     }
 }
 
-fn idle_to_return(cluster: &ClusterState, now: Time) -> Vec<Name> {
+fn idle_to_return(cluster: &ClusterState, now: Time) -> Vec<MachineName> {
     let mut idle = idle_machines(cluster, now);
     if idle.is_empty() {
         return Vec::new();
@@ -180,7 +181,7 @@
 
 /// A machine whose replicas move elsewhere.
 struct Move {
-    machine: Name,
+    machine: MachineName,
     allocations: Vec<AllocationId>,
 }
 
--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -1,15 +1,15 @@
 //! Adding, stopping and releasing allocations.
 //!
-//! Every allocation comes by [`ClusterState::add_allocation`] and goes by
-//! [`ClusterState::release_allocation`], which keep the job, the machine, the quota and the placement
+//! Every allocation comes by `ClusterState::add_allocation` and goes by
+//! `ClusterState::release_allocation`, which keep the job, the machine, the quota and the placement
 //! record in step. One is released only on proof that its task is gone and that no launch of it may
 //! still arrive: a newer heartbeat, a new incarnation, a lease that is over by the leader's clock, or
-//! the cloud's word. See [`super::reconciliation`] and [`super::leases`].
+//! the cloud's word. See `reconciliation` and `leases`.
 
 use super::ClusterState;
 use crate::coordination::state::{
-    Allocation, AllocationId, AllocationRef, AllocationState, Machine, MachinePhase, Name,
-    PendingStop, Placement,
+    Allocation, AllocationId, AllocationRef, AllocationState, JobId, Machine, MachineName,
+    MachinePhase, PendingStop, Placement,
 };
 use crate::coordination::Time;
 
@@ -18,7 +18,7 @@
     pub(crate) fn add_allocation(
         &mut self,
         id: AllocationId,
-        machine: &Name,
+        machine: &MachineName,
         state: AllocationState,
         now: Time,
     ) {
@@ -112,7 +112,7 @@
     pub(super) fn release_allocation(
         &mut self,
         id: &AllocationId,
-        machine: &Name,
+        machine: &MachineName,
         has_run: bool,
         now: Time,
     ) {
@@ -138,7 +138,13 @@
     }
 
     /// Stops a task, which has so many seconds to write its checkpoint.
-    pub(crate) fn stop(&mut self, machine: &Name, id: &AllocationId, grace_s: f64, now: Time) {
+    pub(crate) fn stop(
+        &mut self,
+        machine: &MachineName,
+        id: &AllocationId,
+        grace_s: f64,
+        now: Time,
+    ) {
         let Some(holder) = self.machines.get_mut(machine) else {
             return;
         };
@@ -166,7 +172,7 @@
     }
 
     /// Stops whatever is or may be of a job on any machine.
-    pub(super) fn stop_job(&mut self, id: &Name, grace_s: f64, now: Time) {
+    pub(super) fn stop_job(&mut self, id: &JobId, grace_s: f64, now: Time) {
         let Some(job) = self.jobs.get(id) else {
             return;
         };
@@ -183,7 +189,7 @@
     }
 
     /// A task of a job was lost. The rest of a gang is of no use without it.
-    pub(super) fn task_lost(&mut self, id: &Name, now: Time) {
+    pub(super) fn task_lost(&mut self, id: &JobId, now: Time) {
         let job = self.jobs.get(id);
         if job.is_some_and(|job| job.is_gang() && !job.cancelled) {
             self.stop_job(id, 0.0, now);
@@ -191,7 +197,7 @@
     }
 
     /// A machine and all on it are gone, by the cloud's word.
-    pub(super) fn remove_machine(&mut self, name: &Name, now: Time) {
+    pub(super) fn remove_machine(&mut self, name: &MachineName, now: Time) {
         let Some(machine) = self.machines.remove(name) else {
             return;
         };
--- a/src/coordination/cluster/cancellation_evidence.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -10,7 +10,7 @@
 //!
 //! - The records were read, in full or by a watch without a gap: every cancellation on record when
 //!   the request was sent is known.
-//! - *Every* other controller has told which cancellations it has confirmed, without a gap since
+//! - *Every* other controller has answered which cancellations it has confirmed, without a gap since
 //!   its process was first asked. What an earlier process at its address had confirmed is known
 //!   once the records were read after the first answer of the present one.
 //!
@@ -26,24 +26,28 @@
 /// rest is for timers that fire late.
 const RENEWAL_SHARE: f64 = 0.96;
 
-/// What one other controller has told.
+/// What one other controller has answered.
 #[derive(Debug, Default)]
 struct PeerEvidence {
     cursor: Cursor,
     /// When the first answer of its present process arrived.
-    first_answer: Time,
+    first_answer_at: Time,
     /// Every cancellation that this process confirmed before then is known.
-    told_until: Option<Time>,
+    confirmed_until: Option<Time>,
 }
 
 /// The answer of another controller to the question which cancellations it has confirmed.
 #[derive(Debug)]
 pub struct PeerAnswer {
+    /// The other controller.
     pub peer: String,
-    /// The cursor that was asked with.
+    /// The cursor from which its log was asked for.
     pub asked: Cursor,
+    /// When the question was sent.
     pub sent: Time,
+    /// When the answer was received.
     pub received: Time,
+    /// The part of its log that it has sent.
     pub page: CancellationPage,
 }
 
@@ -66,7 +70,7 @@
         }
     }
 
-    /// All changes of the records up to some revision have been taken in; the request that brought
+    /// All changes of the records up to some revision have been applied; the request that brought
     /// the last of them was sent at `sent`.
     pub fn records_read(&mut self, sent: Time) {
         self.records_read = Some(self.records_read.map_or(sent, |known| known.max(sent)));
@@ -77,17 +81,17 @@
         self.peers.get(peer).map_or(Cursor::default(), |p| p.cursor)
     }
 
-    /// A peer has answered. The jobs in the answer must have been taken in before.
+    /// A peer has answered. The cancellations in the answer must have been applied before.
     pub fn peer_answered(&mut self, answer: &PeerAnswer) {
         let Some(peer) = self.peers.get_mut(&answer.peer) else {
             return;
         };
         let page = &answer.page;
         if !page.continues || answer.asked != peer.cursor {
-            peer.first_answer = answer.received;
-            peer.told_until = None;
+            peer.first_answer_at = answer.received;
+            peer.confirmed_until = None;
         } else if page.complete {
-            peer.told_until = Some(answer.sent);
+            peer.confirmed_until = Some(answer.sent);
         }
         peer.cursor = page.cursor;
     }
@@ -97,12 +101,12 @@
     pub fn known_until(&self, now: Time) -> Option<Time> {
         let records_read = self.records_read?;
         let mut peers = self.peers.values();
-        let told_by_all = peers.try_fold(now, |all, peer| {
-            let proven = peer.first_answer < records_read;
-            let told = peer.told_until.filter(|_| proven)?;
-            Some(all.min(told))
+        let confirmed_by_all = peers.try_fold(now, |all, peer| {
+            let is_proven = peer.first_answer_at < records_read;
+            let confirmed = peer.confirmed_until.filter(|_| is_proven)?;
+            Some(all.min(confirmed))
         });
-        Some(told_by_all.map_or(records_read, |told| told.max(records_read)))
+        Some(confirmed_by_all.map_or(records_read, |confirmed| confirmed.max(records_read)))
     }
 
     /// Whether the lease of a worker may be renewed now.
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -2,8 +2,11 @@
 
 use super::writes::completions::is_completion_unrecorded;
 use super::{ClusterState, CommandOutcome, Effect, MAX_COMMANDS};
-use crate::coordination::state::{Allocation, AllocationId, AllocationState, MachinePhase, Name};
+use crate::coordination::state::{
+    Allocation, AllocationId, AllocationState, MachineName, MachinePhase,
+};
 use crate::coordination::Time;
+use crate::protocol::ids::{FencingToken, HeartbeatSequence};
 use crate::protocol::worker::{Cause, Command, CommandBatch, Heartbeat};
 use tracing::{debug, info};
 
@@ -14,7 +17,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CommandRoute {
     /// In the response to the heartbeat of this sequence number.
-    Response(u64),
+    Response(HeartbeatSequence),
     /// Directly. Only what was never sent goes this way, and `forget` never does: it must not overtake
     /// a launch.
     Direct,
@@ -23,8 +26,8 @@
 /// What commands depend on besides the allocation.
 struct CommandContext {
     route: CommandRoute,
-    token: u64,
-    acknowledged_token: u64,
+    token: FencingToken,
+    acknowledged_token: FencingToken,
     /// A leader whose lease may be over keeps tasks alive, but starts none.
     may_start: bool,
 }
@@ -109,8 +112,8 @@
     /// directly.
     pub(super) fn commands(
         &mut self,
-        name: &Name,
-        response_to: Option<u64>,
+        name: &MachineName,
+        response_to: Option<HeartbeatSequence>,
         now: Time,
     ) -> Vec<Command> {
         let Some(machine) = self.machines.get_mut(name) else {
@@ -172,7 +175,7 @@
     }
 
     /// Sends commands directly (perhaps none: then only the token and a heartbeat are exchanged).
-    pub(super) fn dispatch(&mut self, name: &Name, commands: Vec<Command>) {
+    pub(super) fn dispatch(&mut self, name: &MachineName, commands: Vec<Command>) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -192,7 +195,12 @@
     }
 
     /// Takes in what became of commands that were sent directly.
-    pub fn commands_answered(&mut self, name: &Name, outcome: CommandOutcome, now: Time) {
+    pub(crate) fn commands_answered(
+        &mut self,
+        name: &MachineName,
+        outcome: CommandOutcome,
+        now: Time,
+    ) {
         let pause_s = self.settings.cluster.workers.report_s;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -213,7 +221,7 @@
         }
     }
 
-    fn apply_answer(&mut self, name: &Name, heartbeat: &Heartbeat, now: Time) {
+    fn apply_answer(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
         if heartbeat.token > self.leadership.token() {
             self.leadership.depose();
         } else if heartbeat.machine == **name {
@@ -263,9 +271,9 @@
     }
 
     /// A higher token was drawn; `None` if that failed.
-    pub fn token_raised(&mut self, token: Option<u64>, now: Time) {
+    pub(crate) fn token_raised(&mut self, token: Option<FencingToken>, now: Time) {
         if self.leadership.token_raised(token, now) {
-            debug!(token = self.leadership.token(), "token raised");
+            debug!(token = %self.leadership.token(), "token raised");
         }
     }
 }
--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -8,7 +8,7 @@
 //! of it then.
 
 use super::{ClusterState, Effect};
-use crate::coordination::state::{Deadline, Job, Name};
+use crate::coordination::state::{Deadline, Job, JobId};
 use crate::coordination::Time;
 use crate::protocol::job::{JobState, Priority};
 use crate::storage::records::EndRecord;
@@ -22,11 +22,11 @@
 
 /// The graph of jobs that depend on others.
 #[derive(Default)]
-pub struct DependencyGraph {
+pub(super) struct DependencyGraph {
     /// For each job that others depend on and that is not known to have ended: those that name it.
-    dependents: HashMap<Name, BTreeSet<Name>>,
+    dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Jobs of which neither the description nor the end is known here.
-    unknown: BTreeSet<Name>,
+    unknown: BTreeSet<JobId>,
     /// Whether ends are being read.
     is_reading_ends: bool,
     next_end_read_at: Time,
@@ -34,7 +34,7 @@
 
 impl DependencyGraph {
     /// Whether other jobs wait for this one.
-    pub(super) fn has_dependents(&self, job: &Name) -> bool {
+    pub(super) fn has_dependents(&self, job: &JobId) -> bool {
         self.dependents.contains_key(job)
     }
 
@@ -44,12 +44,12 @@
         dependencies.any(|id| self.unknown.contains(id))
     }
 
-    fn add(&mut self, dependency: &Name, dependent: &Name) {
+    fn add(&mut self, dependency: &JobId, dependent: &JobId) {
         let dependents = self.dependents.entry(dependency.clone()).or_default();
         dependents.insert(dependent.clone());
     }
 
-    fn remove(&mut self, dependency: &Name, dependent: &Name) {
+    fn remove(&mut self, dependency: &JobId, dependent: &JobId) {
         if let Some(dependents) = self.dependents.get_mut(dependency) {
             dependents.remove(dependent);
             if dependents.is_empty() {
@@ -59,22 +59,22 @@
     }
 
     /// Removes a job whose end is known, and returns those that wait for it.
-    fn take_dependents(&mut self, job: &Name) -> BTreeSet<Name> {
+    fn take_dependents(&mut self, job: &JobId) -> BTreeSet<JobId> {
         self.dependents.remove(job).unwrap_or_default()
     }
 
-    fn dependents_of(&self, job: &Name) -> impl Iterator<Item = &Name> {
+    fn dependents_of(&self, job: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(job).into_iter().flatten()
     }
 
     /// The jobs whose ends are to be read now.
-    fn ends_to_read(&mut self, now: Time) -> Vec<Name> {
+    fn ends_to_read(&mut self, now: Time) -> Vec<JobId> {
         if self.is_reading_ends || now < self.next_end_read_at {
             return Vec::new();
         }
         let dependents = &self.dependents;
         self.unknown.retain(|id| dependents.contains_key(id));
-        let ids: Vec<Name> = self.unknown.iter().take(MAX_END_READS).cloned().collect();
+        let ids: Vec<JobId> = self.unknown.iter().take(MAX_END_READS).cloned().collect();
         self.is_reading_ends = !ids.is_empty();
         ids
     }
@@ -119,7 +119,7 @@
 
 impl ClusterState {
     /// Registers what a new job waits for, and who waits for it.
-    pub(super) fn register_dependencies(&mut self, id: &Name, now: Time) {
+    pub(super) fn register_dependencies(&mut self, id: &JobId, now: Time) {
         self.dependencies.unknown.remove(id);
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -130,7 +130,7 @@
         let spec = job.spec.clone();
         let mut is_cancelled = false;
         for name in &spec.waits_on {
-            let dependency: Name = name.as_str().into();
+            let dependency: JobId = name.as_str().into();
             match self.jobs.get(&dependency) {
                 Some(job) if job.will_be_cancelled() => is_cancelled = true,
                 Some(job) if job.end_recorded => continue,
@@ -157,14 +157,14 @@
     pub(super) fn clear_met_dependencies(&mut self) {
         let jobs = self.jobs.values();
         let begun = jobs.filter(|job| job.allocated() > 0 || job.completed() > 0);
-        let begun: Vec<Name> = begun.map(|job| job.id.clone()).collect();
+        let begun: Vec<JobId> = begun.map(|job| job.id.clone()).collect();
         for id in begun {
             self.clear_dependencies(&id);
         }
     }
 
     /// A job waits for nothing any more, whatever it has waited for.
-    pub(super) fn clear_dependencies(&mut self, id: &Name) {
+    pub(super) fn clear_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -176,7 +176,7 @@
 
     /// A job's end is on record, since then at the latest: what waits for it goes on, or is cancelled
     /// with it.
-    pub(super) fn dependency_ended(&mut self, id: &Name, state: JobState, since: Time) {
+    pub(super) fn dependency_ended(&mut self, id: &JobId, state: JobState, since: Time) {
         self.dependencies.unknown.remove(id);
         for dependent in self.dependencies.take_dependents(id) {
             if state == JobState::Cancelled {
@@ -196,7 +196,7 @@
     }
 
     /// A job that this one depends on is cancelled, so neither it nor what depends on it ever begins.
-    fn cancel_dependents(&mut self, id: &Name, now: Time) {
+    fn cancel_dependents(&mut self, id: &JobId, now: Time) {
         let mut cancelled = vec![id.clone()];
         while let Some(id) = cancelled.pop() {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -217,7 +217,7 @@
 
     /// Updates what a job works towards, and with it what those do on which it depends: the same,
     /// earlier by the time that it takes.
-    fn propagate_urgency(&mut self, id: &Name) {
+    fn propagate_urgency(&mut self, id: &JobId) {
         let mut changed = vec![id.clone()];
         while let Some(id) = changed.pop() {
             if self.update_urgency(&id) {
@@ -227,7 +227,7 @@
     }
 
     /// Returns whether anything has changed.
-    fn update_urgency(&mut self, id: &Name) -> bool {
+    fn update_urgency(&mut self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -271,7 +271,7 @@
     }
 
     /// The ends that were read; none for a job whose end is not on record, or could not be read.
-    pub fn ends_found(&mut self, ends: Vec<(Name, Option<EndRecord>)>, now: Time) {
+    pub(crate) fn ends_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
         self.dependencies.is_reading_ends = false;
         for (id, end) in ends {
             match end {
@@ -285,7 +285,7 @@
     }
 
     /// A job's end is on record, as some node has read.
-    pub fn job_end_recorded(&mut self, id: &str, state: JobState, now: Time) {
+    pub(crate) fn job_end_recorded(&mut self, id: &str, state: JobState, now: Time) {
         match state {
             JobState::Cancelled if self.jobs.contains_key(id) => self.cancel(id, now),
             _ => self.dependency_ended(&id.into(), state, now),
--- a/src/coordination/cluster/effect.rs
+++ b/src/coordination/cluster/effect.rs
@@ -1,6 +1,6 @@
 //! What the leader has other actors do, and what became of it.
 
-use crate::coordination::state::Name;
+use crate::coordination::state::{JobId, MachineName};
 use crate::protocol::cloud::Rent;
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Transaction, VersionedValue};
@@ -19,7 +19,7 @@
     /// Send commands directly to a worker.
     SendCommands {
         /// The worker's machine.
-        machine: Name,
+        machine: MachineName,
         /// Where the worker takes them.
         endpoint: String,
         /// The commands.
@@ -34,12 +34,12 @@
     /// A job has ended, on record or as its user was told.
     JobEnded {
         /// The job.
-        id: Name,
+        id: JobId,
         /// How it ended.
         state: JobState,
     },
     /// Read how these jobs ended.
-    ReadEnds(Vec<Name>),
+    ReadEnds(Vec<JobId>),
 }
 
 /// What became of a write.
--- a/src/coordination/cluster/finished_jobs.rs
+++ b/src/coordination/cluster/finished_jobs.rs
@@ -1,13 +1,13 @@
 //! Jobs of which nothing is left but to record their end.
 
-use crate::coordination::state::Name;
+use crate::coordination::state::JobId;
 use std::collections::BTreeSet;
 
 /// A finished job, and whether its end is to be recorded before others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct FinishedJob {
     /// The job.
-    pub(super) job: Name,
+    pub(super) job: JobId,
     /// Whether other jobs wait for its end, or it ends with a job that it depends on.
     pub(super) is_urgent: bool,
 }
@@ -15,8 +15,8 @@
 /// The queue of finished jobs.
 #[derive(Default)]
 pub(super) struct FinishedJobs {
-    urgent: BTreeSet<Name>,
-    others: BTreeSet<Name>,
+    urgent: BTreeSet<JobId>,
+    others: BTreeSet<JobId>,
 }
 
 impl FinishedJobs {
@@ -31,14 +31,14 @@
     }
 
     /// Removes all entries of a job.
-    pub(super) fn forget(&mut self, job: &Name) {
+    pub(super) fn forget(&mut self, job: &JobId) {
         self.urgent.remove(job);
         self.others.remove(job);
     }
 
     /// The first job for which `accepts` says so, urgent ones first.
-    pub(super) fn first_that(&self, accepts: impl Fn(&Name) -> bool) -> Option<FinishedJob> {
-        let first = |queue: &BTreeSet<Name>, is_urgent| {
+    pub(super) fn first_that(&self, accepts: impl Fn(&JobId) -> bool) -> Option<FinishedJob> {
+        let first = |queue: &BTreeSet<JobId>, is_urgent| {
             let job = queue.iter().find(|job| accepts(job)).cloned();
             job.map(|job| FinishedJob { job, is_urgent })
         };
@@ -55,7 +55,7 @@
         self.urgent.is_empty() && self.others.is_empty()
     }
 
-    fn queue_of(&mut self, is_urgent: bool) -> &mut BTreeSet<Name> {
+    fn queue_of(&mut self, is_urgent: bool) -> &mut BTreeSet<JobId> {
         if is_urgent {
             &mut self.urgent
         } else {
--- a/src/coordination/cluster/heartbeat_monitor.rs
+++ b/src/coordination/cluster/heartbeat_monitor.rs
@@ -35,7 +35,7 @@
 }
 
 /// The heartbeats of all workers together.
-pub struct HeartbeatMonitor {
+pub(super) struct HeartbeatMonitor {
     /// The heartbeat interval, in seconds.
     interval_s: f64,
     machines_up: usize,
@@ -127,7 +127,7 @@
     }
 
     /// Since when many machines have left commands unanswered: others may have failed with them.
-    pub fn mass_failure_since(&self) -> Option<Time> {
+    pub(super) fn mass_failure_since(&self) -> Option<Time> {
         self.mass_failure_since
     }
 
--- a/src/coordination/cluster/heartbeats.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -2,8 +2,9 @@
 
 use super::writes::completions::is_completion_unrecorded;
 use super::{ClusterState, HeartbeatOutcome, MAX_COMMANDS};
-use crate::coordination::state::{AllocationId, Machine, MachinePhase, Name};
+use crate::coordination::state::{AllocationId, JobId, Machine, MachineName, MachinePhase};
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::protocol::job::parse_task;
 use crate::protocol::worker::{
     Cause, Command, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
@@ -37,7 +38,7 @@
             let Some((job, task)) = parse_task(&status.task) else {
                 continue;
             };
-            let id: Name = job.into();
+            let id: JobId = job.into();
             let known = self.jobs.get(&id).and_then(|job| job.task(task));
             if known.is_some_and(|task| !task.done) {
                 self.complete_task(&id, task, now);
@@ -46,7 +47,7 @@
     }
 
     /// Applies the heartbeat that answered a direct command; returns whether it is news.
-    pub fn apply_command_response(&mut self, heartbeat: &Heartbeat, now: Time) -> bool {
+    pub(crate) fn apply_command_response(&mut self, heartbeat: &Heartbeat, now: Time) -> bool {
         self.apply_heartbeat(heartbeat, HeartbeatSource::CommandAnswer, now)
     }
 
@@ -58,7 +59,7 @@
         source: HeartbeatSource,
         now: Time,
     ) -> bool {
-        let name: Name = heartbeat.machine.as_str().into();
+        let name: MachineName = heartbeat.machine.as_str().into();
         if !self.is_newer(heartbeat) || self.returned_machines.contains_key(&name) {
             self.apply_completions(heartbeat, now);
             return false;
@@ -90,7 +91,7 @@
     /// of the worker.
     fn update_machine(
         &mut self,
-        name: &Name,
+        name: &MachineName,
         heartbeat: &Heartbeat,
         is_own: bool,
         now: Time,
@@ -125,7 +126,7 @@
     }
 
     /// Applies a worker's own heartbeat, sent here or forwarded, and responds to it.
-    pub fn heartbeat_from(
+    pub(crate) fn heartbeat_from(
         &mut self,
         source: HeartbeatSource,
         heartbeat: &Heartbeat,
@@ -135,8 +136,8 @@
         if heartbeat.token > token {
             warn!(
                 machine = %heartbeat.machine,
-                acknowledged_token = heartbeat.token,
-                token,
+                acknowledged_token = %heartbeat.token,
+                %token,
                 "a worker has seen a higher token"
             );
             self.leadership.depose();
@@ -145,7 +146,7 @@
         if !self.apply_heartbeat(heartbeat, source, now) {
             return HeartbeatOutcome::Stale;
         }
-        let name: Name = heartbeat.machine.as_str().into();
+        let name: MachineName = heartbeat.machine.as_str().into();
         let mut commands = Vec::new();
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.worker.responded(token, now);
@@ -157,7 +158,11 @@
     }
 
     /// Tasks for which no open job accounts are stopped, then forgotten.
-    fn commands_for_unknown_tasks(&self, name: &Name, heartbeat: &Heartbeat) -> Vec<Command> {
+    fn commands_for_unknown_tasks(
+        &self,
+        name: &MachineName,
+        heartbeat: &Heartbeat,
+    ) -> Vec<Command> {
         let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
@@ -177,7 +182,7 @@
         &self,
         id: Option<&AllocationId>,
         status: &TaskStatus,
-        acknowledged_token: u64,
+        acknowledged_token: FencingToken,
     ) -> Option<Command> {
         let (task, attempt) = (status.task.clone(), status.attempt);
         if status.state != TaskState::Exited {
--- a/src/coordination/cluster/inventory.rs
+++ b/src/coordination/cluster/inventory.rs
@@ -1,7 +1,7 @@
 //! Machines as the cloud tells of them.
 
 use super::ClusterState;
-use crate::coordination::state::{Machine, Name};
+use crate::coordination::state::{Machine, MachineName};
 use crate::coordination::Time;
 use crate::protocol::cloud::{ListedMachine, MachineState, Rent};
 use tracing::warn;
@@ -9,7 +9,7 @@
 impl ClusterState {
     /// Adds a machine that the cloud has rented out on this leader's request.
     pub(crate) fn add_rented_machine(&mut self, name: &str, rent: &Rent, now: Time) {
-        let name: Name = name.into();
+        let name: MachineName = name.into();
         if self.machines.contains_key(&name) || self.returned_machines.contains_key(&name) {
             return;
         }
@@ -22,16 +22,16 @@
 
     /// Takes in the cloud's list. It lags: it shows machines that are not known here, and proves
     /// nothing else.
-    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Time) {
+    pub(crate) fn machines_listed(&mut self, list: &[ListedMachine], now: Time) {
         for listed in list {
-            let name: Name = listed.name.as_str().into();
+            let name: MachineName = listed.name.as_str().into();
             if !self.returned_machines.contains_key(&name) {
                 self.machine_listed(name, listed, now);
             }
         }
     }
 
-    fn machine_listed(&mut self, name: Name, listed: &ListedMachine, now: Time) {
+    fn machine_listed(&mut self, name: MachineName, listed: &ListedMachine, now: Time) {
         let rented_at = now - listed.age_s;
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
             // Rented by a request that is still to be answered, or by an earlier leader.
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::finished_jobs::FinishedJob;
 use super::{ClusterState, Effect};
-use crate::coordination::state::{AllocationId, Job, Name};
+use crate::coordination::state::{AllocationId, Job, JobId};
 use crate::coordination::Time;
 use crate::protocol::job::{JobSpec, JobState, JobStatus};
 use crate::storage::records::OpenRecord;
@@ -17,9 +17,15 @@
 impl ClusterState {
     /// A job was accepted at some time of day, or its user has cancelled it, as its record of this
     /// version tells.
-    pub fn job_accepted(&mut self, record: OpenRecord, version: u64, wall_ms: u64, now: Time) {
+    pub(crate) fn job_accepted(
+        &mut self,
+        record: OpenRecord,
+        version: u64,
+        wall_ms: u64,
+        now: Time,
+    ) {
         let age_s = wall_ms.saturating_sub(record.at_ms) as f64 / 1000.0;
-        let id: Name = record.spec.id.as_str().into();
+        let id: JobId = record.spec.id.as_str().into();
         if let Some(job) = self.jobs.get_mut(&id) {
             job.arrival_order = job.arrival_order.min(version);
             if record.cancelled && !job.cancelled {
@@ -54,7 +60,7 @@
     }
 
     /// Nothing is left of a job but to record its end.
-    pub(super) fn mark_finished(&mut self, id: &Name) {
+    pub(super) fn mark_finished(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
         let ends_with_other = job.is_some_and(|job| job.dependency_cancelled);
         self.finished_jobs.insert(FinishedJob {
@@ -64,7 +70,7 @@
     }
 
     /// A job's user has cancelled it.
-    pub fn cancel(&mut self, id: &str, now: Time) {
+    pub(crate) fn cancel(&mut self, id: &str, now: Time) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.cancelled) else {
             return;
         };
@@ -84,7 +90,7 @@
 
     /// What a user is told; `None` for a job that is not open here, or that may have to end with one
     /// on which it depends: nobody may call it pending for long after that one was cancelled.
-    pub fn status(&self, id: &str) -> Option<JobStatus> {
+    pub(crate) fn status(&self, id: &str) -> Option<JobStatus> {
         let job = self.jobs.get(id)?;
         let may_be_cancelled = job.dependency_cancelled || self.dependencies.has_unknown(job);
         if !job.cancelled && may_be_cancelled {
@@ -106,7 +112,7 @@
     }
 
     /// A task has completed. The tasks of a gang complete together.
-    pub(super) fn complete_task(&mut self, id: &Name, task: u32, now: Time) {
+    pub(super) fn complete_task(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
--- a/src/coordination/cluster/leadership.rs
+++ b/src/coordination/cluster/leadership.rs
@@ -2,17 +2,18 @@
 
 use super::effect::Effect;
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use stairstage_upgrade::fence::WriteFence;
 
 /// The low bits of an id number the ids of one term; the others hold the term's first token.
 const ID_BITS: u32 = 20;
 
 /// One term of leadership.
-pub struct Leadership {
+pub(crate) struct Leadership {
     /// The fencing token that commands and writes carry.
-    token: u64,
+    token: FencingToken,
     /// Tokens of this term start here: a heartbeat at or above it was sent after the election.
-    first_token: u64,
+    first_token: FencingToken,
     /// How many ids were given out.
     ids: u64,
     /// What may be written at the active cluster version.
@@ -31,7 +32,7 @@
 
 impl Leadership {
     /// A term that begins with a fencing token.
-    pub(super) fn new(token: u64, now: Time) -> Leadership {
+    pub(super) fn new(token: FencingToken, now: Time) -> Leadership {
         Leadership {
             token,
             first_token: token,
@@ -48,42 +49,42 @@
     }
 
     /// The fencing token that commands and writes carry.
-    pub fn token(&self) -> u64 {
+    pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
 
     /// The fencing token with which the term began.
-    pub fn first_token(&self) -> u64 {
+    pub(crate) fn first_token(&self) -> FencingToken {
         self.first_token
     }
 
     /// When the term began.
-    pub fn elected_at(&self) -> Time {
+    pub(crate) fn elected_at(&self) -> Time {
         self.elected_at
     }
 
     /// Whether the leader may start tasks and write records.
-    pub fn is_leader(&self, now: Time) -> bool {
+    pub(crate) fn is_leader(&self, now: Time) -> bool {
         self.holds_lease(now) && !self.deposed
     }
 
     /// Whether the leader's lease certainly holds.
-    pub fn holds_lease(&self, now: Time) -> bool {
+    pub(crate) fn holds_lease(&self, now: Time) -> bool {
         now < self.lease_valid_until
     }
 
     /// Until when the leader's lease certainly holds.
-    pub fn lease_valid_until(&self) -> Time {
+    pub(crate) fn lease_valid_until(&self) -> Time {
         self.lease_valid_until
     }
 
     /// Notes until when the leader's lease certainly holds.
-    pub fn set_lease_valid_until(&mut self, until: Time) {
+    pub(crate) fn set_lease_valid_until(&mut self, until: Time) {
         self.lease_valid_until = until;
     }
 
     /// Whether the leadership is over, whatever the lease says.
-    pub fn is_deposed(&self) -> bool {
+    pub(crate) fn is_deposed(&self) -> bool {
         self.deposed
     }
 
@@ -93,7 +94,7 @@
     }
 
     /// What may be written at the active cluster version.
-    pub fn write_fence(&self) -> &WriteFence {
+    pub(crate) fn write_fence(&self) -> &WriteFence {
         &self.write_fence
     }
 
@@ -103,19 +104,19 @@
     }
 
     /// Replaces what may be written, as the active cluster version was read anew.
-    pub fn set_write_fence(&mut self, write_fence: WriteFence) {
+    pub(crate) fn set_write_fence(&mut self, write_fence: WriteFence) {
         self.write_fence = write_fence;
     }
 
     /// An id that no other leader, and no other call, gives out.
     pub(crate) fn next_id(&mut self) -> u64 {
         self.ids += 1;
-        (self.first_token << ID_BITS) + self.ids
+        (self.first_token.0 << ID_BITS) + self.ids
     }
 
     /// Whether an attempt was numbered before this term.
     pub(super) fn is_of_earlier_term(&self, attempt: u64) -> bool {
-        (attempt >> ID_BITS) < self.first_token
+        (attempt >> ID_BITS) < self.first_token.0
     }
 
     /// Whether a higher token is being drawn.
@@ -135,7 +136,7 @@
     }
 
     /// A higher token was drawn; `None` if that failed. Returns whether it is taken on.
-    pub(super) fn token_raised(&mut self, token: Option<u64>, now: Time) -> bool {
+    pub(super) fn token_raised(&mut self, token: Option<FencingToken>, now: Time) -> bool {
         self.is_raising_token = false;
         self.token_raised_at = now;
         let Some(token) = token.filter(|token| *token > self.token) else {
--- a/src/coordination/cluster/leases.rs
+++ b/src/coordination/cluster/leases.rs
@@ -1,7 +1,7 @@
 //! Workers' leases: when one is over by the leader's clock, its worker has killed every task.
 
 use super::{ClusterState, CLOCK_DRIFT, WORKER_RETRY_S};
-use crate::coordination::state::{AllocationState, Machine, MachinePhase, Name};
+use crate::coordination::state::{AllocationState, Machine, MachineName, MachinePhase};
 use crate::coordination::Time;
 use tracing::warn;
 
@@ -34,7 +34,7 @@
                 && allocations.any(|a| a.state != AllocationState::Pending)
         };
         let expired = self.machines.values().filter(is_expired);
-        let expired: Vec<Name> = expired.map(|machine| machine.name.clone()).collect();
+        let expired: Vec<MachineName> = expired.map(|machine| machine.name.clone()).collect();
         for name in expired {
             warn!(machine = %name, "lease expired without a heartbeat");
             self.end_incarnation(&name, now);
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -2,7 +2,9 @@
 
 use super::heartbeat_monitor::MachineSurvey;
 use super::{ClusterState, Effect, CLOCK_DRIFT};
-use crate::coordination::state::{AllocationId, Machine, MachinePhase, Name, MAX_WAIT_WITH_ROOM_S};
+use crate::coordination::state::{
+    AllocationId, JobId, Machine, MachineName, MachinePhase, MAX_WAIT_WITH_ROOM_S,
+};
 use crate::coordination::Time;
 use crate::protocol::cloud::MAX_RETURNED;
 use tracing::{info, warn};
@@ -25,7 +27,7 @@
 
 /// A machine that counts as silent.
 struct SilentMachine {
-    name: Name,
+    name: MachineName,
     /// For how long it has been, in seconds.
     silence_s: f64,
 }
@@ -41,7 +43,7 @@
 
 impl ClusterState {
     /// A task has completed on a machine.
-    pub(super) fn task_succeeded_on(&mut self, name: &Name, image: &str) {
+    pub(super) fn task_succeeded_on(&mut self, name: &MachineName, image: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.failures.jobs_failed_here.clear();
             machine.failures.jobs_completed_elsewhere.clear();
@@ -52,7 +54,13 @@
     /// A task failed that had been placed at `placed_at`. The job pauses when it fails on several
     /// machines, or again where it failed before. Tasks that fail together count once. The machine
     /// comes last from now on; whether it is at fault shows once the job runs elsewhere.
-    pub(super) fn task_failed_on(&mut self, id: &Name, name: &Name, placed_at: Time, now: Time) {
+    pub(super) fn task_failed_on(
+        &mut self,
+        id: &JobId,
+        name: &MachineName,
+        placed_at: Time,
+        now: Time,
+    ) {
         let report_s = self.settings.cluster.workers.report_s;
         if let Some(machine) = self.machines.get_mut(name) {
             machine.failures.jobs_failed_here.insert(id.clone());
@@ -82,7 +90,7 @@
 
     /// A task of a job has completed, so the job is sound: machines on which it failed before are
     /// faulty, if others prove the same. A job that never completes anything proves nothing.
-    pub(super) fn attribute_failures(&mut self, id: &Name) {
+    pub(super) fn attribute_failures(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -105,7 +113,7 @@
     }
 
     /// A launch was refused: the next try waits for a newer heartbeat of the machine.
-    pub(super) fn launch_refused(&mut self, id: &Name, now: Time) {
+    pub(super) fn launch_refused(&mut self, id: &JobId, now: Time) {
         let pause_s = self.settings.cluster.workers.report_s / 2.0;
         if let Some(job) = self.jobs.get_mut(id) {
             job.retry_at = job.retry_at.max(now + pause_s);
@@ -113,7 +121,7 @@
     }
 
     /// The cloud reclaims a machine soon: what can write a checkpoint does, the rest moves.
-    pub(super) fn drain(&mut self, name: &Name, now: Time) {
+    pub(super) fn drain(&mut self, name: &MachineName, now: Time) {
         let Some(machine) = self.machines.get(name) else {
             return;
         };
@@ -139,7 +147,7 @@
     /// Stops a task so that it can write a checkpoint. The tasks of a gang do that together or not at
     /// all: those that are not told within `gang_peer_s` of the first fail, and the checkpoint with
     /// them.
-    fn stop_gracefully(&mut self, name: &Name, id: &AllocationId, grace_s: f64, now: Time) {
+    fn stop_gracefully(&mut self, name: &MachineName, id: &AllocationId, grace_s: f64, now: Time) {
         let job = self.jobs.get(&id.job);
         if job.is_some_and(|job| job.is_gang()) {
             self.stop_job(&id.job, grace_s, now);
@@ -179,7 +187,7 @@
     }
 
     /// Whether no worker sends heartbeats to this node itself, though there are machines.
-    pub fn receives_no_heartbeats(&self, now: Time) -> bool {
+    pub(crate) fn receives_no_heartbeats(&self, now: Time) -> bool {
         let elected_at = self.leadership.elected_at();
         !self.machines.is_empty() && self.heartbeats.receives_no_heartbeats(elected_at, now)
     }
@@ -309,20 +317,25 @@
         let max_probes = connections.saturating_sub(in_flight.count());
         let to_probe = machines().filter(is_unheard).filter(is_ready);
         let names = to_probe.map(|machine| machine.name.clone());
-        for name in names.take(max_probes).collect::<Vec<Name>>() {
+        for name in names.take(max_probes).collect::<Vec<MachineName>>() {
             self.dispatch(&name, Vec::new());
         }
     }
 
     /// Decides that a machine is to be returned; it counts until the cloud has confirmed it.
-    pub(crate) fn begin_return(&mut self, name: &Name) {
+    pub(crate) fn begin_return(&mut self, name: &MachineName) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.phase = MachinePhase::Returning;
         }
     }
 
     /// Stops replicas on a machine, which start elsewhere, so that it can be returned once it is empty.
-    pub(crate) fn drain_replicas(&mut self, name: &Name, replicas: &[AllocationId], now: Time) {
+    pub(crate) fn drain_replicas(
+        &mut self,
+        name: &MachineName,
+        replicas: &[AllocationId],
+        now: Time,
+    ) {
         for id in replicas {
             self.stop(name, id, 0.0, now);
         }
@@ -346,9 +359,9 @@
     }
 
     /// What the cloud answered to a return: a 200 proves that the machines are gone.
-    pub fn machines_returned(&mut self, names: &[String], confirmed: bool, now: Time) {
+    pub(crate) fn machines_returned(&mut self, names: &[String], confirmed: bool, now: Time) {
         for name in names {
-            let name: Name = name.as_str().into();
+            let name: MachineName = name.as_str().into();
             if confirmed {
                 info!(machine = %name, "machine returned");
                 self.remove_machine(&name, now);
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -1,53 +1,51 @@
 //! The leader's view of the cluster, and all that changes it.
 //!
-//! [`ClusterState`] holds jobs, machines and their allocations. Heartbeats, records, answers of the
-//! cloud and cancellations change it, each in a module of its own:
+//! `ClusterState` holds jobs, machines and their allocations. Heartbeats, records, answers of the cloud
+//! and cancellations change it, each in a module of its own:
 //!
-//! - [`heartbeats`], [`reconciliation`], [`leases`]: what workers tell, and what proves a task gone;
-//! - [`allocations`]: adding, stopping and releasing allocations;
-//! - [`commands`]: what workers are told, and the fencing tokens;
-//! - [`jobs`], [`dependencies`]: acceptance, cancellation and completion of jobs;
-//! - [`machine_health`], [`inventory`]: silent and faulty machines, and what the cloud tells of them;
-//! - [`writes`], [`recovery`]: the records in the store;
+//! - [`heartbeats`], `reconciliation`, `leases`: what workers tell, and what proves a task gone;
+//! - `allocations`: adding, stopping and releasing allocations;
+//! - `commands`: what workers are told, and the fencing tokens;
+//! - `jobs`, `dependencies`: acceptance, cancellation and completion of jobs;
+//! - `machine_health`, `inventory`: silent and faulty machines, and what the cloud tells of them;
+//! - `writes`, [`recovery`]: the records in the store;
 //! - [`cancellation_evidence`], [`heartbeat_routing`]: which leases may be renewed, and what followers do.
 //!
-//! What belongs together has an owner with private fields: [`Leadership`](leadership::Leadership),
-//! [`HeartbeatMonitor`](heartbeat_monitor::HeartbeatMonitor),
-//! [`PlacementRecords`](placement_records::PlacementRecords), [`WriteQueue`](write_queue::WriteQueue),
-//! [`DependencyGraph`](dependencies::DependencyGraph), [`Starvation`](starvation::Starvation),
-//! [`ServiceArrivals`](service_arrivals::ServiceArrivals). Work per event does not grow with the
-//! cluster: what an event leaves to do is kept in indices.
-
-pub mod allocations;
+//! What belongs together has an owner with private fields: `Leadership`, `HeartbeatMonitor`,
+//! `PlacementRecords`, `WriteQueue`, `DependencyGraph`, `Starvation`, `ServiceArrivals`. Work per event
+//! does not grow with the cluster: what an event leaves to do is kept in indices.
+
+mod allocations;
 pub mod cancellation_evidence;
-pub mod commands;
-pub mod dependencies;
-pub mod effect;
+mod commands;
+mod dependencies;
+mod effect;
 mod finished_jobs;
-pub mod heartbeat_monitor;
+mod heartbeat_monitor;
 pub mod heartbeat_routing;
 pub mod heartbeats;
-pub mod inventory;
-pub mod jobs;
-pub mod leadership;
-pub mod leases;
-pub mod machine_health;
-pub mod placement_records;
-pub mod reconciliation;
+mod inventory;
+mod jobs;
+mod leadership;
+mod leases;
+mod machine_health;
+mod placement_records;
+mod reconciliation;
 pub mod recovery;
-pub mod service_arrivals;
-pub mod starvation;
-pub mod summary;
+pub(crate) mod service_arrivals;
+mod starvation;
+mod summary;
 mod wall_clock;
-pub mod write_queue;
-pub mod writes;
+mod write_queue;
+mod writes;
 
 use crate::coordination::prediction::Predictor;
 use crate::coordination::state::{
-    AllocationId, Job, Machine, MachineTypes, Name, QuotaUsageByTeam, Resources,
+    AllocationId, Job, JobId, Machine, MachineName, MachineTypes, QuotaUsageByTeam, Resources,
 };
 use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
+use crate::protocol::ids::FencingToken;
 use crate::settings::{Settings, Team};
 use crate::storage::records::CompletionShards;
 use dependencies::DependencyGraph;
@@ -75,22 +73,22 @@
 pub(crate) const CLOCK_DRIFT: f64 = 1.001;
 
 /// Jobs, machines and allocations as the leader knows them.
-pub struct ClusterState {
+pub(crate) struct ClusterState {
     settings: Arc<Settings>,
     leadership: Leadership,
-    jobs: BTreeMap<Name, Job>,
+    jobs: BTreeMap<JobId, Job>,
     finished_jobs: FinishedJobs,
     dependencies: DependencyGraph,
     service_arrivals: ServiceArrivals,
     predictor: Predictor,
     starvation: Starvation,
     quota: QuotaUsageByTeam,
-    machines: BTreeMap<Name, Machine>,
+    machines: BTreeMap<MachineName, Machine>,
     machine_types: MachineTypes,
     /// Machines that were returned to the cloud of late, and when: what still tells of them is old.
-    returned_machines: BTreeMap<Name, Time>,
+    returned_machines: BTreeMap<MachineName, Time>,
     /// Machines to which there may be commands to send that should not wait for their heartbeats.
-    machines_to_notify: BTreeSet<Name>,
+    machines_to_notify: BTreeSet<MachineName>,
     heartbeats: HeartbeatMonitor,
     placement_records: PlacementRecords,
     /// How a job's tasks are divided among its records of completed tasks.
@@ -104,7 +102,7 @@
 
 impl ClusterState {
     /// The state of a leader that was elected with a fencing token, before it has read any record.
-    pub(crate) fn new(settings: Arc<Settings>, token: u64, now: Time) -> ClusterState {
+    pub(crate) fn new(settings: Arc<Settings>, token: FencingToken, now: Time) -> ClusterState {
         let store = &settings.cluster.state;
         let report_s = settings.cluster.workers.report_s;
         ClusterState {
@@ -132,12 +130,12 @@
     }
 
     /// The settings that it keeps to.
-    pub fn settings(&self) -> &Settings {
+    pub(crate) fn settings(&self) -> &Settings {
         &self.settings
     }
 
     /// The leader's term.
-    pub fn leadership(&self) -> &Leadership {
+    pub(crate) fn leadership(&self) -> &Leadership {
         &self.leadership
     }
 
@@ -147,54 +145,54 @@
     }
 
     /// All jobs that are open, or of which a machine may still hold a task, by their ids.
-    pub fn jobs(&self) -> impl Iterator<Item = &Job> {
+    pub(crate) fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
     /// A job.
-    pub fn job(&self, id: &str) -> Option<&Job> {
+    pub(crate) fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
     /// How many jobs there are.
-    pub fn job_count(&self) -> usize {
+    pub(crate) fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
     /// All machines, by their names.
-    pub fn machines(&self) -> impl Iterator<Item = &Machine> {
+    pub(crate) fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.machines.values()
     }
 
     /// A machine.
-    pub fn machine(&self, name: &str) -> Option<&Machine> {
+    pub(crate) fn machine(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name)
     }
 
     /// How many machines there are.
-    pub fn machine_count(&self) -> usize {
+    pub(crate) fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
     /// The machine types that the cloud offers.
-    pub fn machine_types(&self) -> &MachineTypes {
+    pub(crate) fn machine_types(&self) -> &MachineTypes {
         &self.machine_types
     }
 
     /// Takes in the machine types that the cloud offers.
-    pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
+    pub(crate) fn set_machine_types(&mut self, types: Vec<MachineType>) {
         self.machine_types = MachineTypes::new(types);
         self.needs_scheduling = true;
     }
 
     /// The store accepts fewer changes than before: from now on the limits to come hold.
-    pub fn lower_write_rate(&mut self) {
+    pub(crate) fn lower_write_rate(&mut self) {
         let rate = self.settings.cluster.state.later_write_rps();
         self.writes.lower_rate(rate);
     }
 
     /// Takes what other actors are to do.
-    pub fn take_effects(&mut self) -> Vec<Effect> {
+    pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
@@ -204,7 +202,7 @@
     }
 
     /// Every other controller has promised to answer no heartbeat with a lower token.
-    pub fn peers_promised(&mut self, now: Time) {
+    pub(crate) fn peers_promised(&mut self, now: Time) {
         self.leadership.peers_promised(now);
     }
 
@@ -259,9 +257,9 @@
     }
 
     /// Takes in which jobs a scheduling cycle has kept from free resources.
-    pub(crate) fn update_starvation(&mut self, starved: &BTreeSet<Name>, now: Time) {
+    pub(crate) fn update_starvation(&mut self, starved: &BTreeSet<JobId>, now: Time) {
         let jobs = &self.jobs;
-        let pauses = |id: &Name| jobs.get(id).is_some_and(|job| now < job.retry_at);
+        let pauses = |id: &JobId| jobs.get(id).is_some_and(|job| now < job.retry_at);
         self.starvation.update(starved, pauses, now);
     }
 
--- a/src/coordination/cluster/placement_records.rs
+++ b/src/coordination/cluster/placement_records.rs
@@ -1,6 +1,6 @@
 //! All placement records: which one a new placement goes into, and which is written next.
 
-use crate::coordination::state::{Name, Placement, PlacementRecord, WriteUrgency};
+use crate::coordination::state::{JobId, Placement, PlacementRecord, WriteUrgency};
 use crate::coordination::Time;
 use crate::protocol::job::Priority;
 use crate::storage::records::StoredPlacements;
@@ -17,7 +17,7 @@
 }
 
 /// All placement records of the cluster, by their numbers.
-pub struct PlacementRecords {
+pub(super) struct PlacementRecords {
     records: Vec<PlacementRecord>,
     /// Those that launches wait for.
     awaiting_write: BTreeSet<usize>,
@@ -193,7 +193,7 @@
     ) -> (StoredPlacements, SentPlacements) {
         let mut stored = StoredPlacements::default();
         let mut pending = Vec::new();
-        let mut jobs: BTreeSet<&Name> = BTreeSet::new();
+        let mut jobs: BTreeSet<&JobId> = BTreeSet::new();
         let entry = &self.records[record];
         for placement in entry.placements() {
             let allocation = &placement.allocation;
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -2,9 +2,10 @@
 
 use super::ClusterState;
 use crate::coordination::state::{
-    Allocation, AllocationId, AllocationState, Job, Name, PendingStop,
+    Allocation, AllocationId, AllocationState, Job, JobId, MachineName, PendingStop,
 };
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::protocol::job::{parse_task, JobSpec};
 use crate::protocol::worker::{Cause, Heartbeat, TaskState, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +21,7 @@
 /// A task that has exited, as its allocation was before.
 struct ExitedTask<'a> {
     id: &'a AllocationId,
-    machine: &'a Name,
+    machine: &'a MachineName,
     spec: Arc<JobSpec>,
     cause: Cause,
     planned_at: Time,
@@ -32,7 +33,7 @@
 
 impl ClusterState {
     /// Reconciles the allocations of a machine with the newest heartbeat of its worker.
-    pub(super) fn reconcile(&mut self, name: &Name, heartbeat: &Heartbeat, now: Time) {
+    pub(super) fn reconcile(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
         let mut shown = BTreeSet::new();
         for status in &heartbeat.tasks {
             let Some((job, task)) = parse_task(&status.task) else {
@@ -50,7 +51,13 @@
     }
 
     /// Takes in a task that a heartbeat shows otherwise than it was known.
-    fn reconcile_task(&mut self, name: &Name, id: &AllocationId, status: &TaskStatus, now: Time) {
+    fn reconcile_task(
+        &mut self,
+        name: &MachineName,
+        id: &AllocationId,
+        status: &TaskStatus,
+        now: Time,
+    ) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
@@ -84,7 +91,7 @@
 
     /// Adds an allocation for a task that was not expected on a machine; it is stopped where the job
     /// has no use for it.
-    fn adopt_task(&mut self, name: &Name, id: &AllocationId, state: TaskState, now: Time) {
+    fn adopt_task(&mut self, name: &MachineName, id: &AllocationId, state: TaskState, now: Time) {
         let job = self.jobs.get(&id.job);
         let is_unwanted = job.is_some_and(|job| {
             let is_taken = job.task(id.task).is_some_and(|task| !task.is_unplaced());
@@ -104,7 +111,7 @@
     /// A heartbeat shows that a task is on its machine.
     fn task_observed(
         &mut self,
-        name: &Name,
+        name: &MachineName,
         id: &AllocationId,
         spec: &JobSpec,
         state: TaskState,
@@ -150,7 +157,7 @@
     /// A heartbeat shows that a task has exited.
     fn task_exited(
         &mut self,
-        name: &Name,
+        name: &MachineName,
         id: &AllocationId,
         spec: Arc<JobSpec>,
         cause: Cause,
@@ -211,9 +218,9 @@
     /// where no launch of them may still arrive.
     fn reconcile_missing_tasks(
         &mut self,
-        name: &Name,
+        name: &MachineName,
         shown: &BTreeSet<AllocationId>,
-        token: u64,
+        token: FencingToken,
         now: Time,
     ) {
         let first_token = self.leadership.first_token();
@@ -271,7 +278,7 @@
     }
 
     /// Releases what was on a machine whose worker's incarnation is over.
-    pub(super) fn end_incarnation(&mut self, name: &Name, now: Time) {
+    pub(super) fn end_incarnation(&mut self, name: &MachineName, now: Time) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -300,6 +307,6 @@
 }
 
 /// Whether a task that may still be launched is to be stopped.
-fn is_unwanted(jobs: &BTreeMap<Name, Job>, id: &AllocationId, allocation: &Allocation) -> bool {
+fn is_unwanted(jobs: &BTreeMap<JobId, Job>, id: &AllocationId, allocation: &Allocation) -> bool {
     allocation.pending_stop.is_some() || jobs.get(&id.job).is_none_or(|job| job.cancelled)
 }
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -2,7 +2,7 @@
 
 use super::wall_clock::WallClock;
 use super::ClusterState;
-use crate::coordination::state::{AllocationId, Name, Placement};
+use crate::coordination::state::{AllocationId, JobId, MachineName, Placement};
 use crate::coordination::Time;
 use crate::protocol::store::VersionedValue;
 use crate::storage::records::{
@@ -33,7 +33,7 @@
 impl ClusterState {
     /// Loads what earlier leaders recorded. Once a worker has seen this leader's token, no older
     /// command reaches it, and its heartbeat is the truth.
-    pub fn recover(&mut self, records: Records, wall_ms: u64, now: Time) {
+    pub(crate) fn recover(&mut self, records: Records, wall_ms: u64, now: Time) {
         self.clock = WallClock::new(wall_ms, now);
         let mut open: BTreeMap<u64, OpenRecord> = BTreeMap::new();
         for item in records.open {
@@ -56,7 +56,7 @@
             self.split_placement_record(record, now);
         }
         info!(
-            token = self.leadership.token(),
+            token = %self.leadership.token(),
             open_jobs = self.jobs.len(),
             machines = self.machines.len(),
             "leadership begins, records are read"
@@ -67,7 +67,7 @@
         let Some((id, number)) = parse_completion_key(&item.key) else {
             return;
         };
-        let id: Name = id.into();
+        let id: JobId = id.into();
         let Some(job) = self.jobs.get_mut(&id) else {
             // Left over by the end of a job with more records than one transaction removes.
             self.writes.add_stale_keys([item.key]);
@@ -104,13 +104,13 @@
         };
         let mut count = 0;
         for (job, machines) in stored.places {
-            let job: Name = job.as_str().into();
+            let job: JobId = job.as_str().into();
             count += machines.values().map(Vec::len).sum::<usize>();
             if !self.jobs.contains_key(&job) {
                 continue;
             }
             for (machine, tasks) in machines {
-                let machine: Name = machine.as_str().into();
+                let machine: MachineName = machine.as_str().into();
                 for (task, attempt) in tasks {
                     let placement = Placement {
                         allocation: AllocationId::new(job.clone(), task, attempt),
--- a/src/coordination/cluster/service_arrivals.rs
+++ b/src/coordination/cluster/service_arrivals.rs
@@ -79,7 +79,7 @@
 
 /// Replicas that are expected before a machine could be rented for them.
 #[derive(Clone, Debug)]
-pub struct ExpectedReplicas {
+pub(crate) struct ExpectedReplicas {
     /// What each requests.
     pub request: Resources,
     /// How many are expected.
@@ -90,7 +90,7 @@
 
 /// How far ahead replicas are expected, and how many more than the mean.
 #[derive(Clone, Copy, Debug)]
-pub struct ForecastHorizon {
+pub(crate) struct ForecastHorizon {
     /// How long the machine type that boots soonest takes, in seconds.
     pub boot_s: f64,
     /// Standard deviations above the mean.
@@ -101,7 +101,7 @@
 
 /// The arrivals and departures of services, by class.
 #[derive(Default)]
-pub struct ServiceArrivals {
+pub(crate) struct ServiceArrivals {
     by_class: BTreeMap<String, ClassArrivals>,
 }
 
@@ -139,7 +139,7 @@
     }
 
     /// The latest job of the first class whose replicas make a request.
-    pub fn spec_with_request(&self, request: &Resources) -> Option<&Arc<JobSpec>> {
+    pub(crate) fn spec_with_request(&self, request: &Resources) -> Option<&Arc<JobSpec>> {
         let mut specs = self.by_class.values().map(|class| &class.spec);
         specs.find(|spec| Resources::of(spec) == *request)
     }
--- a/src/coordination/cluster/starvation.rs
+++ b/src/coordination/cluster/starvation.rs
@@ -1,6 +1,6 @@
 //! Jobs that only the head's reservation, or a pause after failures, keeps from free resources.
 
-use crate::coordination::state::{Name, MAX_WAIT_WITH_ROOM_S};
+use crate::coordination::state::{JobId, MAX_WAIT_WITH_ROOM_S};
 use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,13 +9,13 @@
 
 /// Since when jobs are kept from free resources.
 #[derive(Default)]
-pub struct Starvation {
-    since: BTreeMap<Name, Time>,
+pub(crate) struct Starvation {
+    since: BTreeMap<JobId, Time>,
 }
 
 impl Starvation {
     /// Counts a job from now on, unless it is counted already.
-    pub(super) fn start(&mut self, job: &Name, now: Time) {
+    pub(super) fn start(&mut self, job: &JobId, now: Time) {
         self.since.entry(job.clone()).or_insert(now);
     }
 
@@ -23,8 +23,8 @@
     /// part in cycles: what is known of it stays.
     pub(super) fn update(
         &mut self,
-        starved: &BTreeSet<Name>,
-        pauses: impl Fn(&Name) -> bool,
+        starved: &BTreeSet<JobId>,
+        pauses: impl Fn(&JobId) -> bool,
         now: Time,
     ) {
         self.since
@@ -36,7 +36,7 @@
 
     /// Whether a job has been kept for so long that it goes past the reservation. Predictions may be
     /// wrong for ever, and nobody is to wait for long while there is room.
-    pub fn is_starved(&self, job: &Name, now: Time) -> bool {
+    pub(crate) fn is_starved(&self, job: &JobId, now: Time) -> bool {
         let since = self.since.get(job);
         since.is_some_and(|since| now - since > STARVED_SHARE * MAX_WAIT_WITH_ROOM_S)
     }
--- a/src/coordination/cluster/write_queue.rs
+++ b/src/coordination/cluster/write_queue.rs
@@ -1,7 +1,7 @@
 //! Writes to the store: what is in flight, what waits, and the rate limit that they keep to.
 
 use super::placement_records::SentPlacements;
-use crate::coordination::state::Name;
+use crate::coordination::state::JobId;
 use crate::coordination::Time;
 use crate::storage::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -25,7 +25,7 @@
     /// Records of completed tasks.
     pub(super) completions: Vec<CompletionRecordId>,
     /// The job whose end it records.
-    pub(super) end: Option<Name>,
+    pub(super) end: Option<JobId>,
     /// Keys that it removes.
     pub(super) removals: Vec<String>,
 }
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct CompletionRecordId {
     /// The job.
-    pub(super) job: Name,
+    pub(super) job: JobId,
     /// Which of its shards.
     pub(super) shard: usize,
 }
@@ -50,7 +50,7 @@
 
 /// Changes of the store by what they were for, and the launches that they allowed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WriteStats {
+pub(super) struct WriteStats {
     /// Changes that recorded ends of jobs.
     pub ends: usize,
     /// Changes of placement records.
@@ -64,7 +64,7 @@
 }
 
 /// The queue of writes to the store.
-pub struct WriteQueue {
+pub(super) struct WriteQueue {
     in_flight: BTreeMap<u64, WriteInFlight>,
     /// Records of completed tasks that are out of date, the oldest first.
     outdated_completions: VecDeque<OutdatedCompletions>,
--- a/src/coordination/cluster/writes/completions.rs
+++ b/src/coordination/cluster/writes/completions.rs
@@ -4,7 +4,7 @@
 use crate::coordination::cluster::write_queue::{
     CompletionRecordId, OutdatedCompletions, WriteInFlight,
 };
-use crate::coordination::state::{Job, Name};
+use crate::coordination::state::{Job, JobId};
 use crate::coordination::Time;
 use crate::protocol::store::Transaction;
 use crate::storage::records::{completion_key, CompletionShards, StoredCompletions};
@@ -108,7 +108,7 @@
     }
 
     /// The record of which tasks have completed is out of date.
-    pub(crate) fn mark_completion_outdated(&mut self, id: &Name, task: u32, now: Time) {
+    pub(crate) fn mark_completion_outdated(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -155,9 +155,9 @@
 
 /// Whether a task's completion is known here only: its worker must not forget it yet.
 pub(in crate::coordination::cluster) fn is_completion_unrecorded(
-    jobs: &BTreeMap<Name, Job>,
+    jobs: &BTreeMap<JobId, Job>,
     shards: CompletionShards,
-    job: &Name,
+    job: &JobId,
     task: u32,
 ) -> bool {
     jobs.get(job).is_some_and(|job| {
--- a/src/coordination/cluster/writes/ends.rs
+++ b/src/coordination/cluster/writes/ends.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::cluster::write_queue::WriteInFlight;
 use crate::coordination::cluster::{ClusterState, Effect};
-use crate::coordination::state::{Job, Name};
+use crate::coordination::state::{Job, JobId};
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::protocol::store::Transaction;
@@ -28,7 +28,7 @@
     /// from then on; they are removed when there is time. Returns whether another may be tried.
     pub(super) fn write_end(&mut self, now: Time) -> bool {
         let jobs = &self.jobs;
-        let is_idle = |id: &Name| jobs.get(id).is_none_or(|job| !has_write_in_flight(job));
+        let is_idle = |id: &JobId| jobs.get(id).is_none_or(|job| !has_write_in_flight(job));
         let Some(finished) = self.finished_jobs.first_that(is_idle) else {
             return false;
         };
@@ -62,7 +62,7 @@
         true
     }
 
-    fn end_transaction(&self, id: &Name, end: Option<EndRecord>) -> Transaction {
+    fn end_transaction(&self, id: &JobId, end: Option<EndRecord>) -> Transaction {
         let transaction = self.begin_transaction().delete(open_key(id));
         match end {
             Some(end) => transaction
@@ -73,7 +73,7 @@
     }
 
     /// Takes in what became of the write of an end.
-    pub(super) fn end_written(&mut self, id: &Name, applied: Option<u64>, now: Time) {
+    pub(super) fn end_written(&mut self, id: &JobId, applied: Option<u64>, now: Time) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.end_in_flight = false;
             self.mark_finished(id);
@@ -85,7 +85,7 @@
 
     /// A job's end is recorded. What may still be of it on a machine, such as a copy of a task that
     /// completed elsewhere, counts until it is proven gone.
-    pub(super) fn job_ended(&mut self, id: &Name, now: Time) {
+    pub(super) fn job_ended(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.end_recorded) else {
             return;
         };
@@ -118,7 +118,7 @@
     }
 
     /// Drops a job whose end is recorded, once no machine may hold anything of it.
-    pub(crate) fn drop_ended_job(&mut self, id: &Name) {
+    pub(crate) fn drop_ended_job(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
         if job.is_some_and(|job| job.end_recorded && job.allocated() == 0) {
             self.jobs.remove(id);
--- a/src/coordination/cluster/writes/mod.rs
+++ b/src/coordination/cluster/writes/mod.rs
@@ -53,7 +53,7 @@
     /// that it knows.
     fn begin_transaction(&self) -> Transaction {
         let fenced = Transaction::at_version(self.leadership.write_fence());
-        fenced.version(LEADER_KEY, self.leadership.token())
+        fenced.version(LEADER_KEY, self.leadership.token().0)
     }
 
     /// For how long a record that no launch waits for may be out of date, in seconds.
@@ -78,7 +78,7 @@
     }
 
     /// Takes in what became of a write.
-    pub fn write_finished(&mut self, id: u64, outcome: WriteOutcome, now: Time) {
+    pub(crate) fn write_finished(&mut self, id: u64, outcome: WriteOutcome, now: Time) {
         let Some(write) = self.writes.finished(id) else {
             return;
         };
--- a/src/coordination/cluster/writes/placements.rs
+++ b/src/coordination/cluster/writes/placements.rs
@@ -3,7 +3,7 @@
 use crate::coordination::cluster::placement_records::SentPlacements;
 use crate::coordination::cluster::write_queue::WriteInFlight;
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::{AllocationState, Name, Placement};
+use crate::coordination::state::{AllocationState, JobId, Placement};
 use crate::coordination::Time;
 use crate::settings::CONDITIONS_A_CHANGE;
 use crate::storage::records::{end_key, placement_key};
@@ -32,7 +32,7 @@
             .begin_transaction()
             .version(&*key, self.placement_records.version(record))
             .put(key, value);
-        let jobs: BTreeSet<&Name> = sent.pending.iter().map(|p| &p.allocation.job).collect();
+        let jobs: BTreeSet<&JobId> = sent.pending.iter().map(|p| &p.allocation.job).collect();
         for id in jobs {
             transaction = transaction.absent(end_key(id));
         }
--- a/src/coordination/cluster/writes/reread.rs
+++ b/src/coordination/cluster/writes/reread.rs
@@ -1,7 +1,7 @@
 //! Reading again what a write may have changed.
 
 use super::ClusterState;
-use crate::coordination::state::Name;
+use crate::coordination::state::JobId;
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::protocol::store::VersionedValue;
@@ -34,7 +34,7 @@
 
     fn leader_record_reread(&mut self, version: u64) {
         // A lower version was read before the token was raised.
-        let is_other = version > self.leadership.token() || version == 0;
+        let is_other = version > self.leadership.token().0 || version == 0;
         if is_other && !self.leadership.is_raising_token() {
             warn!(
                 version,
@@ -78,7 +78,7 @@
     }
 
     fn end_record_reread(&mut self, job: &str, item: VersionedValue, now: Time) {
-        let id: Name = job.into();
+        let id: JobId = job.into();
         match serde_json::from_value::<EndRecord>(item.value) {
             Ok(end) if end.state == JobState::Cancelled => self.cancel(&id, now),
             // This leader's own end, whose answer was lost.
--- a/src/coordination/election/messages.rs
+++ b/src/coordination/election/messages.rs
@@ -2,6 +2,7 @@
 //! events that it reports to the controller, and the controller's requests.
 
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::protocol::store::{Events, LeaseId, Transaction};
 use crate::storage::outcome::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
@@ -14,7 +15,7 @@
     /// This node has won an election: it leads a new term with this fencing token.
     Elected {
         /// The fencing token. It identifies the term, too, also after the token has been raised.
-        token: u64,
+        token: FencingToken,
     },
     /// This node's leadership lease was granted or renewed.
     LeaseExtended {
@@ -23,7 +24,7 @@
     },
     /// The response to [`ElectionRequest::RaiseToken`]: the fencing token from now on, or `None` if it
     /// is unchanged.
-    TokenRaised(Option<u64>),
+    TokenRaised(Option<FencingToken>),
     /// This node's term is over: its lease has expired or it has resigned.
     Deposed,
 }
@@ -35,18 +36,18 @@
     /// Obtain a higher fencing token within the same term.
     RaiseToken {
         /// The term's first token.
-        term: u64,
+        term: FencingToken,
     },
     /// Give leadership up, and let other nodes campaign first.
     Resign {
         /// The term's first token.
-        term: u64,
+        term: FencingToken,
     },
 }
 
 impl ElectionRequest {
     /// The first token of the term that the request is meant for.
-    pub fn term(&self) -> u64 {
+    pub fn term(&self) -> FencingToken {
         match self {
             ElectionRequest::RaiseToken { term } | ElectionRequest::Resign { term } => *term,
         }
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -4,6 +4,7 @@
 use super::messages::{CurrentLeader, ElectionEvent, Input, Operation, Step};
 use super::term::{Term, TermEnd};
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::protocol::store::{Events, LeaseId};
 use crate::storage::outcome::{CommitOutcome, Unavailable};
 use std::time::Duration;
@@ -219,7 +220,8 @@
         now: Time,
     ) -> Operation {
         match outcome {
-            CommitOutcome::Applied(token) => {
+            CommitOutcome::Applied(version) => {
+                let token = FencingToken(version);
                 self.events.push(ElectionEvent::Elected { token });
                 self.events.push(leadership_lease::extended(
                     requested_at,
@@ -265,12 +267,12 @@
                 operation
             }
             Err(TermEnd::LeaseExpired) => {
-                warn!(node = %self.node, token = term.token(), "leadership lease expired");
+                warn!(node = %self.node, token = %term.token(), "leadership lease expired");
                 self.events.push(ElectionEvent::Deposed);
                 self.read()
             }
             Err(TermEnd::Resigned) => {
-                info!(node = %self.node, token = term.token(), "resigning leadership");
+                info!(node = %self.node, token = %term.token(), "resigning leadership");
                 self.events.push(ElectionEvent::Deposed);
                 self.release(term.lease(), AfterRelease::Abstain)
             }
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -9,6 +9,7 @@
 use super::leadership_lease::{self, leader_transaction, RENEWALS_PER_LEASE, RETRIES_PER_LEASE};
 use super::messages::{CurrentLeader, ElectionEvent, ElectionRequest, Input, Operation};
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::protocol::store::LeaseId;
 use crate::storage::outcome::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
@@ -33,9 +34,9 @@
 pub(super) struct Term {
     node: String,
     /// The token that the term began with, which identifies it.
-    first_token: u64,
+    first_token: FencingToken,
     /// The highest token that is known to be this term's.
-    token: u64,
+    token: FencingToken,
     lease: LeaseId,
     lease_duration: Duration,
     renew_at: Time,
@@ -73,7 +74,7 @@
 impl Term {
     pub(super) fn new(
         node: String,
-        token: u64,
+        token: FencingToken,
         lease: LeaseId,
         lease_duration: Duration,
         now: Time,
@@ -90,7 +91,7 @@
         }
     }
 
-    pub(super) fn token(&self) -> u64 {
+    pub(super) fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -147,7 +148,7 @@
             RaiseStep::Commit => {
                 self.in_progress = InProgress::RaiseToken;
                 Operation::Commit {
-                    transaction: leader_transaction(&self.node, self.token, self.lease),
+                    transaction: leader_transaction(&self.node, self.token.0, self.lease),
                     timeout,
                 }
             }
@@ -202,7 +203,7 @@
     ) {
         let is_indeterminate = self.raise.is_some_and(|raise| raise.is_indeterminate);
         match outcome {
-            CommitOutcome::Applied(token) => self.raised(token, events),
+            CommitOutcome::Applied(version) => self.raised(FencingToken(version), events),
             CommitOutcome::Unknown => self.continue_raise(RaiseStep::ReadBack, now),
             // An earlier copy was applied, or leadership is lost.
             CommitOutcome::Conflict(_) if is_indeterminate => {
@@ -231,10 +232,12 @@
         let retry_at = now + self.retry_interval();
         match record {
             Err(Unavailable) => self.continue_raise(RaiseStep::ReadBack, retry_at),
-            Ok(Some(leader)) if leader.node == self.node && leader.version == self.token => {
+            Ok(Some(leader)) if leader.node == self.node && leader.version == self.token.0 => {
                 self.continue_raise(RaiseStep::Commit, retry_at);
             }
-            Ok(Some(leader)) if leader.node == self.node => self.raised(leader.version, events),
+            Ok(Some(leader)) if leader.node == self.node => {
+                self.raised(FencingToken(leader.version), events);
+            }
             Ok(_) => self.not_raised(now, events),
         }
     }
@@ -248,7 +251,7 @@
         });
     }
 
-    fn raised(&mut self, token: u64, events: &mut Vec<ElectionEvent>) {
+    fn raised(&mut self, token: FencingToken, events: &mut Vec<ElectionEvent>) {
         self.token = token;
         self.raise = None;
         events.push(ElectionEvent::TokenRaised(Some(token)));
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -10,9 +10,10 @@
 use super::cluster::recovery::Records;
 use super::cluster::{ClusterState, CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use super::scheduling::{run_cycle, SchedulingPlan};
-use super::state::{AllocationId, AllocationState, Name};
+use super::state::{AllocationId, AllocationState, JobId, MachineName};
 use super::Time;
 use crate::protocol::cloud::{ListedMachine, MachineType};
+use crate::protocol::ids::FencingToken;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::worker::Heartbeat;
 use crate::settings::Settings;
@@ -79,7 +80,7 @@
 /// What time decides.
 impl ClusterManager {
     /// The manager of a leader that was elected with a fencing token, before it has read any record.
-    pub fn new(settings: Arc<Settings>, token: u64, now: Time) -> ClusterManager {
+    pub fn new(settings: Arc<Settings>, token: FencingToken, now: Time) -> ClusterManager {
         ClusterManager {
             cluster: ClusterState::new(settings, token, now),
             autoscaler: Autoscaler::default(),
@@ -140,7 +141,7 @@
             self.cluster
                 .stop(&preemption.machine, &preemption.allocation, grace_s, now);
         }
-        let mut attempt_of_gang: HashMap<Name, u64> = HashMap::new();
+        let mut attempt_of_gang: HashMap<JobId, u64> = HashMap::new();
         for planned in plan.allocations {
             let fresh = self.cluster.leadership_mut().next_id();
             let attempt = if planned.is_gang {
@@ -179,12 +180,12 @@
     }
 
     /// The fencing token that commands and writes carry.
-    pub fn token(&self) -> u64 {
+    pub fn token(&self) -> FencingToken {
         self.cluster.leadership().token()
     }
 
     /// The fencing token with which the term began.
-    pub fn first_token(&self) -> u64 {
+    pub fn first_token(&self) -> FencingToken {
         self.cluster.leadership().first_token()
     }
 
@@ -209,7 +210,7 @@
     }
 
     /// A higher token was drawn; `None` if that failed.
-    pub fn token_raised(&mut self, token: Option<u64>, now: Time) {
+    pub fn token_raised(&mut self, token: Option<FencingToken>, now: Time) {
         self.cluster.token_raised(token, now);
     }
 
@@ -247,7 +248,7 @@
     }
 
     /// Takes in what became of commands that were sent directly.
-    pub fn commands_answered(&mut self, machine: &Name, outcome: CommandOutcome, now: Time) {
+    pub fn commands_answered(&mut self, machine: &MachineName, outcome: CommandOutcome, now: Time) {
         self.cluster.commands_answered(machine, outcome, now);
     }
 
@@ -306,7 +307,7 @@
     }
 
     /// The ends that were read; none for a job whose end is not on record, or could not be read.
-    pub fn ends_found(&mut self, ends: Vec<(Name, Option<EndRecord>)>, now: Time) {
+    pub fn ends_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
         self.cluster.ends_found(ends, now);
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -4,12 +4,13 @@
 //!
 //! - [`election`] decides which controller leads;
 //! - [`state`] holds the types for jobs, machines and allocations;
+//! - [`manager`] drives the leader's work;
 //! - [`cluster`] is the leader's view of the cluster: heartbeats, reconciliation, records;
 //! - [`scheduling`] decides which task runs on which machine, by [`prediction`] of run times;
-//! - [`autoscaling`] decides which machines to rent and which to return;
+//! - `autoscaling` decides which machines to rent and which to return;
 //! - [`requests`] answers users, on any controller.
 
-pub mod autoscaling;
+mod autoscaling;
 pub mod cluster;
 pub mod election;
 pub mod manager;
--- a/src/coordination/prediction.rs
+++ b/src/coordination/prediction.rs
@@ -7,34 +7,45 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Predictions stay between this and the owner's estimate.
-const FLOOR_S: f64 = 60.0;
+const MIN_PREDICTION_S: f64 = 60.0;
 /// The paper's steps by which the prediction of an overrunning job rises.
-const STEPS_S: [f64; 11] = [
+const CORRECTION_STEPS_S: [f64; 11] = [
     60.0, 300.0, 900.0, 1800.0, 3600.0, 7200.0, 18000.0, 36000.0, 72000.0, 180000.0, 360000.0,
 ];
-const RATE: f64 = 0.5;
-const PENALTY: f64 = 1e-4;
+/// The learning rate.
+const LEARNING_RATE: f64 = 0.5;
+/// The weight of the l2 penalty.
+const L2_PENALTY: f64 = 1e-4;
 /// The least weight of a job: the logarithm of a small job's area may be negative.
 const MIN_WEIGHT: f64 = 0.1;
+/// The estimate, the size, the recent run times and their mean.
 const FEATURES: usize = 6;
+/// Terms of a polynomial of degree 2 over the features.
 const TERMS: usize = 1 + FEATURES + FEATURES * (FEATURES + 1) / 2;
 /// Run times of an owner that are remembered.
-const RECENT: usize = 3;
+const RECENT_RUNS: usize = 3;
 
+/// The run times of an owner's jobs that have finished.
 #[derive(Default, Clone, Debug)]
-struct History {
+struct RunTimeHistory {
+    /// The latest, the newest first.
     recent: VecDeque<f64>,
+    /// How many there were.
     count: u64,
 }
 
 /// The learner, with the recent run times of each team's classes of jobs.
 pub struct Predictor {
     weights: [f64; TERMS],
+    /// The largest absolute value of each term so far.
     scales: [f64; TERMS],
+    /// The sum of the squared gradients of each term.
     gradients: [f64; TERMS],
+    /// The sum of all normalized terms, squared.
     norm: f64,
+    /// How many jobs were learned from.
     steps: f64,
-    owners: BTreeMap<String, History>,
+    owners: BTreeMap<String, RunTimeHistory>,
 }
 
 impl Default for Predictor {
@@ -51,23 +62,25 @@
 }
 
 impl Predictor {
+    /// The terms of the polynomial for a job of an owner.
     fn terms(&self, owner: &str, estimate_s: f64, size: f64) -> [f64; TERMS] {
         let history = self.owners.get(owner).cloned().unwrap_or_default();
-        let mut x = [0.0; FEATURES];
-        x[0] = estimate_s;
-        x[1] = size;
-        for (i, run) in history.recent.iter().enumerate() {
-            x[2 + i] = *run;
+        let mut features = [0.0; FEATURES];
+        features[0] = estimate_s;
+        features[1] = size;
+        for (i, run_s) in history.recent.iter().enumerate() {
+            features[2 + i] = *run_s;
         }
-        x[5] = history.recent.iter().sum::<f64>() / history.recent.len().max(1) as f64;
+        let sum_s = history.recent.iter().sum::<f64>();
+        features[FEATURES - 1] = sum_s / history.recent.len().max(1) as f64;
         let mut terms = [0.0; TERMS];
         terms[0] = 1.0;
-        terms[1..=FEATURES].copy_from_slice(&x);
-        let mut at = FEATURES + 1;
+        terms[1..=FEATURES].copy_from_slice(&features);
+        let mut position = FEATURES + 1;
         for i in 0..FEATURES {
             for j in i..FEATURES {
-                terms[at] = x[i] * x[j];
-                at += 1;
+                terms[position] = features[i] * features[j];
+                position += 1;
             }
         }
         terms
@@ -86,7 +99,7 @@
         if !value.is_finite() {
             return estimate_s;
         }
-        value.max(FLOOR_S).min(estimate_s)
+        value.max(MIN_PREDICTION_S).min(estimate_s)
     }
 
     /// Learns from a job that ended by itself.
@@ -112,12 +125,12 @@
         } else {
             -weight
         };
-        let rate = RATE * (self.steps / self.norm.max(f64::MIN_POSITIVE)).sqrt();
+        let rate = LEARNING_RATE * (self.steps / self.norm.max(f64::MIN_POSITIVE)).sqrt();
         for (i, x) in terms.iter().enumerate() {
             if self.scales[i] <= 0.0 {
                 continue;
             }
-            let gradient = slope * x + 2.0 * PENALTY * self.weights[i];
+            let gradient = slope * x + 2.0 * L2_PENALTY * self.weights[i];
             self.gradients[i] += gradient * gradient;
             if self.gradients[i] > 0.0 {
                 self.weights[i] -= rate * gradient / (self.scales[i] * self.gradients[i].sqrt());
@@ -126,7 +139,7 @@
         let history = self.owners.entry(owner.to_string()).or_default();
         history.count += 1;
         history.recent.push_front(run_s);
-        history.recent.truncate(RECENT);
+        history.recent.truncate(RECENT_RUNS);
     }
 }
 
@@ -134,7 +147,7 @@
 /// overruns, and never above the estimate.
 pub fn corrected(predicted_s: f64, elapsed_s: f64, estimate_s: f64) -> f64 {
     let mut prediction = predicted_s;
-    for step in STEPS_S {
+    for step in CORRECTION_STEPS_S {
         if elapsed_s < prediction || prediction >= estimate_s {
             break;
         }
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -4,7 +4,7 @@
 use super::plan::{PlannedAllocation, SchedulingPlan};
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::{
-    may_use, AllocationId, Job, Machine, Name, QuotaUsageByTeam, Resources,
+    may_use, AllocationId, Job, JobId, Machine, QuotaUsageByTeam, Resources, ZoneName,
 };
 use crate::coordination::Time;
 use crate::protocol::cloud::MachineType;
@@ -69,11 +69,11 @@
     pub(super) machines: Vec<CycleMachine<'a>>,
     quota: QuotaUsageByTeam,
     /// How many tasks of a job are in each zone, for jobs with a rule about zones.
-    tasks_by_zone: HashMap<Name, HashMap<Name, u32>>,
+    tasks_by_zone: HashMap<JobId, HashMap<ZoneName, u32>>,
     pub(super) preempted: HashSet<AllocationId>,
     pub(super) full_for: Vec<FullFor>,
     /// How many tasks of each job the cycle has planned.
-    pub(super) planned: HashMap<Name, usize>,
+    pub(super) planned: HashMap<JobId, usize>,
     pub(super) plan: SchedulingPlan,
     examined: Cell<u64>,
 }
@@ -144,7 +144,7 @@
         team.is_some_and(|team| self.quota.allows(team, &job.request(), tasks))
     }
 
-    fn tasks_by_zone(&mut self, job: &Job) -> &mut HashMap<Name, u32> {
+    fn tasks_by_zone(&mut self, job: &Job) -> &mut HashMap<ZoneName, u32> {
         let cluster = self.cluster;
         self.tasks_by_zone.entry(job.id.clone()).or_insert_with(|| {
             let mut zones = HashMap::new();
@@ -158,7 +158,7 @@
     }
 
     /// Whether the job's rules about zones allow another task in a zone.
-    pub(super) fn zone_allowed(&mut self, job: &Job, zone: &Name) -> bool {
+    pub(super) fn zone_allowed(&mut self, job: &Job, zone: &ZoneName) -> bool {
         let (one_zone, spread) = (job.spec.one_zone, job.spec.spread);
         if !one_zone && !spread {
             return true;
--- a/src/coordination/scheduling/head_reservation.rs
+++ b/src/coordination/scheduling/head_reservation.rs
@@ -2,7 +2,7 @@
 
 use super::backfill::{reserve, reserve_gang, FutureRelease, FutureResources, Reservation};
 use super::cycle::SchedulingCycle;
-use crate::coordination::state::{Job, Name};
+use crate::coordination::state::{Job, ZoneName};
 use std::collections::BTreeMap;
 use tracing::debug;
 
@@ -51,7 +51,7 @@
 
 /// A gang that must be in one zone reserves in the zone in which it starts first.
 fn gang_reservation(cycle: &SchedulingCycle, job: &Job) -> Option<Reservation> {
-    let mut by_zone: BTreeMap<&Name, Vec<FutureResources>> = BTreeMap::new();
+    let mut by_zone: BTreeMap<&ZoneName, Vec<FutureResources>> = BTreeMap::new();
     for i in cycle.allowed(job) {
         let of_zone = by_zone.entry(&cycle.machines[i].machine.zone).or_default();
         of_zone.push(future_resources(cycle, i));
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -1,6 +1,6 @@
 //! EASY backfilling: which waiting task runs on which machine.
 //!
-//! [`run_cycle`] reads a snapshot of the cluster and returns a plan; it changes nothing itself.
+//! `run_cycle` reads a snapshot of the cluster and returns a plan; it changes nothing itself.
 //!
 //! - `queue`: one scheduling cycle; `queue_order`: the order of its jobs;
 //! - `head_reservation`, [`backfill`]: what the first blocked job reserves;
--- a/src/coordination/scheduling/placement/gangs.rs
+++ b/src/coordination/scheduling/placement/gangs.rs
@@ -3,7 +3,7 @@
 use crate::coordination::scheduling::backfill::Reservation;
 use crate::coordination::scheduling::cycle::{failure_penalty_s, SchedulingCycle};
 use crate::coordination::scheduling::plan::Blocked;
-use crate::coordination::state::{Job, Name};
+use crate::coordination::state::{Job, ZoneName};
 use std::collections::{BTreeSet, HashMap};
 
 impl SchedulingCycle<'_> {
@@ -57,7 +57,7 @@
             return self.fill(job, tasks, &machines);
         }
         let zone_of = |i: usize| &self.machines[i].machine.zone;
-        let zones: BTreeSet<&Name> = machines.iter().map(|i| zone_of(*i)).collect();
+        let zones: BTreeSet<&ZoneName> = machines.iter().map(|i| zone_of(*i)).collect();
         zones.into_iter().find_map(|zone| {
             let here = machines.iter().copied().filter(|i| zone_of(*i) == zone);
             let here: Vec<usize> = here.collect();
@@ -69,7 +69,7 @@
     fn fill(&self, job: &Job, tasks: usize, machines: &[usize]) -> Option<Vec<usize>> {
         let request = job.request();
         let mut chosen = Vec::new();
-        let mut in_zone: HashMap<&Name, u32> = HashMap::new();
+        let mut in_zone: HashMap<&ZoneName, u32> = HashMap::new();
         for i in machines {
             let machine = &self.machines[*i];
             let here = in_zone.entry(&machine.machine.zone).or_default();
--- a/src/coordination/scheduling/plan.rs
+++ b/src/coordination/scheduling/plan.rs
@@ -1,6 +1,6 @@
 //! What a scheduling cycle decides.
 
-use crate::coordination::state::{AllocationId, Name};
+use crate::coordination::state::{AllocationId, JobId, MachineName};
 use std::collections::BTreeSet;
 
 /// Why a job's next task was not placed.
@@ -15,11 +15,11 @@
 /// A task that is to be placed on a machine.
 pub(crate) struct PlannedAllocation {
     /// Its job.
-    pub(crate) job: Name,
+    pub(crate) job: JobId,
     /// Its number in the job.
     pub(crate) task: u32,
     /// The machine.
-    pub(crate) machine: Name,
+    pub(crate) machine: MachineName,
     /// Whether the job is a gang, whose tasks share their attempt.
     pub(crate) is_gang: bool,
 }
@@ -27,7 +27,7 @@
 /// A task that is to be stopped for work of a higher priority.
 pub(crate) struct Preemption {
     /// The machine that it is on.
-    pub(crate) machine: Name,
+    pub(crate) machine: MachineName,
     /// Its allocation.
     pub(crate) allocation: AllocationId,
 }
@@ -40,7 +40,7 @@
     /// Tasks to stop before that.
     pub(crate) preemptions: Vec<Preemption>,
     /// Jobs of which nothing runs, and that only the reservation keeps from free resources.
-    pub(crate) starved: BTreeSet<Name>,
+    pub(crate) starved: BTreeSet<JobId>,
     /// How many machines and allocations the cycle has examined.
     pub(crate) examined: u64,
 }
--- a/src/coordination/scheduling/queue_order.rs
+++ b/src/coordination/scheduling/queue_order.rs
@@ -2,7 +2,7 @@
 
 use super::deadlines::{feasible, RemainingWork};
 use crate::coordination::cluster::ClusterState;
-use crate::coordination::state::{Deadline, Job, Name, QuotaUsage};
+use crate::coordination::state::{Deadline, Job, JobId, QuotaUsage};
 use crate::coordination::Time;
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -59,8 +59,8 @@
 
 /// The order in which waiting jobs are placed.
 pub(super) struct QueueOrder {
-    positions: HashMap<Name, QueuePosition>,
-    guaranteed: HashMap<Name, bool>,
+    positions: HashMap<JobId, QueuePosition>,
+    guaranteed: HashMap<JobId, bool>,
 }
 
 impl QueueOrder {
@@ -104,7 +104,7 @@
     queue: &[&Job],
     cpus: f64,
     now: Time,
-) -> HashMap<Name, QueuePosition> {
+) -> HashMap<JobId, QueuePosition> {
     let mut positions = HashMap::new();
     let mut left: Vec<Unpositioned> = Vec::new();
     for job in queue {
@@ -161,7 +161,7 @@
 }
 
 /// Which jobs fit into their team's guarantee along with its earlier unfinished ones.
-fn within_guarantee(cluster: &ClusterState) -> HashMap<Name, bool> {
+fn within_guarantee(cluster: &ClusterState) -> HashMap<JobId, bool> {
     let teams = &cluster.settings().cluster.teams;
     if teams.iter().all(|team| team.cpus <= 0.0) {
         return HashMap::new();
--- a/src/coordination/state/allocation.rs
+++ b/src/coordination/state/allocation.rs
@@ -1,8 +1,9 @@
 //! Allocations: one attempt of a task on one machine.
 
-use super::{Name, Resources};
+use super::{JobId, Resources};
 use crate::coordination::prediction::corrected;
 use crate::coordination::Time;
+use crate::protocol::ids::{FencingToken, HeartbeatSequence};
 use crate::protocol::job::Priority;
 use crate::protocol::worker::{Cause, TaskState};
 use std::fmt;
@@ -11,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AllocationId {
     /// The job.
-    pub job: Name,
+    pub job: JobId,
     /// The number of the task in the job.
     pub task: u32,
     /// The attempt; all tasks of a gang that start together share theirs.
@@ -20,7 +21,7 @@
 
 impl AllocationId {
     /// The allocation of one attempt of a task.
-    pub fn new(job: Name, task: u32, attempt: u64) -> AllocationId {
+    pub fn new(job: JobId, task: u32, attempt: u64) -> AllocationId {
         AllocationId { job, task, attempt }
     }
 
@@ -100,9 +101,9 @@
     pub is_recovered: bool,
     /// The fencing token under which a launch was sent directly to the worker: a copy of it may
     /// still arrive until the worker has seen a higher token.
-    pub direct_launch_token: Option<u64>,
+    pub direct_launch_token: Option<FencingToken>,
     /// The sequence number of the heartbeat whose response last carried the launch.
-    pub launch_response_sequence: Option<u64>,
+    pub launch_response_sequence: Option<HeartbeatSequence>,
     /// The stop that was or is to be sent.
     pub pending_stop: Option<PendingStop>,
     /// A heartbeat showed it once and shows it no longer, but a launch may still arrive.
@@ -145,7 +146,11 @@
     /// Whether no launch that was sent can still reach the worker, given the token that it has
     /// acknowledged and the sequence number of its newest own heartbeat: until it sends another, it
     /// may yet receive the response to that one.
-    pub fn launches_are_over(&self, acknowledged_token: u64, reported_sequence: u64) -> bool {
+    pub fn launches_are_over(
+        &self,
+        acknowledged_token: FencingToken,
+        reported_sequence: HeartbeatSequence,
+    ) -> bool {
         self.direct_launch_token
             .is_none_or(|token| acknowledged_token > token)
             && self
--- a/src/coordination/state/deadline.rs
+++ b/src/coordination/state/deadline.rs
@@ -1,6 +1,6 @@
 //! The deadline that a job works towards.
 
-use super::Name;
+use super::ClassName;
 use crate::coordination::Time;
 
 /// The deadline that a job works towards: its own, or that of a job which depends on it.
@@ -11,7 +11,7 @@
     /// The time that it states, in seconds after the submission.
     pub due_s: f64,
     /// The class of the job that states it.
-    pub class: Name,
+    pub class: ClassName,
     /// Seconds on the critical path from the end of this job to the end of that one.
     pub remaining_path_s: f64,
 }
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -1,7 +1,8 @@
 //! Jobs, from their acceptance to their end.
 
 use super::{
-    AllocationRef, CompletionRecord, Deadline, Name, Resources, RunTime, Task, TaskProfile,
+    AllocationRef, CompletionRecord, Deadline, JobId, MachineName, Resources, RunTime, Task,
+    TaskProfile,
 };
 use crate::coordination::Time;
 use crate::protocol::job::{JobKind, JobSpec, Priority};
@@ -26,13 +27,13 @@
     /// The description as its user submitted it.
     pub spec: Arc<JobSpec>,
     /// Its id.
-    pub id: Name,
+    pub id: JobId,
     /// The version of its record when it was accepted: the order of arrival, equal for every leader.
     pub arrival_order: u64,
     /// When it was accepted.
     pub arrived_at: Time,
     /// Jobs that must be done before it begins, and whose end is not known yet.
-    pub unmet_dependencies: BTreeSet<Name>,
+    pub unmet_dependencies: BTreeSet<JobId>,
     /// Since when it depends on no other job's end.
     pub ready_at: Time,
     /// Whether a job that it depends on is cancelled: so is it, once that is recorded.
@@ -55,7 +56,7 @@
     /// The predicted run time of a task, in seconds.
     pub predicted_s: f64,
     /// Machines on which its tasks have failed since one last completed, and when.
-    pub failed_on: BTreeMap<Name, Time>,
+    pub failed_on: BTreeMap<MachineName, Time>,
     /// Until when it pauses after failures.
     pub retry_at: Time,
     /// Failures in a row that made it pause.
@@ -171,7 +172,7 @@
     pub fn release_allocation(
         &mut self,
         task: u32,
-        machine: &Name,
+        machine: &MachineName,
         attempt: u64,
         has_run: bool,
         now: Time,
@@ -191,7 +192,7 @@
     pub fn move_allocation(
         &mut self,
         task: u32,
-        machine: &Name,
+        machine: &MachineName,
         attempt: u64,
         placement_record: usize,
     ) {
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,8 +1,13 @@
 //! Machines with their workers and allocations.
 
 use super::worker_session::WorkerSession;
-use super::{Allocation, AllocationId, AllocationState, Name, Resources};
+use super::{
+    Allocation, AllocationId, AllocationState, JobId, MachineName, MachineTypeName, Resources,
+    ZoneName,
+};
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
+use crate::protocol::ids::Incarnation;
 use crate::protocol::worker::TaskState;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,9 +27,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct FailureHistory {
     /// Jobs of which tasks failed here since one last completed here.
-    pub jobs_failed_here: BTreeSet<Name>,
+    pub jobs_failed_here: BTreeSet<JobId>,
     /// Those of these jobs that have completed tasks elsewhere since.
-    pub jobs_completed_elsewhere: BTreeSet<Name>,
+    pub jobs_completed_elsewhere: BTreeSet<JobId>,
     /// Whether the machine is held to be faulty and gets no more tasks.
     pub quarantined: bool,
 }
@@ -32,13 +37,13 @@
 /// A machine, its worker, and the allocations on it.
 pub struct Machine {
     /// Its name, which is never used again.
-    pub name: Name,
+    pub name: MachineName,
     /// Where its worker takes direct commands.
     pub endpoint: Option<String>,
     /// The name of its type; empty while a record has told no more than its name.
-    pub machine_type: Name,
+    pub machine_type: MachineTypeName,
     /// Its zone; empty likewise.
-    pub zone: Name,
+    pub zone: ZoneName,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
     /// What is known of its life.
@@ -71,7 +76,13 @@
 
 impl Machine {
     /// A machine that boots.
-    pub fn new(name: Name, machine_type: Name, zone: Name, spot: bool, now: Time) -> Machine {
+    pub fn new(
+        name: MachineName,
+        machine_type: MachineTypeName,
+        zone: ZoneName,
+        spot: bool,
+        now: Time,
+    ) -> Machine {
         Machine {
             name,
             endpoint: None,
@@ -190,10 +201,15 @@
     /// worker: it may be a late copy, or the way to the worker may be cut. So the worker must have
     /// shown a token of this leadership, unless nobody else can have sent anything to it. Responses to
     /// direct commands do not renew its lease, so it must have sent heartbeats by itself of late.
-    pub fn accepts_tasks(&self, now: Time, heartbeat_timeout_s: f64, first_token: u64) -> bool {
+    pub fn accepts_tasks(
+        &self,
+        now: Time,
+        heartbeat_timeout_s: f64,
+        first_token: FencingToken,
+    ) -> bool {
         let worker = &self.worker;
         let is_fenced = worker.acknowledged_token() >= first_token
-            || self.rented_by_this_leader && worker.incarnation() == 1;
+            || self.rented_by_this_leader && worker.incarnation() == Incarnation(1);
         let last_heartbeat_at = worker.last_heartbeat_at();
         self.phase == MachinePhase::Up
             && !self.failures.quarantined
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -3,6 +3,7 @@
 mod allocation;
 mod deadline;
 mod eligibility;
+mod ids;
 mod job;
 mod machine;
 mod machine_types;
@@ -17,6 +18,7 @@
 };
 pub use deadline::Deadline;
 pub(crate) use eligibility::{may_use, may_use_type};
+pub use ids::{ClassName, JobId, MachineName, MachineTypeName, ZoneName};
 pub use job::Job;
 pub(crate) use job::MAX_WAIT_WITH_ROOM_S;
 pub use machine::{FailureHistory, Machine, MachinePhase};
@@ -24,9 +26,5 @@
 pub use placement_record::{Placement, PlacementRecord, WriteUrgency};
 pub use quota::{QuotaUsage, QuotaUsageByTeam};
 pub use resources::Resources;
-use std::sync::Arc;
 pub use task::{AllocationRef, CompletionRecord, Task};
 pub use worker_session::{WorkerSession, MAX_UNACKNOWLEDGED};
-
-/// The name of a job, a machine, a zone or a type of machine.
-pub type Name = Arc<str>;
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -1,6 +1,6 @@
 //! Placement records: which tasks are on which machines, as the store tells it.
 
-use super::{AllocationId, Name};
+use super::{AllocationId, JobId, MachineName};
 use crate::coordination::Time;
 use crate::protocol::job::Priority;
 use crate::storage::records::{job_bytes, place_bytes, EMPTY_BYTES};
@@ -12,7 +12,7 @@
     /// The allocation.
     pub allocation: AllocationId,
     /// The machine that it is on.
-    pub machine: Name,
+    pub machine: MachineName,
 }
 
 /// What waits for a placement record to be written: the higher is written first.
@@ -51,7 +51,7 @@
         &self.placements
     }
 
-    fn holds_job(&self, job: &Name) -> bool {
+    fn holds_job(&self, job: &JobId) -> bool {
         let first = Placement {
             allocation: AllocationId::new(job.clone(), 0, 0),
             machine: "".into(),
--- a/src/coordination/state/task.rs
+++ b/src/coordination/state/task.rs
@@ -1,6 +1,6 @@
 //! Tasks, their allocations, and the records of which have completed.
 
-use super::Name;
+use super::MachineName;
 use crate::coordination::Time;
 
 /// A task with its allocations. It may be placed only while it has none.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct AllocationRef {
     /// The machine.
-    pub machine: Name,
+    pub machine: MachineName,
     /// The attempt.
     pub attempt: u64,
     /// The number of the placement record that holds it.
--- a/src/coordination/state/worker_session.rs
+++ b/src/coordination/state/worker_session.rs
@@ -1,6 +1,7 @@
 //! What is known of the worker on a machine: its incarnation, heartbeats and responses to them.
 
 use crate::coordination::Time;
+use crate::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use crate::protocol::worker::Heartbeat;
 
 /// Responses in a row without effect after which a worker counts as unresponsive.
@@ -10,16 +11,16 @@
 #[derive(Clone, Debug)]
 pub struct WorkerSession {
     /// The incarnation of the worker's process; 0 until one is known.
-    incarnation: u64,
+    incarnation: Incarnation,
     /// The sequence number of the newest heartbeat in this incarnation, whatever it came with.
-    sequence: u64,
+    sequence: HeartbeatSequence,
     /// The sequence number of the newest heartbeat that the worker sent by itself in this
     /// incarnation; responses to direct commands have later numbers too.
-    reported_sequence: u64,
+    reported_sequence: HeartbeatSequence,
     /// The highest fencing token that the worker has shown.
-    acknowledged_token: u64,
+    acknowledged_token: FencingToken,
     /// The highest fencing token that was sent to this incarnation.
-    sent_token: u64,
+    sent_token: FencingToken,
     last_heartbeat_at: Option<Time>,
     /// When a heartbeat was last responded to, which renews the worker's lease.
     last_response_at: Time,
@@ -38,11 +39,11 @@
     /// A worker of which nothing is known.
     pub fn new(now: Time) -> WorkerSession {
         WorkerSession {
-            incarnation: 0,
-            sequence: 0,
-            reported_sequence: 0,
-            acknowledged_token: 0,
-            sent_token: 0,
+            incarnation: Incarnation::default(),
+            sequence: HeartbeatSequence::default(),
+            reported_sequence: HeartbeatSequence::default(),
+            acknowledged_token: FencingToken::default(),
+            sent_token: FencingToken::default(),
             last_heartbeat_at: None,
             last_response_at: now,
             unacknowledged: 0,
@@ -54,17 +55,17 @@
     }
 
     /// The incarnation of the worker's process; 0 until one is known.
-    pub fn incarnation(&self) -> u64 {
+    pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
     /// The highest fencing token that the worker has shown.
-    pub fn acknowledged_token(&self) -> u64 {
+    pub fn acknowledged_token(&self) -> FencingToken {
         self.acknowledged_token
     }
 
     /// The sequence number of the newest heartbeat that the worker sent by itself.
-    pub fn reported_sequence(&self) -> u64 {
+    pub fn reported_sequence(&self) -> HeartbeatSequence {
         self.reported_sequence
     }
 
@@ -113,7 +114,7 @@
 
     /// Whether a heartbeat begins another incarnation than the one that is known.
     pub fn begins_incarnation(&self, heartbeat: &Heartbeat) -> bool {
-        self.incarnation != 0 && heartbeat.incarnation > self.incarnation
+        self.incarnation != Incarnation::default() && heartbeat.incarnation > self.incarnation
     }
 
     /// Applies a newer heartbeat, which the worker sent by itself (`is_own`) or in response to a
@@ -121,12 +122,12 @@
     pub fn apply(&mut self, heartbeat: &Heartbeat, is_own: bool, lease_s: f64, now: Time) {
         if self.begins_incarnation(heartbeat) {
             // Its lease ran out though its heartbeats were responded to: the responses don't reach it.
-            if self.sent_token > 0 && now - self.last_response_at < lease_s {
+            if self.sent_token > FencingToken::default() && now - self.last_response_at < lease_s {
                 self.unacknowledged = MAX_UNACKNOWLEDGED;
                 self.acknowledge(false, now);
             }
-            self.sent_token = 0;
-            self.reported_sequence = 0;
+            self.sent_token = FencingToken::default();
+            self.reported_sequence = HeartbeatSequence::default();
         } else if self.sent_token > self.acknowledged_token {
             self.acknowledge(heartbeat.token >= self.sent_token, now);
         }
@@ -155,7 +156,7 @@
     }
 
     /// Notes that a heartbeat is responded to under a fencing token.
-    pub fn responded(&mut self, token: u64, now: Time) {
+    pub fn responded(&mut self, token: FencingToken, now: Time) {
         self.last_response_at = now;
         self.sent_token = self.sent_token.max(token);
     }
@@ -179,9 +180,9 @@
     /// The worker's lease is over: whatever it says of this incarnation is of the past. Nothing is
     /// sent to the next one before it is known: when it begins, and so when its lease ends, is not.
     pub fn expire(&mut self) {
-        self.incarnation += 1;
-        self.sequence = 0;
-        self.reported_sequence = 0;
+        self.incarnation = Incarnation(self.incarnation.0 + 1);
+        self.sequence = HeartbeatSequence::default();
+        self.reported_sequence = HeartbeatSequence::default();
         self.last_heartbeat_at = None;
     }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -10,6 +10,7 @@
 //! - [`store`]: the state service's keys, transactions, leases and watches
 
 pub mod cloud;
+pub mod ids;
 pub mod job;
 pub mod store;
 pub mod worker;
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,5 +1,6 @@
 //! Messages between workers and controllers: heartbeats, their responses, and direct commands.
 
+use super::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use serde::{Deserialize, Serialize};
 
 /// The state of a task on its machine.
@@ -85,14 +86,14 @@
     /// The worker's incarnation: it begins at 1 and increments each time that the worker's lease
     /// expires, when the worker kills and forgets all of its tasks.
     #[serde(rename = "watch")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// The sequence number. Of two heartbeats, the one with the larger (incarnation, sequence) is
     /// the newer.
     #[serde(rename = "log_no")]
-    pub sequence: u64,
+    pub sequence: HeartbeatSequence,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "helm")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Seconds until the cloud reclaims the machine, if it has given notice.
     #[serde(default, rename = "recall_s")]
     pub notice_s: Option<f64>,
@@ -151,7 +152,7 @@
 pub struct HeartbeatResponse {
     /// The fencing token of the sender; a worker drops what bears a lower token than it has seen.
     #[serde(rename = "helm")]
-    pub token: u64,
+    pub token: FencingToken,
     /// The commands, carried out in order.
     #[serde(rename = "signals")]
     pub commands: Vec<Command>,
@@ -162,10 +163,10 @@
 pub struct CommandBatch {
     /// The fencing token of the sender; a worker drops what bears a lower token than it has seen.
     #[serde(rename = "helm")]
-    pub token: u64,
+    pub token: FencingToken,
     /// The incarnation of the worker that the commands are meant for; another one rejects them.
     #[serde(rename = "watch")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// The commands, carried out in order.
     #[serde(rename = "signals")]
     pub commands: Vec<Command>,
--- a/src/service/call_router.rs
+++ b/src/service/call_router.rs
@@ -26,7 +26,7 @@
     pub(super) fn route_call(&self, call: ApiRequest, respond: Responder) {
         match call {
             ApiRequest::Heartbeat(body) => {
-                self.enqueue_heartbeat(body, HeartbeatSource::Worker, respond)
+                self.enqueue_heartbeat(body, HeartbeatSource::Worker, respond);
             }
             call => self.requests.enqueue(RequestTask::from_user(call, respond)),
         }
@@ -40,7 +40,7 @@
                 self.requests.enqueue(RequestTask::from_peer(call, respond));
             }
             PeerRequest::Heartbeat(body) => {
-                self.enqueue_heartbeat(body, HeartbeatSource::Peer, respond)
+                self.enqueue_heartbeat(body, HeartbeatSource::Peer, respond);
             }
             PeerRequest::ReceivesHeartbeats => {
                 let message = Message::ReceivesHeartbeats { respond };
--- a/src/service/controller/cancellations.rs
+++ b/src/service/controller/cancellations.rs
@@ -3,6 +3,7 @@
 use super::Controller;
 use crate::coordination::cluster::cancellation_evidence::{CancellationEvidence, PeerAnswer};
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::protocol::job::JobState;
 use crate::storage::cancellation_log::{CancellationLog, Cursor};
 use crate::transport::peers::Peers;
@@ -92,7 +93,7 @@
     }
 
     /// All changes of open jobs up to some revision have been applied.
-    pub(super) fn apply_records_read(&mut self, token: u64, sent_at: Time) {
+    pub(super) fn apply_records_read(&mut self, token: FencingToken, sent_at: Time) {
         let manager = self.role.manager_mut();
         if manager.is_some_and(|manager| manager.first_token() == token) {
             self.cancellations.evidence.records_read(sent_at);
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -3,7 +3,8 @@
 use super::{Controller, Role};
 use crate::coordination::cluster::Effect;
 use crate::coordination::election::ElectionRequest;
-use crate::coordination::state::Name;
+use crate::coordination::state::JobId;
+use crate::protocol::ids::FencingToken;
 use crate::service::io_thread_pool::CloudCall;
 use std::sync::atomic::Ordering;
 
@@ -15,12 +16,12 @@
             Effect::SendCommands {
                 machine,
                 endpoint,
-                commands: orders,
-            } => io_threads.send_commands(machine, &endpoint, &orders),
+                commands,
+            } => io_threads.send_commands(machine, &endpoint, &commands),
             Effect::RentMachines(rent) => io_threads.call_cloud(CloudCall::Rent(rent)),
             Effect::ReturnMachines(names) => io_threads.call_cloud(CloudCall::Return(names)),
             Effect::RaiseToken => {
-                let term = self.term.load(Ordering::Relaxed);
+                let term = FencingToken(self.term.load(Ordering::Relaxed));
                 self.request_election(ElectionRequest::RaiseToken { term });
             }
             Effect::JobEnded { id, state } => self.recorded_ends.insert(&id, state),
@@ -29,7 +30,7 @@
     }
 
     /// Applies the ends that this node knows at once, and has the others read.
-    fn read_ends(&mut self, ids: Vec<Name>) {
+    fn read_ends(&mut self, ids: Vec<JobId>) {
         let now = self.now();
         let mut unknown = Vec::new();
         for id in ids {
--- a/src/service/controller/election_events.rs
+++ b/src/service/controller/election_events.rs
@@ -5,6 +5,7 @@
 use crate::coordination::election::{ElectionEvent, ElectionRequest};
 use crate::coordination::manager::ClusterManager;
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::service::clock::wall_ms;
 use crate::service::io_thread_pool::CloudCall;
 use crate::service::record_reader::RecordReader;
@@ -40,21 +41,21 @@
     }
 
     /// Begins a term by reading the records, or resigns at once if this node must not lead.
-    fn accept_election(&mut self, token: u64) {
+    fn accept_election(&mut self, token: FencingToken) {
         let must_withdraw = self.handles.write_fence.get().must_withdraw();
         // A lower token than promised: the term was over before this node learned of its election.
         if must_withdraw || token < self.promised_token {
             self.request_election(ElectionRequest::Resign { term: token });
             return;
         }
-        info!(token, "elected leader");
+        info!(%token, "elected leader");
         self.leader = Some(self.settings.name.clone());
         self.role = Role::Recovering {
             token,
             valid_until: self.now(),
         };
         self.discard_cancellation_evidence();
-        self.term.store(token, Ordering::Relaxed);
+        self.term.store(token.0, Ordering::Relaxed);
         self.load_records(token);
     }
 
@@ -67,7 +68,7 @@
     }
 
     /// Reads the records, then follows new jobs, for as long as this term lasts.
-    fn load_records(&self, token: u64) {
+    fn load_records(&self, token: FencingToken) {
         let reader = RecordReader {
             store: self.handles.store.clone(),
             inbox: self.handles.inbox.clone(),
@@ -83,7 +84,12 @@
     }
 
     /// Starts to lead with the records as read for this term.
-    pub(super) fn start_leading(&mut self, loaded_for: u64, records: Records, sent_at: Time) {
+    pub(super) fn start_leading(
+        &mut self,
+        loaded_for: FencingToken,
+        records: Records,
+        sent_at: Time,
+    ) {
         let now = self.now();
         let Role::Recovering { token, valid_until } = self.role else {
             return;
@@ -119,7 +125,7 @@
 
     /// Steps down, and lets another node be elected.
     pub(super) fn resign(&mut self) {
-        let term = self.term.load(Ordering::Relaxed);
+        let term = FencingToken(self.term.load(Ordering::Relaxed));
         self.step_down();
         self.request_election(ElectionRequest::Resign { term });
     }
--- a/src/service/controller/heartbeats.rs
+++ b/src/service/controller/heartbeats.rs
@@ -35,7 +35,7 @@
         (received.respond)(reply);
     }
 
-    /// Redirects a worker to the leader, or forwards its heartbeat if it may not reach the leader.
+    /// HeartbeatRouter a worker to the leader, or forwards its heartbeat if it may not reach the leader.
     fn redirect(&mut self, received: ReceivedHeartbeat) {
         let ReceivedHeartbeat {
             heartbeat,
@@ -50,12 +50,12 @@
             return respond(Reply::json(421, &LeaderRedirect { leader: None }));
         };
         let order = (heartbeat.incarnation, heartbeat.sequence);
-        match self.redirects.route(&heartbeat.machine, order, now) {
+        match self.heartbeat_router.route(&heartbeat.machine, order, now) {
             Route::Redirect => {
                 let leader = Some(leader);
                 respond(Reply::json(421, &LeaderRedirect { leader }));
             }
-            Route::PassOn => {
+            Route::Forward => {
                 let task = RequestTask::forward_heartbeat(leader, body, respond);
                 self.handles.requests.enqueue(task);
             }
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -20,9 +20,10 @@
 
 use super::io_thread_pool::CloudCall;
 use super::messages::Message;
-use crate::coordination::cluster::heartbeat_routing::Redirects;
+use crate::coordination::cluster::heartbeat_routing::HeartbeatRouter;
 use crate::coordination::Time;
 use crate::protocol::cloud::{MachineType, LIST_PAGE};
+use crate::protocol::ids::FencingToken;
 use crate::settings::Settings;
 use crate::storage::recent_jobs::EndIndex;
 use cancellations::KnownCancellations;
@@ -67,7 +68,7 @@
     recorded_ends: EndIndex,
     machine_types: Vec<MachineType>,
     /// The workers that were lately redirected to the leader.
-    redirects: Redirects,
+    heartbeat_router: HeartbeatRouter,
     last_tick_at: Time,
     /// When the machines were last listed.
     machines_listed_at: Time,
@@ -80,7 +81,7 @@
     /// Whether messages have piled up.
     is_backlogged: bool,
     /// The highest token that was promised to: lower ones never answer heartbeats here.
-    promised_token: u64,
+    promised_token: FencingToken,
     cancellations: KnownCancellations,
 }
 
@@ -95,14 +96,14 @@
             leader: None,
             recorded_ends: EndIndex::new((bytes / END_BYTES) as usize),
             machine_types: Vec::new(),
-            redirects: Redirects::new(&settings.cluster.workers),
+            heartbeat_router: HeartbeatRouter::new(&settings.cluster.workers),
             last_tick_at: 0.0,
             machines_listed_at: 0.0,
             requests_logged_at: 0.0,
             last_heartbeat_at: 0.0,
             is_probing_peers: false,
             is_backlogged: false,
-            promised_token: 0,
+            promised_token: FencingToken::default(),
             cancellations: KnownCancellations::new(&handles.peers, &handles.cancellation_log),
             handles,
             settings,
@@ -158,7 +159,7 @@
         let is_tick = now - self.last_tick_at >= TICK_S;
         if is_tick {
             self.last_tick_at = now;
-            self.redirects.forget_old(now);
+            self.heartbeat_router.forget_old(now);
             self.log_request_counts(now);
         }
         self.apply_own_cancellations();
--- a/src/service/controller/role.rs
+++ b/src/service/controller/role.rs
@@ -2,6 +2,7 @@
 
 use crate::coordination::manager::ClusterManager;
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 
 /// Whether this node leads.
 pub(super) enum Role {
@@ -10,7 +11,7 @@
     /// Elected, and reading the records.
     Recovering {
         /// The term's fencing token.
-        token: u64,
+        token: FencingToken,
         /// The end of the leadership lease.
         valid_until: Time,
     },
@@ -28,9 +29,9 @@
     }
 
     /// The highest fencing token that this node holds; 0 for a follower.
-    pub(super) fn token(&self) -> u64 {
+    pub(super) fn token(&self) -> FencingToken {
         match self {
-            Role::Follower => 0,
+            Role::Follower => FencingToken::default(),
             Role::Recovering { token, .. } => *token,
             Role::Leading(manager) => manager.token(),
         }
--- a/src/service/io_thread_pool/command_dispatcher.rs
+++ b/src/service/io_thread_pool/command_dispatcher.rs
@@ -1,7 +1,7 @@
 //! Sends commands directly to workers, and classifies their answers.
 
 use crate::coordination::cluster::CommandOutcome;
-use crate::coordination::state::Name;
+use crate::coordination::state::MachineName;
 use crate::protocol::worker::{CommandBatch, Heartbeat};
 use crate::service::messages::{IoOutcome, Message};
 use crate::settings::Settings;
@@ -41,7 +41,7 @@
         }
     }
 
-    pub(super) fn send(&self, machine: Name, endpoint: &str, commands: &CommandBatch) {
+    pub(super) fn send(&self, machine: MachineName, endpoint: &str, commands: &CommandBatch) {
         let inbox = self.inbox.clone();
         let body = serde_json::to_vec(commands).expect("serializing plain data cannot fail");
         let deliver_answer = move |answer| {
--- a/src/service/io_thread_pool/end_reader.rs
+++ b/src/service/io_thread_pool/end_reader.rs
@@ -1,6 +1,6 @@
 //! Reads the end records of jobs for the leader, at a limited rate.
 
-use crate::coordination::state::Name;
+use crate::coordination::state::JobId;
 use crate::service::messages::{IoOutcome, Message};
 use crate::service::threads::spawn;
 use crate::settings::Settings;
@@ -19,7 +19,7 @@
     settings: &Settings,
     store: &KeyValueStore,
     inbox: &Sender<Message>,
-) -> anyhow::Result<Sender<Vec<Name>>> {
+) -> anyhow::Result<Sender<Vec<JobId>>> {
     let (sender, batches) = bounded(QUEUE);
     let pause = Duration::from_secs_f64(1.0 / (REQUESTS_SHARE * settings.cluster.state.rps));
     let (store, inbox) = (store.clone(), inbox.clone());
@@ -29,7 +29,7 @@
 
 fn read_all(
     store: &KeyValueStore,
-    batches: &Receiver<Vec<Name>>,
+    batches: &Receiver<Vec<JobId>>,
     inbox: &Sender<Message>,
     pause: Duration,
 ) {
--- a/src/service/io_thread_pool/mod.rs
+++ b/src/service/io_thread_pool/mod.rs
@@ -10,7 +10,7 @@
 
 use super::messages::{IoOutcome, Message};
 use crate::coordination::cluster::WriteOutcome;
-use crate::coordination::state::Name;
+use crate::coordination::state::{JobId, MachineName};
 use crate::protocol::store::Transaction;
 use crate::protocol::worker::CommandBatch;
 use crate::settings::Settings;
@@ -28,7 +28,7 @@
     commands: CommandDispatcher,
     cloud_calls: Sender<CloudCall>,
     /// Jobs of which the end records are to be read.
-    end_reads: Sender<Vec<Name>>,
+    end_reads: Sender<Vec<JobId>>,
 }
 
 impl IoThreadPool {
@@ -64,12 +64,12 @@
     }
 
     /// Sends commands directly to a machine's worker.
-    pub fn send_commands(&self, machine: Name, endpoint: &str, commands: &CommandBatch) {
+    pub fn send_commands(&self, machine: MachineName, endpoint: &str, commands: &CommandBatch) {
         self.commands.send(machine, endpoint, commands);
     }
 
     /// Reads how jobs ended.
-    pub fn read_ends(&self, ids: Vec<Name>) {
+    pub fn read_ends(&self, ids: Vec<JobId>) {
         if let Err(TrySendError::Full(ids)) = self.end_reads.try_send(ids) {
             let ends = ids.into_iter().map(|id| (id, None)).collect();
             self.try_report(IoOutcome::EndsRead { ends });
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -35,9 +35,9 @@
         let now_isolated = is_isolated(&store, &peers, epoch);
         if now_isolated != isolated.swap(now_isolated, Ordering::Relaxed) {
             if now_isolated {
-                warn!("node isolated from the state service and all peers, reporting unhealthy")
+                warn!("node isolated from the state service and all peers, reporting unhealthy");
             } else {
-                info!("node no longer isolated, reporting healthy")
+                info!("node no longer isolated, reporting healthy");
             }
         }
     })?;
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -6,9 +6,10 @@
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
 use crate::coordination::election::ElectionEvent;
 use crate::coordination::requests::LocalJobView;
-use crate::coordination::state::Name;
+use crate::coordination::state::{JobId, MachineName};
 use crate::coordination::Time;
 use crate::protocol::cloud::{ListedMachine, MachineType};
+use crate::protocol::ids::FencingToken;
 use crate::protocol::job::JobState;
 use crate::protocol::worker::Heartbeat;
 use crate::storage::records::{EndRecord, OpenRecord};
@@ -49,7 +50,7 @@
     /// A new leader's reader has read all records.
     RecordsLoaded {
         /// The token of the term for which they were read.
-        token: u64,
+        token: FencingToken,
         /// The records.
         records: Records,
         /// When the read was sent.
@@ -58,7 +59,7 @@
     /// All changes of open jobs that were on record at `sent_at` have been enqueued before this.
     RecordsRead {
         /// The token of the term for which they were read.
-        token: u64,
+        token: FencingToken,
         /// When the request that brought the last of them was sent.
         sent_at: Time,
     },
@@ -76,14 +77,14 @@
     /// A new leader asks for the promise that no heartbeat is answered here with a lower token.
     PromiseRequested {
         /// The new leader's token.
-        token: u64,
+        token: FencingToken,
         /// Where the reply goes.
         respond: Responder,
     },
     /// All other controllers have given that promise to the leader of this term.
     PromisesCollected {
         /// The term's token.
-        token: u64,
+        token: FencingToken,
     },
     /// The outcome of a query of the cancellations that a peer has confirmed.
     PeerCancellations {
@@ -118,14 +119,14 @@
     /// How a worker has answered a batch of direct commands.
     CommandsAnswered {
         /// The worker's machine.
-        machine: Name,
+        machine: MachineName,
         /// What became of the commands.
         outcome: CommandOutcome,
     },
     /// The end records of jobs that were looked up.
     EndsRead {
         /// Each job's id and its end record, if there is one and it could be read.
-        ends: Vec<(Name, Option<EndRecord>)>,
+        ends: Vec<(JobId, Option<EndRecord>)>,
     },
     /// The outcome of a rental.
     MachinesRented {
--- a/src/service/peer_queries/promise_collector.rs
+++ b/src/service/peer_queries/promise_collector.rs
@@ -1,5 +1,6 @@
 //! Collects the other controllers' promises for a new leader.
 
+use crate::protocol::ids::FencingToken;
 use crate::service::messages::Message;
 use crate::transport::peers::Peers;
 use crossbeam::channel::Sender;
@@ -18,7 +19,7 @@
     /// The present term; the collector ends with its own.
     pub term: Arc<AtomicU64>,
     /// The token of the term that it collects for.
-    pub token: u64,
+    pub token: FencingToken,
     /// The time between two rounds of requests.
     pub pause: Duration,
 }
@@ -27,7 +28,7 @@
     /// Asks until all have promised or the term is over.
     pub fn run(self) {
         let mut outstanding: Vec<&String> = self.peers.names().collect();
-        while self.term.load(Ordering::Relaxed) == self.token {
+        while self.term.load(Ordering::Relaxed) == self.token.0 {
             outstanding.retain(|name| {
                 let promised = self.peers.request_promise(name, self.token, 2 * self.pause);
                 promised != Some(true)
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -150,10 +150,10 @@
         if poll.from_peer {
             (poll.respond)(reply_to_user(Answer::RetryLater(
                 RetryReason::NoStateService,
-            )))
+            )));
         } else {
             self.requests
-                .enqueue(RequestTask::forward_poll(poll.poll.job, poll.respond))
+                .enqueue(RequestTask::forward_poll(poll.poll.job, poll.respond));
         }
     }
 
--- a/src/service/record_reader.rs
+++ b/src/service/record_reader.rs
@@ -3,6 +3,7 @@
 use super::messages::{AcceptedJob, Message};
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::Time;
+use crate::protocol::ids::FencingToken;
 use crate::protocol::store::Events;
 use crate::storage::key_value_store::{KeyValueStore, Unavailable};
 use crate::storage::records::{OpenRecord, COMPLETION_PREFIX, OPEN_PREFIX, PLACEMENT_PREFIX};
@@ -30,7 +31,7 @@
     /// The present term; the reader ends with its own.
     pub term: Arc<AtomicU64>,
     /// The token of the term that it reads for.
-    pub token: u64,
+    pub token: FencingToken,
     /// The zero of the controller's clock.
     pub epoch: Instant,
     /// The time between two heartbeats of a worker.
@@ -46,7 +47,7 @@
     }
 
     fn is_current(&self) -> bool {
-        self.term.load(Ordering::Relaxed) == self.token
+        self.term.load(Ordering::Relaxed) == self.token.0
     }
 
     fn now(&self) -> Time {
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -72,8 +72,10 @@
         format!("{}{path}", self.base_url)
     }
 
-    // `ureq::Error` carries the response; the size does not matter on this path.
-    #[allow(clippy::result_large_err)]
+    #[allow(
+        clippy::result_large_err,
+        reason = "`ureq::Error` carries the response, and its size does not matter on this path"
+    )]
     fn outcome(&self, result: Result<ureq::Response, ureq::Error>) -> Answer {
         match result {
             Ok(response) | Err(ureq::Error::Status(_, response)) => {
--- a/src/transport/peers/client.rs
+++ b/src/transport/peers/client.rs
@@ -3,6 +3,7 @@
 use super::wire::peer_client::PeerClient;
 use super::wire::{AskRequest, CancellationsRequest, HearsRequest, PromiseRequest, ReportRequest};
 use super::{server, ForwardedRequest, PeerHandler, CALL_TIMEOUT, CONNECT_TIMEOUT};
+use crate::protocol::ids::FencingToken;
 use crate::storage::cancellation_log::{CancellationLog, CancellationPage, Cursor};
 use crate::transport::runtime::Runtime;
 use crate::transport::Reply;
@@ -123,9 +124,14 @@
 
     /// Requests a promise to answer no heartbeat with a lower fencing token; `None` if there is no
     /// response.
-    pub fn request_promise(&self, name: &str, token: u64, timeout: Duration) -> Option<bool> {
+    pub fn request_promise(
+        &self,
+        name: &str,
+        token: FencingToken,
+        timeout: Duration,
+    ) -> Option<bool> {
         let mut client = self.client(name)?;
-        let request = PromiseRequest { token };
+        let request = PromiseRequest { token: token.0 };
         let reply = self.call(timeout, async move { client.promise(request).await })?;
         Some(reply.promised)
     }
--- a/src/transport/peers/mod.rs
+++ b/src/transport/peers/mod.rs
@@ -7,10 +7,17 @@
 mod server;
 
 use super::Responder;
+use crate::protocol::ids::FencingToken;
 use std::time::Duration;
 
 /// The generated messages, client and server of `proto/peer.proto`.
-#[allow(clippy::all, missing_docs, unreachable_pub)]
+#[allow(
+    clippy::all,
+    clippy::too_many_lines,
+    missing_docs,
+    unreachable_pub,
+    reason = "generated code"
+)]
 pub mod wire {
     tonic::include_proto!("stairstage.peer");
 }
@@ -37,7 +44,7 @@
     /// Promise to answer no heartbeat with a lower fencing token; 200 is the promise.
     Promise {
         /// The fencing token of the leader that requests it.
-        token: u64,
+        token: FencingToken,
     },
 }
 
--- a/src/transport/peers/server.rs
+++ b/src/transport/peers/server.rs
@@ -5,6 +5,7 @@
 use super::wire::{CancellationsReply, CancellationsRequest};
 use super::wire::{PromiseReply, PromiseRequest, ReportReply, ReportRequest};
 use super::{PeerHandler, PeerRequest, CALL_TIMEOUT, CONNECT_TIMEOUT, MAX_MESSAGE_BYTES};
+use crate::protocol::ids::FencingToken;
 use crate::storage::cancellation_log::{CancellationLog, Cursor};
 use crate::transport::runtime::Runtime;
 use crate::transport::Reply;
@@ -15,7 +16,7 @@
 use tracing::warn;
 
 /// A token that asks for no promise, but only whether the controller can be reached.
-pub(super) const NO_TOKEN: u64 = 0;
+pub(super) const NO_TOKEN: FencingToken = FencingToken(0);
 
 struct Service {
     handler: Arc<PeerHandler>,
@@ -108,7 +109,7 @@
         &self,
         request: Request<PromiseRequest>,
     ) -> Result<Response<PromiseReply>, Status> {
-        let token = request.into_inner().token;
+        let token = FencingToken(request.into_inner().token);
         let promised = match token {
             NO_TOKEN => false,
             token => self.handle(PeerRequest::Promise { token }).await?.status == 200,
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -6,6 +6,7 @@
     WRITTEN_KEY,
 };
 use stairstage::coordination::election::{ElectionEvent, ElectionRequest, Input, Operation, Step};
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::store::Transaction;
 use stairstage::storage::key_value_store::CommitOutcome;
 use stairstage::storage::records::LEADER_KEY;
@@ -17,7 +18,7 @@
             return;
         };
         if let Some(term) = process.term.take() {
-            let term = term.first_token;
+            let term = FencingToken(term.first_token);
             self.request(node, ElectionRequest::Resign { term });
         }
     }
@@ -29,7 +30,7 @@
         };
         if let Some(term) = process.term.as_mut().filter(|term| !term.raising) {
             term.raising = true;
-            let term = term.first_token;
+            let term = FencingToken(term.first_token);
             self.request(node, ElectionRequest::RaiseToken { term });
         }
     }
@@ -72,7 +73,7 @@
     /// Keeps the tokens that a process was elected with.
     pub(super) fn record_token(&mut self, id: ProcessId, event: &ElectionEvent) {
         let token = match event {
-            ElectionEvent::Elected { token } | ElectionEvent::TokenRaised(Some(token)) => *token,
+            ElectionEvent::Elected { token } | ElectionEvent::TokenRaised(Some(token)) => token.0,
             _ => return,
         };
         let name = &self.nodes[id.node].name;
@@ -149,19 +150,19 @@
         match (event, &mut process.term) {
             (ElectionEvent::Elected { token }, term) => {
                 *term = Some(ModelTerm {
-                    first_token: token,
-                    token,
+                    first_token: token.0,
+                    token: token.0,
                     valid_until: now,
                     raising: false,
                 });
                 self.elections += 1;
             }
             (ElectionEvent::LeaseExtended { valid_until }, Some(term)) => {
-                term.valid_until = valid_until
+                term.valid_until = valid_until;
             }
             (ElectionEvent::TokenRaised(token), Some(term)) => {
                 term.raising = false;
-                term.token = term.token.max(token.unwrap_or(0));
+                term.token = term.token.max(token.map_or(0, |token| token.0));
             }
             (ElectionEvent::Deposed, term) => *term = None,
             _ => {}
--- a/tests/common/full_fleet.rs
+++ b/tests/common/full_fleet.rs
@@ -128,7 +128,7 @@
         show(&effect);
         match effect {
             Effect::Write { id, .. } => {
-                manager.write_finished(id, WriteOutcome::Applied(100 + id), now)
+                manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
             }
             // Its answer shows nothing that is not known.
             Effect::SendCommands { machine, .. } => {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,8 +10,9 @@
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::Context;
-use stairstage::coordination::state::Name;
+use stairstage::coordination::state::JobId;
 use stairstage::protocol::cloud::MachineType;
+use stairstage::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use stairstage::protocol::job::JobSpec;
 use stairstage::protocol::store::{Compare, Page, Transaction, VersionedValue, WriteOperation};
 use stairstage::protocol::worker::{Cause, Command, Heartbeat, TaskState, TaskStatus};
@@ -106,7 +107,7 @@
 /// The manager of a leader whose tokens begin here, and whose lease never ends.
 pub(crate) fn manager_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
-    let mut manager = ClusterManager::new(settings, token, 0.0);
+    let mut manager = ClusterManager::new(settings, FencingToken(token), 0.0);
     manager.set_lease_valid_until(f64::INFINITY);
     manager.set_machine_types(vec![machine_type()]);
     manager
@@ -156,9 +157,9 @@
         kind: "m4".into(),
         zone: "z".into(),
         spot: false,
-        incarnation: 1,
-        sequence,
-        token,
+        incarnation: Incarnation(1),
+        sequence: HeartbeatSequence(sequence),
+        token: FencingToken(token),
         notice_s: None,
         tasks,
     }
@@ -208,7 +209,7 @@
 ) {
     each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, .. } => {
-            manager.write_finished(id, WriteOutcome::Applied(100 + id), now)
+            manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
         }
         effect => other(manager, effect),
     });
@@ -379,8 +380,8 @@
     }
 
     /// The recorded ends of jobs.
-    pub(crate) fn ends(&self, ids: &[Name]) -> Vec<(Name, Option<EndRecord>)> {
-        let end = |id: &Name| {
+    pub(crate) fn ends(&self, ids: &[JobId]) -> Vec<(JobId, Option<EndRecord>)> {
+        let end = |id: &JobId| {
             let (value, _) = self.values.get(&end_key(id))?;
             Some(serde_json::from_value(value.clone()).unwrap())
         };
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -11,6 +11,7 @@
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::{MachineType, Rent};
+use stairstage::protocol::ids::Incarnation;
 use stairstage::protocol::worker::{Command, TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
 
@@ -216,7 +217,7 @@
     now: f64,
 ) -> Vec<Command> {
     let mut heartbeat = worker_heartbeat("m-1", sequence, 1, tasks);
-    heartbeat.incarnation = 2;
+    heartbeat.incarnation = Incarnation(2);
     match manager.heartbeat(&heartbeat, now) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -298,9 +298,9 @@
     for (late, tenths) in (1..10).flat_map(|tenths| [(false, tenths), (true, tenths)]) {
         let (mut cluster, leader) = cluster_with_leader();
         if !late {
-            cluster.lose_responses(leader, LEASE / 8)
+            cluster.lose_responses(leader, LEASE / 8);
         } else {
-            cluster.delay_commits(leader, LEASE / 8)
+            cluster.delay_commits(leader, LEASE / 8);
         }
         let token = cluster.valid_token(leader);
         cluster.raise_token(leader);
@@ -372,9 +372,9 @@
         cluster.slow_controller(leader, 3 * LEASE);
         cluster.run_for(2 * LEASE + SECOND / 2);
         if !asks_for_token {
-            cluster.resign(leader)
+            cluster.resign(leader);
         } else {
-            cluster.raise_token(leader)
+            cluster.raise_token(leader);
         }
         cluster.run_for(SECOND);
         for _ in 0..40 {
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -6,10 +6,11 @@
     answered, carry_out, each_effect, heartbeat, launched, manager, manager_with_token,
     out_of_reach, parsed, shown, starts, submission, submit, worker_heartbeat, AttemptId,
 };
-use stairstage::coordination::cluster::heartbeat_routing::{Redirects, Route};
+use stairstage::coordination::cluster::heartbeat_routing::{HeartbeatRouter, Route};
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::{ListedMachine, MachineState};
+use stairstage::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::WriteOperation;
 use stairstage::protocol::worker::{Cause, Command, TaskState};
@@ -161,7 +162,7 @@
     manager.step(9.0);
     let raises = |e: &Effect| matches!(e, Effect::RaiseToken);
     assert!(manager.take_effects().iter().any(raises));
-    manager.token_raised(Some(2), 9.0);
+    manager.token_raised(Some(FencingToken(2)), 9.0);
     answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 10.0);
     answered(&mut manager, &worker_heartbeat("m-1", 5, 2, vec![]), 10.5);
     assert_eq!(manager.status("req-1").unwrap().running, 0);
@@ -180,7 +181,7 @@
     assert_eq!(launched(&mut manager, 0.5).len(), 4);
     // An earlier process of that machine had come to its second incarnation, under an earlier leader.
     let mut copy = worker_heartbeat("m-1", 9, 3, vec![]);
-    copy.incarnation = 2;
+    copy.incarnation = Incarnation(2);
     assert_eq!(manager.heartbeat(&copy, 1.0), HeartbeatOutcome::Stale);
     answered(&mut manager, &worker_heartbeat("m-2", 1, 5, vec![]), 1.0);
     assert!(
@@ -202,15 +203,18 @@
 
 #[test]
 fn a_copy_of_a_report_is_no_worker_that_comes_back() {
-    let mut redirects = Redirects::new(&workers_with_lease(30.0));
-    let mut route = |sequence, now| redirects.route("m-1", (1, sequence), now);
+    let mut redirects = HeartbeatRouter::new(&workers_with_lease(30.0));
+    let mut route = |sequence, now| {
+        let heartbeat = (Incarnation(1), HeartbeatSequence(sequence));
+        redirects.route("m-1", heartbeat, now)
+    };
     assert_eq!(route(5, 0.0), Route::Redirect);
     for _ in 0..5 {
         assert_eq!(route(5, 1.0), Route::Redirect);
         assert_eq!(route(3, 1.0), Route::Redirect);
     }
     assert_eq!(route(6, 2.0), Route::Redirect);
-    assert_eq!(route(7, 3.0), Route::PassOn);
+    assert_eq!(route(7, 3.0), Route::Forward);
     // Much later it is a worker like any other.
     assert_eq!(route(8, 20.0), Route::Redirect);
 }
@@ -218,14 +222,17 @@
 /// It may have come because it does not reach the leader, and has lost half of its lease there.
 #[test]
 fn the_first_report_of_a_worker_with_a_short_lease_is_passed_on() {
-    let mut redirects = Redirects::new(&workers_with_lease(10.0));
-    let mut route = |sequence, now| redirects.route("m-1", (1, sequence), now);
-    assert_eq!(route(5, 0.0), Route::PassOn);
+    let mut redirects = HeartbeatRouter::new(&workers_with_lease(10.0));
+    let mut route = |sequence, now| {
+        let heartbeat = (Incarnation(1), HeartbeatSequence(sequence));
+        redirects.route("m-1", heartbeat, now)
+    };
+    assert_eq!(route(5, 0.0), Route::Forward);
     assert_eq!(route(6, 2.0), Route::Redirect);
     // Neither the leader nor a new try within its patience: it comes back, and does not get through.
-    assert_eq!(route(7, 8.0), Route::PassOn);
-    assert_eq!(route(8, 10.0), Route::PassOn);
-    assert_eq!(route(9, 40.0), Route::PassOn);
+    assert_eq!(route(7, 8.0), Route::Forward);
+    assert_eq!(route(8, 10.0), Route::Forward);
+    assert_eq!(route(9, 40.0), Route::Forward);
     assert_eq!(route(10, 42.0), Route::Redirect);
 }
 
@@ -351,7 +358,7 @@
                     _ => on_first.extend(starts(&batch.commands)),
                 }
                 let mut after = worker_heartbeat(&machine, 1000 + number, 1, vec![]);
-                after.incarnation = 1 + second as u64 / 12;
+                after.incarnation = Incarnation(1 + second as u64 / 12);
                 let result = match machine.as_ref() {
                     "m-2" => CommandOutcome::Executed(after),
                     _ => CommandOutcome::NotSent,
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -4,7 +4,7 @@
 use super::worker::{Worker, CPUS};
 use super::world::World;
 use serde_json::json;
-use stairstage::coordination::state::Name;
+use stairstage::coordination::state::JobId;
 use stairstage::protocol::job::{JobSpec, JobState};
 use stairstage::storage::records::end_key;
 use std::collections::BTreeMap;
@@ -170,7 +170,7 @@
     }
 
     /// A user is told how a job ended.
-    pub(crate) fn told(&mut self, id: &Name, state: JobState) {
+    pub(crate) fn told(&mut self, id: &JobId, state: JobState) {
         let job = self.jobs.get_mut(&**id).expect("an accepted job");
         let before = job.told.replace(state);
         assert!(before.is_none_or(|b| b == state), "went_back: {id}");
--- a/tests/histories/combinations/cancellations.rs
+++ b/tests/histories/combinations/cancellations.rs
@@ -35,9 +35,9 @@
             world.run_busy(6.0);
             world.cancel_some(0.2);
             if world.chance(0.5) {
-                world.end_leader()
+                world.end_leader();
             } else {
-                world.isolate_leader(LEADER_LEASE_S)
+                world.isolate_leader(LEADER_LEASE_S);
             }
             for _ in 0..4 {
                 world.run_busy(0.5);
@@ -110,9 +110,9 @@
     for_each_seed(SEEDS, |world| {
         cancelled.set(cancelled.get() + cancel_as_the_leader_is_refused(world));
         if world.chance(0.5) {
-            world.isolate_leader(0.0)
+            world.isolate_leader(0.0);
         } else {
-            world.peers.restart(0)
+            world.peers.restart(0);
         }
         let incarnations = world.incarnations();
         outage_longer_than_a_cancellation(world, |world| world.isolate_leader(0.0));
--- a/tests/histories/combinations/leaders.rs
+++ b/tests/histories/combinations/leaders.rs
@@ -158,9 +158,9 @@
             for _ in 0..3 {
                 let i = world.some_worker();
                 if world.chance(0.5) {
-                    world.workers[i].partitioned = true
+                    world.workers[i].partitioned = true;
                 } else {
-                    world.workers[i].inbound_lost = true
+                    world.workers[i].inbound_lost = true;
                 }
             }
             world.cloud_is_down = world.chance(0.5);
@@ -191,17 +191,17 @@
             for _ in 0..2 {
                 let i = world.some_worker();
                 if world.chance(0.5) {
-                    world.workers[i].partitioned = true
+                    world.workers[i].partitioned = true;
                 } else {
-                    world.workers[i].hung = true
+                    world.workers[i].hung = true;
                 }
             }
             world.cloud_is_down = world.chance(0.5);
             world.cancel_some(0.2);
             if world.chance(0.5) {
-                world.replace_leader()
+                world.replace_leader();
             } else {
-                world.change_leader(1.0)
+                world.change_leader(1.0);
             }
             world.cancel_some(0.1);
             let away_s = world.between(3.0, 18.0);
--- a/tests/histories/combinations/machines.rs
+++ b/tests/histories/combinations/machines.rs
@@ -34,9 +34,9 @@
             world.run_busy(5.0);
             let i = world.some_worker();
             if world.chance(0.5) {
-                world.workers[i].die()
+                world.workers[i].die();
             } else {
-                world.workers[i].partitioned = true
+                world.workers[i].partitioned = true;
             }
             world.run_busy(3.0);
             if world.chance(0.3) {
--- a/tests/histories/combinations/messages.rs
+++ b/tests/histories/combinations/messages.rs
@@ -56,9 +56,9 @@
             world.run_busy(3.0);
             // The machines of one zone, or all, lose their lease: copies come from earlier incarnations and attempts.
             if world.chance(0.5) {
-                world.cut_zone("y", false)
+                world.cut_zone("y", false);
             } else {
-                world.workers.iter_mut().for_each(|w| w.partitioned = true)
+                world.workers.iter_mut().for_each(|w| w.partitioned = true);
             }
             world.run_busy(14.0);
             world.reconnect_all();
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -7,6 +7,7 @@
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::protocol::cloud::Rent;
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::{CommandBatch, Heartbeat};
 use stairstage::storage::records::LEADER_KEY;
@@ -30,7 +31,7 @@
         let fits = w.accepts(batch);
         let mut started = Vec::new();
         if fits {
-            w.token = batch.token;
+            w.token = batch.token.0;
             started = w.run(&batch.commands, now);
         }
         let heartbeat = w.heartbeat();
@@ -74,18 +75,20 @@
                     self.given_back(&names);
                 }
                 self.with_controller(from, |manager| {
-                    manager.machines_returned(&names, confirmed, now)
+                    manager.machines_returned(&names, confirmed, now);
                 });
             }
             Effect::RentMachines(rent) => {
                 let names = (!self.cloud_is_down).then(|| self.rent(&rent));
                 self.with_controller(from, |manager| {
-                    manager.machines_rented(&rent.request, names, now)
+                    manager.machines_rented(&rent.request, names, now);
                 });
             }
             Effect::RaiseToken => {
                 let token = self.raise_token(from);
-                self.with_controller(from, |manager| manager.token_raised(token, now));
+                self.with_controller(from, |manager| {
+                    manager.token_raised(token.map(FencingToken), now);
+                });
             }
             Effect::JobEnded { id, state } => self.told(&id, state),
             Effect::ReadEnds(ids) => {
@@ -110,7 +113,7 @@
     fn raise_token(&mut self, from: u64) -> Option<u64> {
         let leader = self.controller(from).filter(|l| l.reaches_store)?;
         let txn = Transaction::default()
-            .version(LEADER_KEY, leader.manager.token())
+            .version(LEADER_KEY, leader.manager.token().0)
             .put(LEADER_KEY, json!({"node": "a"}));
         self.store.commit(&txn).ok()
     }
@@ -121,7 +124,7 @@
         if !reaches_store {
             let now = self.now;
             return self.with_controller(from, |manager| {
-                manager.write_finished(id, WriteOutcome::Rejected, now)
+                manager.write_finished(id, WriteOutcome::Rejected, now);
             });
         }
         if self.network.is_some() {
@@ -166,7 +169,7 @@
         };
         let now = self.now;
         self.with_controller(from, |manager| {
-            manager.commands_answered(&machine.into(), result, now)
+            manager.commands_answered(&machine.into(), result, now);
         });
     }
 
@@ -235,7 +238,7 @@
         self.sent_heartbeats.push(heartbeat.clone());
         if let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&heartbeat, sent) {
             let w = &mut self.workers[i];
-            if !response_lost && !w.inbound_lost && answer.token >= w.token {
+            if !response_lost && !w.inbound_lost && answer.token.0 >= w.token {
                 let started = w.take(&answer, sent, sent);
                 assert!(
                     !to_former || started.is_empty(),
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -77,6 +77,6 @@
 
     /// Tokens of its leadership begin here; no other leadership has the same.
     pub(crate) fn id(&self) -> u64 {
-        self.manager.first_token()
+        self.manager.first_token().0
     }
 }
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -4,7 +4,7 @@
 use super::worker::RETRY_S;
 use super::world::World;
 use stairstage::coordination::cluster::{CommandOutcome, WriteOutcome};
-use stairstage::coordination::state::Name;
+use stairstage::coordination::state::MachineName;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::{CommandBatch, Heartbeat, HeartbeatResponse};
@@ -74,14 +74,14 @@
 #[derive(Debug)]
 pub(crate) enum Message {
     Command {
-        machine: Name,
+        machine: MachineName,
         batch: CommandBatch,
         /// Who still waits for its answer.
         answer_to: Option<u64>,
     },
     CommandAnswer {
         to: u64,
-        machine: Name,
+        machine: MachineName,
         result: CommandOutcome,
     },
     Heartbeat(Heartbeat),
@@ -223,10 +223,10 @@
         let now = self.now;
         match &mut self.network {
             Some(network) => {
-                network.announce(now, Message::JobsAccepted(Box::new(record), version))
+                network.announce(now, Message::JobsAccepted(Box::new(record), version));
             }
             None => {
-                self.announcement_arrives(|manager| manager.job_accepted(record, version, 0, now))
+                self.announcement_arrives(|manager| manager.job_accepted(record, version, 0, now));
             }
         }
     }
@@ -242,11 +242,11 @@
     }
 
     /// Sends direct commands; the way there, or back, may be interrupted.
-    pub(crate) fn send_commands(&mut self, from: u64, machine: &Name, batch: CommandBatch) {
+    pub(crate) fn send_commands(&mut self, from: u64, machine: &MachineName, batch: CommandBatch) {
         let now = self.now;
         let Some(i) = self.worker_named(machine) else {
             return self.with_controller(from, |manager| {
-                manager.commands_answered(machine, CommandOutcome::NotSent, now)
+                manager.commands_answered(machine, CommandOutcome::NotSent, now);
             });
         };
         let faults = self.net().faults;
@@ -278,7 +278,7 @@
             let result = self.execute_commands(i, &batch);
             if !response_lost {
                 return self.with_controller(from, |manager| {
-                    manager.commands_answered(machine, result, now)
+                    manager.commands_answered(machine, result, now);
                 });
             }
         }
@@ -337,7 +337,7 @@
         let now = self.now;
         if let Some(to) = answer {
             self.with_controller(to.leader, |manager| {
-                manager.write_finished(to.write, written, now)
+                manager.write_finished(to.write, written, now);
             });
         }
     }
@@ -365,7 +365,7 @@
                 machine,
                 result,
             } => self.with_controller(to, |manager| {
-                manager.commands_answered(&machine, result, now)
+                manager.commands_answered(&machine, result, now);
             }),
             Message::Heartbeat(heartbeat) => {
                 for leader in self.leader.iter_mut().chain(&mut self.former_leaders) {
@@ -394,14 +394,14 @@
             Message::NoWriteAnswer { to, transaction } => {
                 let written = self.store.reread(&transaction);
                 self.with_controller(to.leader, |manager| {
-                    manager.write_finished(to.write, written, now)
+                    manager.write_finished(to.write, written, now);
                 });
             }
             Message::JobsAccepted(record, version) => self.announcement_arrives(|manager| {
                 manager.job_accepted(*record, version, 0, now);
             }),
             Message::JobsEnded(id, state) => {
-                self.announcement_arrives(|manager| manager.job_end_recorded(&id, state, now))
+                self.announcement_arrives(|manager| manager.job_end_recorded(&id, state, now));
             }
         }
     }
@@ -417,7 +417,12 @@
     }
 
     /// Direct commands arrive, and are answered if somebody still waits.
-    fn command_arrives(&mut self, machine: &Name, batch: CommandBatch, answer_to: Option<u64>) {
+    fn command_arrives(
+        &mut self,
+        machine: &MachineName,
+        batch: CommandBatch,
+        answer_to: Option<u64>,
+    ) {
         let now = self.now;
         let i = self.worker_named(machine).expect("a machine");
         let w = &mut self.workers[i];
@@ -446,7 +451,7 @@
         let now = self.now;
         let w = &mut self.workers[i];
         w.awaited = None;
-        if answer.token < w.token {
+        if answer.token.0 < w.token {
             w.next_heartbeat_at = now + RETRY_S;
             return;
         }
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -214,7 +214,7 @@
         self.elect();
         if let (Some(heartbeat), Some(HeartbeatOutcome::Answer(answer))) = (heartbeat, heard) {
             let w = &mut self.workers[i];
-            let taken = answer.token >= w.token && heartbeat.incarnation == w.incarnation;
+            let taken = answer.token.0 >= w.token && heartbeat.incarnation.0 == w.incarnation;
             if taken && seconds < RESPONSE_TIMEOUT_S && !w.gone && !w.inbound_lost {
                 let started = w.take(&answer, sent, self.now);
                 self.check_starts(i, &started);
@@ -259,7 +259,7 @@
             Step::Partition { worker, on } => self.workers[worker as usize].partitioned = on,
             Step::LoseInbound { worker, on } => self.workers[worker as usize].inbound_lost = on,
             Step::LoseHeartbeats { worker, on } => {
-                self.workers[worker as usize].heartbeats_lost = on
+                self.workers[worker as usize].heartbeats_lost = on;
             }
             Step::Hang { worker, on: true } => self.workers[worker as usize].hung = true,
             Step::Hang { worker, on: false } => self.resume(worker as usize),
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -280,7 +280,7 @@
         let heartbeat = w.own_heartbeat(now);
         w.next_heartbeat_at = now + report_s * spread;
         let awaited = AwaitedResponse {
-            sequence: heartbeat.sequence,
+            sequence: heartbeat.sequence.0,
             sent: now,
         };
         let (inbound_lost, incarnation) = (w.inbound_lost, w.incarnation);
@@ -311,7 +311,7 @@
                 let message = super::network::Message::HeartbeatResponse {
                     machine: heartbeat.machine,
                     incarnation,
-                    sequence: heartbeat.sequence,
+                    sequence: heartbeat.sequence.0,
                     sent: now,
                     answer,
                 };
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -1,6 +1,7 @@
 //! A machine with its worker, as the protocol describes them.
 
 use super::common::AttemptId;
+use stairstage::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use stairstage::protocol::worker::{
     Cause, Command, CommandBatch, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
 };
@@ -137,14 +138,14 @@
 
     /// Takes a response to the heartbeat that it sent then; returns the tasks that started.
     pub(crate) fn take(&mut self, answer: &HeartbeatResponse, sent: f64, now: f64) -> Vec<String> {
-        self.token = answer.token;
+        self.token = answer.token.0;
         self.lease_renewed_at = sent;
         self.run(&answer.commands, now)
     }
 
     /// Whether it executes direct commands.
     pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
-        batch.token >= self.token && batch.incarnation == self.incarnation
+        batch.token.0 >= self.token && batch.incarnation.0 == self.incarnation
     }
 
     /// A heartbeat of its own; one that answers a direct command has a later number too.
@@ -162,9 +163,9 @@
             kind: self.kind.into(),
             zone: self.zone.into(),
             spot: self.spot,
-            incarnation: self.incarnation,
-            sequence: self.sequence,
-            token: self.token,
+            incarnation: Incarnation(self.incarnation),
+            sequence: HeartbeatSequence(self.sequence),
+            token: FencingToken(self.token),
             notice_s: None,
             tasks: self
                 .tasks
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -11,6 +11,7 @@
 use serde_json::{json, Value};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::cloud::MachineType;
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::{CommandBatch, Heartbeat};
@@ -99,7 +100,7 @@
         }
         let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
-        let mut manager = ClusterManager::new(self.settings.clone(), token, self.now);
+        let mut manager = ClusterManager::new(self.settings.clone(), FencingToken(token), self.now);
         manager.set_machine_types(self.types.clone());
         manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), 0, self.now);
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -15,6 +15,7 @@
 use serde_json::json;
 use stairstage::coordination::cluster::recovery::Records;
 use stairstage::coordination::cluster::{CommandOutcome, Effect};
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::store::VersionedValue;
 use stairstage::protocol::worker::{Cause, TaskState};
 use stairstage::service::cloud_client::CloudClient;
@@ -263,7 +264,7 @@
         store: StoreClient::new(address, 1),
         inbox,
         term: term.clone(),
-        token: 1,
+        token: FencingToken(1),
         epoch: Instant::now(),
         report_interval: Duration::from_secs(1),
     };
@@ -272,7 +273,7 @@
     for message in &messages {
         match message {
             Message::RecordsLoaded { records, .. } => {
-                assert_eq!(records.open.len(), LARGEST as usize)
+                assert_eq!(records.open.len(), LARGEST as usize);
             }
             Message::JobsAccepted { jobs } => opened = Some(jobs),
             Message::RecordsRead { .. } => break,
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -9,6 +9,7 @@
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::job::{JobSpec, JobState};
 use stairstage::protocol::store::{Transaction, WriteOperation};
 use stairstage::protocol::worker::{Cause, TaskState};
@@ -125,7 +126,7 @@
             shown(std::slice::from_ref(id), state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(show).collect();
-        let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token(), tasks);
+        let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token().0, tasks);
         let mut answer = self.manager.heartbeat(&heartbeat, now);
         if let stairstage::coordination::cluster::HeartbeatOutcome::Answer(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
@@ -302,7 +303,7 @@
     let text = SETTINGS.replace("{ name = \"t\" }", guaranteed);
     let settings = stairstage::settings::Settings::parse("test", &text).unwrap();
     let mut leader = Leader::new();
-    leader.manager = ClusterManager::new(settings.into(), 1, 0.0);
+    leader.manager = ClusterManager::new(settings.into(), FencingToken(1), 0.0);
     leader.manager.set_lease_valid_until(f64::INFINITY);
     leader.manager.set_machine_types(vec![machine_type()]);
     leader.heartbeat(1, &[], 0.0);
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -7,6 +7,7 @@
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
+use stairstage::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use stairstage::protocol::worker::{Cause, Command, Heartbeat, TaskState};
 use stairstage::storage::records::OpenRecord;
 use std::collections::{BTreeMap, BTreeSet};
@@ -136,8 +137,8 @@
             kind: "m4".into(),
             zone: "z".into(),
             spot: false,
-            incarnation: 1,
-            sequence: self.seqs[machine],
+            incarnation: Incarnation(1),
+            sequence: HeartbeatSequence(self.seqs[machine]),
             token: self.manager.token(),
             notice_s: None,
             tasks,
@@ -192,14 +193,14 @@
             Effect::ReadEnds(_) => {}
             // The fleet stays as it is.
             Effect::ReturnMachines(names) => {
-                self.manager.machines_returned(&names, false, self.now)
+                self.manager.machines_returned(&names, false, self.now);
             }
             Effect::RentMachines(rent) => {
                 self.manager
-                    .machines_rented(&rent.request, Some(Vec::new()), self.now)
+                    .machines_rented(&rent.request, Some(Vec::new()), self.now);
             }
             Effect::RaiseToken => {
-                let token = self.manager.token() + 1;
+                let token = FencingToken(self.manager.token().0 + 1);
                 self.manager.token_raised(Some(token), self.now);
             }
             Effect::JobEnded { id, .. } => {
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -6,6 +6,7 @@
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::CommandBatch;
 use stairstage::storage::records::LEADER_KEY;
@@ -30,7 +31,7 @@
     pub(crate) fn elect(&mut self) {
         let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
-        let mut manager = ClusterManager::new(self.settings.clone(), token, self.now);
+        let mut manager = ClusterManager::new(self.settings.clone(), FencingToken(token), self.now);
         manager.set_machine_types(self.types.clone());
         manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), self.wall_ms(), self.now);
@@ -65,7 +66,7 @@
                 self.store.reread(&write.transaction)
             };
             let leader = self.leader.as_mut();
-            if let Some(manager) = leader.filter(|c| c.first_token() == write.leader) {
+            if let Some(manager) = leader.filter(|c| c.first_token().0 == write.leader) {
                 manager.write_finished(write.id, result, now);
             }
         }
@@ -133,7 +134,7 @@
             }
             Effect::RaiseToken => {
                 let token = self.raise_token();
-                self.manager().token_raised(token, now);
+                self.manager().token_raised(token.map(FencingToken), now);
             }
             // Users are told by the record, which any node may read.
             Effect::JobEnded { .. } => {}
@@ -172,7 +173,7 @@
                 (given_up, false)
             }
         };
-        let leader = self.manager().first_token();
+        let leader = self.manager().first_token().0;
         self.pending.push(PendingWrite {
             at,
             leader,
@@ -193,7 +194,7 @@
         }
         let accepted = worker.accepts(batch);
         if accepted {
-            worker.token = batch.token;
+            worker.token = batch.token.0;
             self.execute(name, &batch.commands);
         }
         let heartbeat = self.workers.get_mut(name).unwrap().heartbeat();
@@ -213,7 +214,7 @@
             return None;
         }
         let txn = Transaction::default()
-            .version(LEADER_KEY, self.manager().token())
+            .version(LEADER_KEY, self.manager().token().0)
             .put(LEADER_KEY, json!({"node": "a"}));
         self.store.commit(&txn).ok()
     }
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -2,6 +2,7 @@
 
 use crate::common::AttemptId;
 use crate::workload::JobPlan;
+use stairstage::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use stairstage::protocol::job::parse_task;
 use stairstage::protocol::worker::{
     Cause, Command, CommandBatch, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
@@ -139,9 +140,9 @@
             kind: self.kind.clone(),
             zone: self.zone.clone(),
             spot: false,
-            incarnation: self.incarnation,
-            sequence: self.sequence,
-            token: self.token,
+            incarnation: Incarnation(self.incarnation),
+            sequence: HeartbeatSequence(self.sequence),
+            token: FencingToken(self.token),
             notice_s: None,
             tasks: tasks.collect(),
         }
@@ -149,17 +150,17 @@
 
     /// Takes a response to the heartbeat that it sent then, unless its token is outdated.
     pub(crate) fn accept_response(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
-        if answer.token < self.token {
+        if answer.token.0 < self.token {
             return false;
         }
-        self.token = answer.token;
+        self.token = answer.token.0;
         self.lease_renewed_at = sent;
         true
     }
 
     /// Whether it executes direct commands.
     pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
-        batch.token >= self.token && batch.incarnation == self.incarnation
+        batch.token.0 >= self.token && batch.incarnation.0 == self.incarnation
     }
 
     /// If its lease is over, it has killed and forgotten every task.
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -42,7 +42,7 @@
         for effect in std::mem::take(&mut effects) {
             match effect {
                 PollEffect::Store(call) => {
-                    effects.extend(batcher.on_answer(answer_of(store, call), now))
+                    effects.extend(batcher.on_answer(answer_of(store, call), now));
                 }
                 PollEffect::Answer(number, answer) => answers.push((number, answer.status())),
                 PollEffect::JobEndsRecorded(..) => {}
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -6,6 +6,7 @@
 use serde_json::json;
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::LocalJobView;
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::protocol::store::Transaction;
 use stairstage::storage::key_value_store::CommitOutcome;
@@ -62,7 +63,7 @@
         let record = json!({"node": name_of(node)});
         let transaction = Transaction::default().put(LEADER_KEY, record);
         let token = self.store.commit(&transaction).unwrap();
-        let mut manager = ClusterManager::new(self.settings.clone(), token, 0.0);
+        let mut manager = ClusterManager::new(self.settings.clone(), FencingToken(token), 0.0);
         manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), 0, 0.0);
         self.leader = Some(Leader {
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -161,7 +161,7 @@
                 RequestEffect::Store(call) => self.wait(key, Waiting::Store(call)),
                 RequestEffect::Forward(peer) => self.wait(key, Waiting::Peer(number_of(&peer))),
                 RequestEffect::JobAccepted { record, version } => {
-                    self.job_accepted(node, *record, version)
+                    self.job_accepted(node, *record, version);
                 }
                 RequestEffect::JobEndRecorded(state) => {
                     let job = self.running[&key].job.unwrap();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -9,6 +9,7 @@
 use common::{heartbeat_from, machine_type, parsed, shown, starts, submission, submit, SETTINGS};
 use stairstage::coordination::cluster::Effect;
 use stairstage::coordination::manager::ClusterManager;
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
 use stairstage::settings::Settings;
 use stairstage::storage::records::OpenRecord;
@@ -113,7 +114,7 @@
     let text = SETTINGS.replace("write_rps = 100.0", "write_rps = 5.0");
     let text = text.replace("value_kb = 16.0", "value_kb = 1.0");
     let settings = Arc::new(Settings::parse("test", &text).unwrap());
-    let mut manager = ClusterManager::new(settings, 1, 0.0);
+    let mut manager = ClusterManager::new(settings, FencingToken(1), 0.0);
     manager.set_lease_valid_until(f64::INFINITY);
     manager.set_machine_types(vec![machine_type()]);
     // Large enough that their ends cost next to nothing.
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -85,7 +85,7 @@
         for effect in manager.take_effects() {
             match effect {
                 Effect::Write { id, .. } => {
-                    manager.write_finished(id, WriteOutcome::Applied(200 + id), 1.0)
+                    manager.write_finished(id, WriteOutcome::Applied(200 + id), 1.0);
                 }
                 Effect::SendCommands {
                     commands: batch, ..
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -13,6 +13,7 @@
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::state::{AllocationId, Placement, PlacementRecord};
+use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::{Cause, TaskState};
@@ -43,7 +44,7 @@
     let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
     store.value_bytes = usize::MAX;
     let token = store.commit(&txn).unwrap();
-    let mut manager = ClusterManager::new(settings, token, now);
+    let mut manager = ClusterManager::new(settings, FencingToken(token), now);
     manager.set_machine_types(vec![machine_type()]);
     manager.set_lease_valid_until(f64::INFINITY);
     manager.recover(store.records(), 0, now);
@@ -65,7 +66,7 @@
             manager.write_finished(id, written, now);
         }
         Effect::SendCommands { machine, .. } => {
-            manager.commands_answered(&machine, CommandOutcome::Unknown, now)
+            manager.commands_answered(&machine, CommandOutcome::Unknown, now);
         }
         _ => {}
     });
@@ -74,7 +75,7 @@
 /// So many machines report for the first time, with nothing on them.
 fn hear(manager: &mut ClusterManager, machines: usize, now: f64) {
     for i in 0..machines {
-        let heartbeat = worker_heartbeat(&format!("m-{i}"), 1, manager.token(), vec![]);
+        let heartbeat = worker_heartbeat(&format!("m-{i}"), 1, manager.token().0, vec![]);
         manager.heartbeat(&heartbeat, now);
     }
 }
