--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -7,7 +7,7 @@
     SETTINGS,
 };
 use serde_json::json;
-use stairstage::coordination::cluster::{Effect as CoreEffect, WriteOutcome};
+use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::coordination::requests::{
     Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
@@ -73,7 +73,7 @@
         .take_effects()
         .into_iter()
         .find_map(|effect| match effect {
-            CoreEffect::Write { id, transaction } => Some((id, transaction)),
+            Effect::Write { id, transaction } => Some((id, transaction)),
             _ => None,
         })
 }
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -170,7 +170,7 @@
     }
 
     /// A user is told how a job ended.
-    pub(crate) fn told(&mut self, id: &Name, state: JobState) {
+    pub(crate) fn check_told_end(&mut self, id: &Name, state: JobState) {
         let job = self.jobs.get_mut(&**id).expect("an accepted job");
         let before = job.told.replace(state);
         assert!(before.is_none_or(|b| b == state), "went_back: {id}");
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -71,7 +71,7 @@
             Effect::ReturnMachines(names) => {
                 let confirmed = !self.cloud_is_down;
                 if confirmed {
-                    self.given_back(&names);
+                    self.take_back(&names);
                 }
                 self.with_controller(from, |manager| {
                     manager.machines_returned(&names, confirmed, now)
@@ -87,7 +87,7 @@
                 let token = self.raise_token(from);
                 self.with_controller(from, |manager| manager.token_raised(token, now));
             }
-            Effect::JobEnded { id, state } => self.told(&id, state),
+            Effect::JobEnded { id, state } => self.check_told_end(&id, state),
             Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
                 self.with_controller(from, |manager| manager.ends_found(ends, now));
@@ -184,7 +184,7 @@
     }
 
     /// The cloud has carried out a return.
-    pub(crate) fn given_back(&mut self, names: &[String]) {
+    pub(crate) fn take_back(&mut self, names: &[String]) {
         let returned = |w: &&mut Worker| names.contains(&w.name) && !w.gone;
         for w in self.workers.iter_mut().filter(returned) {
             w.die();
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -237,7 +237,7 @@
                         self.deliver(worker, &batch);
                     }
                 }
-                Effect::ReturnMachines(names) => self.given_back(&names),
+                Effect::ReturnMachines(names) => self.take_back(&names),
                 _ => {}
             }
         }
--- a/tests/silent_machines.rs
+++ b/tests/silent_machines.rs
@@ -111,7 +111,11 @@
 
 /// Carries effects out; direct commands go unanswered by some machines, and wait at the others.
 /// Returns which machines were sent any.
-fn some_mute(manager: &mut ClusterManager, mute: std::ops::Range<u64>, now: f64) -> Vec<String> {
+fn some_silent(
+    manager: &mut ClusterManager,
+    silent: std::ops::Range<u64>,
+    now: f64,
+) -> Vec<String> {
     let mut commanded = Vec::new();
     carry_out(manager, now, |manager, effect| {
         if let Effect::SendCommands {
@@ -123,7 +127,7 @@
             if !batch.commands.is_empty() {
                 commanded.push(machine.to_string());
             }
-            if mute.clone().any(|i| *machine == machine_name(i)) {
+            if silent.clone().any(|i| *machine == machine_name(i)) {
                 manager.commands_answered(&machine, CommandOutcome::Unknown, now);
             }
         }
@@ -143,7 +147,7 @@
         if reporting.contains(&number) {
             manager.heartbeat(&heartbeat, step as f64 / 20.0);
         }
-        some_mute(manager, 0..20, step as f64 / 20.0);
+        some_silent(manager, 0..20, step as f64 / 20.0);
     };
     for step in 20..120 {
         beat(&mut manager, step, 0..40);
@@ -154,7 +158,7 @@
         beat(&mut manager, step, 20..40);
     }
     submit(&mut manager, "req-900", "standing", "critical", None, 900);
-    let gone_to = some_mute(&mut manager, 0..20, 8.2);
+    let gone_to = some_silent(&mut manager, 0..20, 8.2);
     assert!(!gone_to.is_empty());
     let fallen: Vec<_> = (0..20).map(machine_name).collect();
     assert!(gone_to.iter().all(|m| !fallen.contains(m)), "{gone_to:?}");
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -72,7 +72,7 @@
 }
 
 /// So many machines report for the first time, with nothing on them.
-fn hear(manager: &mut ClusterManager, machines: usize, now: f64) {
+fn receive_first_heartbeats(manager: &mut ClusterManager, machines: usize, now: f64) {
     for i in 0..machines {
         let heartbeat = worker_heartbeat(&format!("m-{i}"), 1, manager.token(), vec![]);
         manager.heartbeat(&heartbeat, now);
@@ -172,7 +172,7 @@
         // A leader with large records places everything.
         let mut now = 0.0;
         let mut manager = leader(&mut store, 16.0, now);
-        hear(&mut manager, 9, now);
+        receive_first_heartbeats(&mut manager, 9, now);
         work(&mut manager, &mut store, now, usize::MAX);
         let placed = places(&store);
         prop_assert_eq!(placed.len(), 36);
@@ -196,7 +196,7 @@
     let mut store = unbounded();
     accept(&mut store, "req-1", 36);
     let mut manager = leader(&mut store, 16.0, 0.0);
-    hear(&mut manager, 9, 0.0);
+    receive_first_heartbeats(&mut manager, 9, 0.0);
     work(&mut manager, &mut store, 0.0, usize::MAX);
     let mut manager = leader(&mut store, 0.25, 0.0);
     for second in 0..60 {
@@ -213,7 +213,7 @@
     accept(&mut store, "req-1", 36);
     accept(&mut store, "req-2", 1);
     let mut manager = leader(&mut store, 16.0, 0.0);
-    hear(&mut manager, 10, 0.0);
+    receive_first_heartbeats(&mut manager, 10, 0.0);
     // It takes far less than the settings say, of now and of later.
     (store.value_bytes, store.txn_ops) = (300, 2);
     let mut launched = BTreeSet::new();
