--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -72,7 +72,7 @@
             Effect::ReturnMachines(names) => {
                 let confirmed = !self.cloud_is_down;
                 if confirmed {
-                    self.given_back(&names);
+                    self.take_back(&names);
                 }
                 self.with_controller(from, |manager| {
                     manager.machines_returned(&names, confirmed, now);
@@ -90,7 +90,7 @@
                     manager.token_raised(token.map(FencingToken), now);
                 });
             }
-            Effect::JobEnded { id, state } => self.told(&id, state),
+            Effect::JobEnded { id, state } => self.check_told_end(&id, state),
             Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
                 self.with_controller(from, |manager| manager.ends_found(ends, now));
@@ -187,7 +187,7 @@
     }
 
     /// The cloud has carried out a return.
-    pub(crate) fn given_back(&mut self, names: &[String]) {
+    pub(crate) fn take_back(&mut self, names: &[String]) {
         let returned = |w: &&mut Worker| names.contains(&w.name) && !w.gone;
         for w in self.workers.iter_mut().filter(returned) {
             w.die();
