--- a/src/coordination/scheduling/head_reservation.rs
+++ b/src/coordination/scheduling/head_reservation.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 use tracing::debug;
 
-/// The first job that found no room, and its reservation: sought only when another job has found
+/// The first job that found no room, and its reservation: computed only when another job has found
 /// room, as on a full cluster it would hold nobody up and cost the most of a cycle.
 #[derive(Default)]
 pub(super) struct HeadReservation<'a> {
     blocked: Vec<&'a Job>,
-    /// For how many of them a reservation was sought.
-    sought: usize,
+    /// For how many of them a reservation was computed.
+    tried: usize,
     found: Option<Reservation>,
 }
 
@@ -24,9 +24,9 @@
 
     /// The reservation of the first blocked job that can have one.
     pub(super) fn get(&mut self, cycle: &SchedulingCycle) -> Option<&mut Reservation> {
-        while self.found.is_none() && self.sought < self.blocked.len() {
-            self.found = reservation(cycle, self.blocked[self.sought]);
-            self.sought += 1;
+        while self.found.is_none() && self.tried < self.blocked.len() {
+            self.found = reservation(cycle, self.blocked[self.tried]);
+            self.tried += 1;
         }
         self.found.as_mut()
     }
