--- a/src/service/call_router.rs
+++ b/src/service/call_router.rs
@@ -1,5 +1,5 @@
-//! Routes the calls that reach the front and the port for peers: heartbeats and peers' queries to the
-//! controller, users' requests to the gateways.
+//! Routes the requests that the API server and the peer server receive: heartbeats and peers' queries to
+//! the controller actor, users' requests to the gateways.
 
 use super::messages::{Message, ReceivedHeartbeat};
 use super::replies::busy;
@@ -12,17 +12,17 @@
 use crossbeam::channel::{Sender, TrySendError};
 use tracing::warn;
 
-/// Enqueues calls where they are served, and never waits.
+/// Enqueues each request for the actor that serves it, without blocking.
 #[derive(Clone)]
 pub(super) struct CallRouter {
-    /// The controller's inbox.
+    /// The controller actor's inbox.
     pub(super) inbox: Sender<Message>,
     /// The gateways' queue.
     pub(super) requests: RequestQueue,
 }
 
 impl CallRouter {
-    /// Routes a call of a user or a worker.
+    /// Routes a request of a user or a worker.
     pub(super) fn route_call(&self, call: ApiRequest, respond: Responder) {
         match call {
             ApiRequest::Heartbeat(body) => {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Routes a call of another controller.
+    /// Routes a request of another controller.
     pub(super) fn route_peer_call(&self, call: PeerRequest, respond: Responder) {
         match call {
             PeerRequest::UserRequest { kind, job, body } => {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Enqueues a worker's heartbeat for the controller, or answers at once when its inbox is full.
+    /// Enqueues a worker's heartbeat for the controller actor, or rejects the request if the inbox is full.
     fn enqueue_heartbeat(&self, body: Vec<u8>, source: HeartbeatSource, respond: Responder) {
         let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
-                warn!(%error, "heartbeat unreadable");
-                return respond(Reply::error(400, "the report cannot be read"));
+                warn!(%error, "cannot decode a heartbeat");
+                return respond(Reply::error(400, "cannot decode the heartbeat"));
             }
         };
         let message = Message::Heartbeat(ReceivedHeartbeat {
@@ -78,7 +78,7 @@
     }
 }
 
-/// A user's request as another controller has forwarded it.
+/// Converts a request that another controller has forwarded.
 fn forwarded_call(kind: Kind, job: String, body: Vec<u8>) -> ApiRequest {
     match kind {
         Kind::Submit => ApiRequest::Submit(body),
--- a/src/service/cloud_client.rs
+++ b/src/service/cloud_client.rs
@@ -1,4 +1,4 @@
-//! A client of the cloud: rentals, returns, lists of machines, and the machine types.
+//! The client of the cloud API: renting, returning and listing machines, and listing machine types.
 
 use crate::protocol::cloud::{
     ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, Rent, LIST_PAGE,
@@ -10,26 +10,26 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// Connections of one client.
+/// Connections of each client.
 const CONNECTIONS: usize = 3;
-/// How long the cloud may take to answer one request.
+/// The timeout of one request.
 const TIMEOUT: Duration = Duration::from_secs(4);
-/// How many times a call is made before it has failed.
+/// Attempts at a call before it fails.
 const MAX_ATTEMPTS: u32 = 6;
-/// The pause after the first failed attempt; each further pause is longer by as much.
+/// The pause after the first failed attempt. Each further pause is longer by the same amount.
 const BACKOFF: Duration = Duration::from_millis(300);
-/// Bytes of one page of a list, far above the 500 machines that it may hold.
+/// The maximum size of one page of a list, far above that of the 500 machines that a page may contain.
 const MAX_PAGE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// A client of the cloud. Its calls block until they are answered or have failed for good.
+/// A client of the cloud. Its calls block until the cloud answers or all attempts have failed.
 pub struct CloudClient {
     client: Client,
-    /// The time between two calls at the cloud's rate.
+    /// The time between two calls at the cloud's rate limit.
     call_interval: Duration,
 }
 
 impl CloudClient {
-    /// A client of the cloud that the settings name.
+    /// A client of the cloud at the endpoint in the settings.
     pub fn new(settings: &Settings) -> CloudClient {
         CloudClient {
             client: Client::new(settings.endpoints.cloud, CONNECTIONS, MAX_PAGE_BYTES),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Rents machines and returns their names, none if the cloud refuses. `None` when it gave no
-    /// answer. The same request may be repeated: it rents only once.
+    /// Rents machines and returns their names, none if the cloud rejects the rental; `None` if it gave no
+    /// answer. A rental is idempotent: repeating it with the same request id rents no more machines.
     pub(super) fn rent(&self, rent: &Rent) -> Option<Vec<String>> {
         for attempt in 0..MAX_ATTEMPTS {
             match self.client.post("/machines", rent, TIMEOUT) {
@@ -53,17 +53,17 @@
                 }
                 Answer::Response(400, body) => {
                     let reason = String::from_utf8_lossy(&body);
-                    warn!(request = %rent.request, %reason, "rental refused");
+                    warn!(request = %rent.request, %reason, "cloud rejected a rental");
                     return Some(Vec::new());
                 }
-                answer => debug!(request = %rent.request, ?answer, "rental unanswered"),
+                answer => debug!(request = %rent.request, ?answer, "attempt at a rental failed"),
             }
             back_off(attempt);
         }
         None
     }
 
-    /// Returns machines; whether the cloud has confirmed it.
+    /// Returns machines to the cloud; `true` if the cloud has confirmed it.
     pub(super) fn return_machines(&self, names: &[String]) -> bool {
         let body = json!({"fleet": names});
         for attempt in 0..MAX_ATTEMPTS {
@@ -76,9 +76,8 @@
         false
     }
 
-    /// Lists all machines, page by page; `None` when the cloud gave no answer. A page that is one call
-    /// too many for the cloud's rate is asked for again: a large fleet has more pages than may come at
-    /// once.
+    /// Lists all machines, page by page; `None` if the cloud gave no answer. A call that exceeds the
+    /// cloud's rate limit is retried: a large fleet has more pages than the limit allows in one burst.
     pub fn list(&self) -> Option<Vec<ListedMachine>> {
         let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
@@ -104,14 +103,14 @@
         None
     }
 
-    /// The machine types that the cloud offers now; `None` when it gave no answer.
+    /// The machine types that the cloud currently offers; `None` if it gave no answer.
     pub(super) fn machine_types(&self) -> Option<Vec<MachineType>> {
         let answer = self.client.get("/machine_types", TIMEOUT);
         answer.ok::<MachineTypes>().map(|answer| answer.types)
     }
 }
 
-/// Waits longer after each further attempt.
+/// Sleeps longer after each further attempt.
 fn back_off(attempt: u32) {
     std::thread::sleep(BACKOFF * (attempt + 1));
 }
--- a/src/service/controller/cancellations.rs
+++ b/src/service/controller/cancellations.rs
@@ -1,4 +1,4 @@
-//! Learns of the cancellations that this process and the other controllers have confirmed.
+//! Applies the cancellations that this process and the other controllers have confirmed.
 
 use super::Controller;
 use crate::coordination::cluster::cancellation_evidence::{CancellationEvidence, PeerAnswer};
@@ -9,21 +9,21 @@
 use crate::transport::peers::Peers;
 use tracing::warn;
 
-/// Queries of each other controller in a heartbeat interval.
+/// Queries to each peer in a heartbeat interval.
 const QUERIES_PER_HEARTBEAT: f64 = 4.0;
 
-/// How far this node knows the cancellations that users were told of.
+/// How far this controller knows the cancellations that were confirmed to users.
 pub(super) struct KnownCancellations {
     /// The evidence by which workers' leases may be renewed.
     pub(super) evidence: CancellationEvidence,
-    /// Up to where the log of this process has been applied.
+    /// The position in this process's log up to which it has been applied.
     own_cursor: Cursor,
     /// When the other controllers were last queried.
     peers_queried_at: Time,
 }
 
 impl KnownCancellations {
-    /// Without evidence, from the end of the log on.
+    /// Starts without evidence, at the end of the log.
     pub(super) fn new(peers: &Peers, log: &CancellationLog) -> KnownCancellations {
         KnownCancellations {
             evidence: CancellationEvidence::new(peers.names()),
@@ -34,8 +34,8 @@
 }
 
 impl Controller {
-    /// Applies the cancellations that this process has confirmed meanwhile. While the records are
-    /// being read they are left for the manager to come.
+    /// Applies the cancellations that this process has confirmed since the last call. While a new leader
+    /// reads the records they stay in the log, as its manager does not exist yet.
     pub(super) fn apply_own_cancellations(&mut self) {
         if self.role.is_recovering() {
             return;
@@ -48,7 +48,7 @@
                 self.discard_cancellation_evidence();
             }
             for job in &page.jobs {
-                self.apply_job_end(job, JobState::Cancelled);
+                self.apply_final_state(job, JobState::Cancelled);
             }
             self.cancellations.own_cursor = page.cursor;
             if page.complete {
@@ -57,11 +57,13 @@
         }
     }
 
+    /// Discards the evidence: leases may be renewed again once there is new evidence.
     pub(super) fn discard_cancellation_evidence(&mut self) {
         self.cancellations.evidence = CancellationEvidence::new(self.handles.peers.names());
     }
 
-    /// A leader queries the other controllers for the cancellations that they have confirmed.
+    /// Queries the other controllers periodically for the cancellations that they have confirmed, if this
+    /// controller leads.
     pub(super) fn query_peer_cancellations(&mut self, now: Time) {
         let pause_s = self.settings.cluster.workers.report_s / QUERIES_PER_HEARTBEAT;
         if !self.role.is_leading() || now - self.cancellations.peers_queried_at < pause_s {
@@ -75,16 +77,16 @@
 
     fn query_cancellations_of(&self, peer: &str) {
         let cursor = self.cancellations.evidence.cursor(peer);
-        self.handles.cancellation_queries.ask(peer, cursor);
+        self.handles.cancellation_queries.query(peer, cursor);
     }
 
-    /// Applies a peer's answer, and asks for more of it.
+    /// Applies a peer's answer, and queries for the next page if there is one.
     pub(super) fn apply_peer_cancellations(&mut self, peer: &str, answer: Option<PeerAnswer>) {
         let Some(answer) = answer else {
             return;
         };
         for job in &answer.page.jobs {
-            self.apply_job_end(job, JobState::Cancelled);
+            self.apply_final_state(job, JobState::Cancelled);
         }
         self.cancellations.evidence.peer_answered(&answer);
         if self.role.is_leading() && !answer.page.complete {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// All changes of open jobs up to some revision have been applied.
+    /// The record reader has caught up: all changes of open jobs recorded by `sent_at` have been applied.
     pub(super) fn apply_records_read(&mut self, token: FencingToken, sent_at: Time) {
         let manager = self.role.manager_mut();
         if manager.is_some_and(|manager| manager.first_token() == token) {
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -1,4 +1,4 @@
-//! Executes what the cluster's manager decides.
+//! Executes the effects that the cluster manager decides on.
 
 use super::{Controller, Role};
 use crate::coordination::cluster::Effect;
@@ -24,21 +24,21 @@
                 let term = FencingToken(self.term.load(Ordering::Relaxed));
                 self.request_election(ElectionRequest::RaiseToken { term });
             }
-            Effect::JobEnded { id, state } => self.recorded_ends.insert(&id, state),
-            Effect::ReadEnds(ids) => self.read_ends(ids),
+            Effect::JobEnded { id, state } => self.final_states.insert(&id, state),
+            Effect::ReadEnds(ids) => self.read_final_states(ids),
         }
     }
 
-    /// Applies the ends that this node knows at once, and has the others read.
-    fn read_ends(&mut self, ids: Vec<JobId>) {
+    /// Applies the final states that this controller remembers, and enqueues reads of the others.
+    fn read_final_states(&mut self, ids: Vec<JobId>) {
         let now = self.now();
         let mut unknown = Vec::new();
         for id in ids {
-            match (self.recorded_ends.get(&id).copied(), &mut self.role) {
+            match (self.final_states.get(&id).copied(), &mut self.role) {
                 (Some(state), Role::Leading(manager)) => manager.job_end_recorded(&id, state, now),
                 _ => unknown.push(id),
             }
         }
-        self.handles.io_threads.read_ends(unknown);
+        self.handles.io_threads.read_final_states(unknown);
     }
 }
--- a/src/service/controller/election_events.rs
+++ b/src/service/controller/election_events.rs
@@ -1,4 +1,4 @@
-//! How the controller becomes the leader, and how it resigns.
+//! How the controller becomes the leader and steps down.
 
 use super::{Controller, Role};
 use crate::coordination::cluster::recovery::Records;
@@ -34,16 +34,16 @@
             }
             ElectionEvent::Deposed => {
                 if !self.role.is_follower() {
-                    self.step_down();
+                    self.become_follower();
                 }
             }
         }
     }
 
-    /// Begins a term by reading the records, or resigns at once if this node must not lead.
+    /// Begins a term by reading the records, or steps down immediately if this controller must not lead.
     fn accept_election(&mut self, token: FencingToken) {
         let must_withdraw = self.handles.write_fence.get().must_withdraw();
-        // A lower token than promised: the term was over before this node learned of its election.
+        // With a token below the promised one, a later term began before this election was observed.
         if must_withdraw || token < self.promised_token {
             self.request_election(ElectionRequest::Resign { term: token });
             return;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reads the records, then follows new jobs, for as long as this term lasts.
+    /// Starts the thread that reads the records and then follows open jobs until this term ends.
     fn load_records(&self, token: FencingToken) {
         let reader = RecordReader {
             store: self.handles.store.clone(),
@@ -75,15 +75,15 @@
             term: self.term.clone(),
             token,
             epoch: self.epoch,
-            report_interval: Duration::from_secs_f64(self.settings.cluster.workers.report_s),
+            heartbeat_interval: Duration::from_secs_f64(self.settings.cluster.workers.report_s),
         };
         if let Err(error) = spawn("records", move || reader.run()) {
-            warn!(error = %format_args!("{error:#}"), "record reader not started");
+            warn!(error = %format_args!("{error:#}"), "cannot start the record reader");
             self.request_election(ElectionRequest::Resign { term: token });
         }
     }
 
-    /// Starts to lead with the records as read for this term.
+    /// Starts to lead with the records that were read for this term.
     pub(super) fn start_leading(
         &mut self,
         loaded_for: FencingToken,
@@ -109,13 +109,13 @@
         self.collect_promises(token);
     }
 
-    /// Applies what the active cluster version, read anew, lets this controller do.
+    /// Applies a changed write fence. A leader that does not support the active cluster version steps down.
     pub(super) fn apply_write_fence(&mut self, write_fence: WriteFence) {
         if let Some(manager) = self.role.manager_mut() {
             manager.set_write_fence(write_fence);
         }
         if write_fence.must_withdraw() && !self.role.is_follower() {
-            self.resign();
+            self.step_down();
         }
     }
 
@@ -123,15 +123,15 @@
         let _ = self.handles.election_requests.try_send(request);
     }
 
-    /// Steps down, and lets another node be elected.
-    pub(super) fn resign(&mut self) {
+    /// Steps down and requests the same of the election, so that another controller can be elected.
+    pub(super) fn step_down(&mut self) {
         let term = FencingToken(self.term.load(Ordering::Relaxed));
-        self.step_down();
+        self.become_follower();
         self.request_election(ElectionRequest::Resign { term });
     }
 
-    /// Becomes a follower. The threads of the term end by themselves.
-    fn step_down(&mut self) {
+    /// Becomes a follower. The threads of the term stop when they see that it is over.
+    fn become_follower(&mut self) {
         info!("stepped down as leader");
         self.role = Role::Follower;
         self.term.store(0, Ordering::Relaxed);
--- a/src/service/controller/handles.rs
+++ b/src/service/controller/handles.rs
@@ -1,4 +1,4 @@
-//! What the controller works with.
+//! The controller actor's handles to the other actors.
 
 use crate::coordination::election::ElectionRequest;
 use crate::service::io_thread_pool::IoThreadPool;
@@ -11,23 +11,24 @@
 use crate::transport::peers::Peers;
 use crossbeam::channel::Sender;
 
-/// The ways from the controller to the other actors.
+/// The handles through which the controller actor uses the other actors.
 pub struct ControllerHandles {
-    /// The state service. The controller itself makes no call that waits; its threads do.
+    /// The client of the state service. The controller actor makes no blocking call itself: the threads
+    /// that it starts do.
     pub store: KeyValueStore,
     /// The other controllers.
     pub peers: Peers,
-    /// The controller's own inbox, for the threads that it starts.
+    /// The controller actor's inbox, for the threads that it starts.
     pub inbox: Sender<Message>,
     /// The gateways' queue, for heartbeats to be forwarded.
     pub requests: RequestQueue,
-    /// The election.
+    /// The queue of requests to the election.
     pub election_requests: Sender<ElectionRequest>,
-    /// The threads that wait for the state service, the workers and the cloud.
+    /// The threads that make blocking calls to the state service, the workers and the cloud.
     pub io_threads: IoThreadPool,
-    /// The cancellations that this process has confirmed.
+    /// The log of the cancellations that this process has confirmed.
     pub cancellation_log: CancellationLog,
-    /// The way to the cancellations that the other controllers have confirmed.
+    /// The threads that query the other controllers for the cancellations that they have confirmed.
     pub cancellation_queries: CancellationQueries,
     /// What this controller may write at the active cluster version.
     pub write_fence: SharedWriteFence,
--- a/src/service/controller/heartbeats.rs
+++ b/src/service/controller/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Answers workers' heartbeats, or routes them to the leader.
+//! Answers workers' heartbeats, or redirects or forwards them to the leader.
 
 use super::Controller;
 use crate::coordination::cluster::heartbeat_routing::Route;
@@ -11,8 +11,9 @@
 use crate::transport::Reply;
 
 impl Controller {
-    /// Answers a worker's heartbeat. An answer renews the worker's lease, so that none is given while
-    /// a confirmed cancellation may be unknown here for too long: see [`CancellationEvidence`].
+    /// Answers a worker's heartbeat. An answer renews the worker's lease, so the heartbeat is redirected
+    /// instead if this controller may have been unaware of a confirmed cancellation for too long: see
+    /// [`CancellationEvidence`].
     ///
     /// [`CancellationEvidence`]: crate::coordination::cluster::cancellation_evidence::CancellationEvidence
     pub(super) fn answer_heartbeat(&mut self, received: ReceivedHeartbeat) {
@@ -26,16 +27,16 @@
         let source = received.source;
         let reply = match manager.heartbeat_from(source, &received.heartbeat, now) {
             HeartbeatOutcome::Answer(answer) => {
-                self.note_heartbeat(source, now);
+                self.record_heartbeat_time(source, now);
                 Reply::json(200, &answer)
             }
-            HeartbeatOutcome::Stale => Reply::error(503, "an older report"),
+            HeartbeatOutcome::Stale => Reply::error(503, "stale heartbeat"),
             HeartbeatOutcome::Deposed => Reply::json(421, &LeaderRedirect { leader: None }),
         };
         (received.respond)(reply);
     }
 
-    /// HeartbeatRouter a worker to the leader, or forwards its heartbeat if it may not reach the leader.
+    /// Redirects a worker to the leader, or forwards its heartbeat if the worker may not reach the leader.
     fn redirect(&mut self, received: ReceivedHeartbeat) {
         let ReceivedHeartbeat {
             heartbeat,
@@ -44,7 +45,7 @@
             respond,
         } = received;
         let now = self.now();
-        self.note_heartbeat(source, now);
+        self.record_heartbeat_time(source, now);
         let leader = self.other_leader();
         let Some(leader) = leader.filter(|_| source != HeartbeatSource::Peer) else {
             return respond(Reply::json(421, &LeaderRedirect { leader: None }));
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Remembers when a worker last reached this node itself.
-    fn note_heartbeat(&mut self, source: HeartbeatSource, now: Time) {
+    /// Records the time of a heartbeat that a worker sent directly to this controller.
+    fn record_heartbeat_time(&mut self, source: HeartbeatSource, now: Time) {
         if source == HeartbeatSource::Worker {
             self.last_heartbeat_at = now;
         }
--- a/src/service/controller/jobs.rs
+++ b/src/service/controller/jobs.rs
@@ -1,4 +1,4 @@
-//! What the controller knows of jobs: accepted, located, ended.
+//! What the controller knows about jobs, and how it learns of accepted and finished ones.
 
 use super::{Controller, Role};
 use crate::coordination::requests::LocalJobView;
@@ -7,10 +7,10 @@
 use crate::service::messages::AcceptedJob;
 
 impl Controller {
-    /// What is known of a job here, and who leads.
-    pub(super) fn locate(&mut self, id: &str) -> LocalJobView {
+    /// What this controller knows about a job, and who the leader is.
+    pub(super) fn local_job_view(&mut self, id: &str) -> LocalJobView {
         let now = self.now();
-        let mut status = self.recorded_ends.get(id).map(|&state| JobStatus {
+        let mut status = self.final_states.get(id).map(|&state| JobStatus {
             id: id.to_string(),
             state,
             done: 0,
@@ -23,7 +23,7 @@
                 status = manager.status(id);
             }
         }
-        // This may confirm the cancellation to a user: see `storage::cancellation_log`.
+        // The view may confirm the cancellation to a user: see `storage::cancellation_log`.
         if status
             .as_ref()
             .is_some_and(|s| s.state == JobState::Cancelled)
@@ -42,9 +42,9 @@
         let now = self.now();
         let wall = wall_ms();
         for AcceptedJob { record, version } in jobs {
-            let has_ended = self.recorded_ends.get(&record.spec.id).is_some();
-            // A watch that fell behind brings records of jobs that have ended already.
-            if has_ended && !record.cancelled {
+            let is_finished = self.final_states.get(&record.spec.id).is_some();
+            // A watch that lags behind returns records of jobs that are finished already.
+            if is_finished && !record.cancelled {
                 continue;
             }
             if let Some(manager) = self.role.manager_mut() {
@@ -53,10 +53,10 @@
         }
     }
 
-    /// Applies the end of a job that is on record.
-    pub(super) fn apply_job_end(&mut self, id: &str, state: JobState) {
+    /// Applies the recorded final state of a job.
+    pub(super) fn apply_final_state(&mut self, id: &str, state: JobState) {
         let now = self.now();
-        self.recorded_ends.insert(id, state);
+        self.final_states.insert(id, state);
         if let Some(manager) = self.role.manager_mut() {
             manager.job_end_recorded(id, state, now);
         }
--- a/src/service/controller/message_handler.rs
+++ b/src/service/controller/message_handler.rs
@@ -1,4 +1,4 @@
-//! Applies each message where it belongs.
+//! Dispatches each message to its handler.
 
 use super::Controller;
 use crate::protocol::cloud::MachineType;
@@ -10,18 +10,18 @@
             Message::Election(event) => self.handle_election_event(event),
             Message::Heartbeat(received) => self.answer_heartbeat(received),
             Message::WriteFence(write_fence) => self.apply_write_fence(write_fence),
-            Message::LocateJob { id, reply } => {
-                let _ = reply.try_send(self.locate(&id));
+            Message::ReadLocalView { id, reply } => {
+                let _ = reply.try_send(self.local_job_view(&id));
             }
             Message::JobsAccepted { jobs } => self.apply_accepted_jobs(jobs),
-            Message::JobsEnded { ends } => {
-                for (id, state) in ends {
-                    self.apply_job_end(&id, state);
+            Message::JobsFinished { final_states } => {
+                for (id, state) in final_states {
+                    self.apply_final_state(&id, state);
                 }
             }
-            Message::EndsRecorded { ends } => {
-                for (id, state) in ends {
-                    self.recorded_ends.insert(&id, state);
+            Message::FinalStatesObserved { final_states } => {
+                for (id, state) in final_states {
+                    self.final_states.insert(&id, state);
                 }
             }
             Message::RecordsLoaded {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Applies the outcome of an operation. It is lost on a node that leads no longer: the next
+    /// Applies the outcome of an operation. It is dropped if this controller does not lead any more: the next
     /// leader reads the records.
     fn apply_io_outcome(&mut self, outcome: IoOutcome) {
         let now = self.now();
@@ -54,7 +54,7 @@
             IoOutcome::CommandsAnswered { machine, outcome } => {
                 manager.commands_answered(&machine, outcome, now);
             }
-            IoOutcome::EndsRead { ends } => manager.ends_found(ends, now),
+            IoOutcome::FinalStatesRead { records } => manager.ends_found(records, now),
             IoOutcome::MachinesRented { request, machines } => {
                 manager.machines_rented(&request, machines, now);
             }
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -1,7 +1,7 @@
-//! The actor that owns the state of the cluster: a [`ClusterManager`] while this node leads.
+//! The controller actor, which owns the state of the cluster: a [`ClusterManager`] while this controller
+//! leads.
 //!
-//! It handles messages in batches and never waits for anything but its inbox: what waits runs on
-//! other threads.
+//! The actor handles messages in batches and blocks only on its inbox. Blocking calls run on other threads.
 //!
 //! [`ClusterManager`]: crate::coordination::manager::ClusterManager
 
@@ -34,67 +34,67 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// The share of the cloud's calls that lists of machines may take.
+/// The share of the cloud's rate limit that listing machines may use.
 const LIST_SHARE: f64 = 0.1;
-/// Messages that are handled before the manager decides again.
-const BATCH: usize = 64;
-/// How long the controller waits for a message before the manager decides again.
+/// The maximum number of further messages that are handled before the manager's next step.
+const MESSAGE_BATCH: usize = 64;
+/// How long the controller actor waits for a message before the manager's next step.
 const MAX_WAIT: Duration = Duration::from_millis(20);
 /// Seconds between two runs of periodic work.
 const TICK_S: f64 = 1.0;
-/// Seconds between two log lines about requests to the state service.
+/// Seconds between two log lines with the counts of requests to the state service.
 const REQUEST_LOG_INTERVAL_S: f64 = 10.0;
-/// The inbox is backlogged once more than its capacity divided by this waits.
+/// The inbox is backlogged when more messages wait than its capacity divided by this.
 const BACKLOG_DIVISOR: usize = 2;
-/// A backlog is over once no more than the capacity divided by this waits.
+/// A backlog is over when no more messages wait than the inbox's capacity divided by this.
 const BACKLOG_OVER_DIVISOR: usize = 4;
-/// Bytes that a remembered end takes.
-const END_BYTES: f64 = 200.0;
-/// The share of memory for remembered ends.
-const ENDS_MEMORY_SHARE: f64 = 0.1;
+/// The memory for one job's final state, in bytes.
+const FINAL_STATE_BYTES: f64 = 200.0;
+/// The share of the controller's memory limit that jobs' final states may take.
+const FINAL_STATES_MEMORY_SHARE: f64 = 0.1;
 
-/// One node's controller.
+/// The controller actor.
 pub struct Controller {
     settings: Arc<Settings>,
-    /// The zero of this node's clock.
+    /// The origin of this controller's times.
     epoch: Instant,
     handles: ControllerHandles,
     role: Role,
-    /// The token of the present term, 0 without one; the threads of other terms end.
+    /// The fencing token of the current term, 0 while not elected. Threads started for another term stop.
     term: Arc<AtomicU64>,
-    /// Who leads, as far as this node knows.
+    /// The leader, as far as this controller knows.
     leader: Option<String>,
-    /// How jobs have ended, as far as that is on record and remembered.
-    recorded_ends: EndIndex,
+    /// The recorded final states of the most recently finished jobs.
+    final_states: EndIndex,
     machine_types: Vec<MachineType>,
-    /// The workers that were lately redirected to the leader.
+    /// Which workers were recently redirected to the leader.
     heartbeat_router: HeartbeatRouter,
     last_tick_at: Time,
     /// When the machines were last listed.
     machines_listed_at: Time,
     /// When the requests to the state service were last logged.
     requests_logged_at: Time,
-    /// When a worker last sent a heartbeat to this node itself.
+    /// When a worker last sent a heartbeat directly to this controller.
     last_heartbeat_at: Time,
-    /// Whether peers are being asked because no worker sends heartbeats here.
+    /// Whether peers are being probed because this controller receives no heartbeats.
     is_probing_peers: bool,
-    /// Whether messages have piled up.
+    /// Whether the inbox is backlogged.
     is_backlogged: bool,
-    /// The highest token that was promised to: lower ones never answer heartbeats here.
+    /// The highest token of a given promise: this controller answers no heartbeat with a lower one.
     promised_token: FencingToken,
     cancellations: KnownCancellations,
 }
 
 impl Controller {
-    /// A follower that knows nothing yet; times are measured from `epoch`.
+    /// A follower without any state; times are measured from `epoch`.
     pub fn new(settings: Arc<Settings>, epoch: Instant, handles: ControllerHandles) -> Controller {
-        let bytes = settings.cluster.limits.ram_mb * 1e6 * ENDS_MEMORY_SHARE;
+        let bytes = settings.cluster.limits.ram_mb * 1e6 * FINAL_STATES_MEMORY_SHARE;
         Controller {
             epoch,
             role: Role::Follower,
             term: Arc::default(),
             leader: None,
-            recorded_ends: EndIndex::new((bytes / END_BYTES) as usize),
+            final_states: EndIndex::new((bytes / FINAL_STATE_BYTES) as usize),
             machine_types: Vec::new(),
             heartbeat_router: HeartbeatRouter::new(&settings.cluster.workers),
             last_tick_at: 0.0,
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Handles messages for as long as any can come.
+    /// Handles messages until all senders are gone.
     pub fn run(mut self, messages: Receiver<Message>) {
         loop {
             match messages.recv_timeout(MAX_WAIT) {
                 Ok(message) => {
                     self.handle_message(message);
-                    for message in messages.try_iter().take(BATCH) {
+                    for message in messages.try_iter().take(MESSAGE_BATCH) {
                         self.handle_message(message);
                     }
                 }
@@ -132,18 +132,18 @@
         self.epoch.elapsed().as_secs_f64()
     }
 
-    /// The leader, if it is another node.
+    /// The leader, if it is another controller.
     fn other_leader(&self) -> Option<String> {
         self.leader.clone().filter(|l| *l != self.settings.name)
     }
 
-    /// Logs once that messages pile up, until they are fewer again.
+    /// Logs a warning when the inbox becomes backlogged, once for each backlog.
     fn check_backlog(&mut self, messages: &Receiver<Message>) {
         let (waiting, capacity) = (messages.len(), messages.capacity().unwrap_or(usize::MAX));
         if waiting > capacity / BACKLOG_DIVISOR && !self.is_backlogged {
             warn!(
                 waiting,
-                capacity, "inbox backlogged: this node is overloaded"
+                capacity, "inbox backlogged: the controller is overloaded"
             );
         }
         let divisor = if self.is_backlogged {
@@ -170,7 +170,7 @@
         self.step_leader(now, is_tick);
     }
 
-    /// A leader's periodic work.
+    /// Does the leader's periodic work.
     fn tick_leader(&mut self, now: Time) {
         let Some(manager) = self.role.manager_mut() else {
             return;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Lets a leader's manager decide, and executes what it decides.
+    /// Runs a step of the leader's manager and executes its effects.
     fn step_leader(&mut self, now: Time, is_tick: bool) {
         let Some(manager) = self.role.manager_mut() else {
             return;
@@ -208,7 +208,7 @@
             self.execute(effect);
         }
         if is_deposed {
-            self.resign();
+            self.step_down();
         }
     }
 
@@ -221,7 +221,7 @@
     }
 }
 
-/// Seconds between two lists of all machines, which take a call for every page.
+/// Seconds between two listings of all machines. A listing takes one call for every page.
 fn list_pause_s(settings: &Settings, machines: usize) -> f64 {
     let cloud = &settings.cluster.cloud;
     let pages = 1.0 + (machines / LIST_PAGE) as f64;
--- a/src/service/controller/promises.rs
+++ b/src/service/controller/promises.rs
@@ -1,4 +1,4 @@
-//! The promise, as in Paxos, that no heartbeat is answered with a lower token than a new leader's.
+//! The promise, as in Paxos, to answer no heartbeat with a fencing token lower than a new leader's.
 
 use super::Controller;
 use crate::protocol::ids::FencingToken;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Rounds of requests for promises in a heartbeat interval.
+/// Rounds of promise requests in a heartbeat interval.
 const ROUNDS_PER_HEARTBEAT: f64 = 4.0;
 
 impl Controller {
-    /// Gives the promise unless this node holds a higher token. A later token than ours exists, so
-    /// that our leadership is over, whatever we know of it.
+    /// Gives the promise unless this controller holds a higher token. A leader that gives it also steps down:
+    /// a later term has begun, even if this controller's leadership lease still seems valid.
     pub(super) fn answer_promise(&mut self, token: FencingToken, respond: Responder) {
         let own_token = self.role.token();
         let is_promised = token >= own_token;
         self.promised_token = self.promised_token.max(token);
         if is_promised && own_token > FencingToken::default() {
-            self.resign();
+            self.step_down();
         }
         let status = if is_promised { 200 } else { 409 };
         respond(Reply::json(status, &()));
@@ -36,11 +36,11 @@
             pause: Duration::from_secs_f64(interval_s / ROUNDS_PER_HEARTBEAT),
         };
         if let Err(error) = spawn("promises", move || collector.run()) {
-            warn!(error = %format_args!("{error:#}"), "promise collector not started");
+            warn!(error = %format_args!("{error:#}"), "cannot start the promise collector");
         }
     }
 
-    /// All other controllers have given the promise to the leader of a term.
+    /// All other controllers have given the promise to this controller for a term.
     pub(super) fn apply_promises_collected(&mut self, token: FencingToken) {
         let now = self.now();
         let manager = self.role.manager_mut();
--- a/src/service/controller/role.rs
+++ b/src/service/controller/role.rs
@@ -1,26 +1,26 @@
-//! The controller's part in the cluster.
+//! The controller's role in the cluster.
 
 use crate::coordination::manager::ClusterManager;
 use crate::coordination::Time;
 use crate::protocol::ids::FencingToken;
 
-/// Whether this node leads.
+/// Whether this controller leads.
 pub(super) enum Role {
-    /// Another node leads, or none.
+    /// Another controller leads, or none does.
     Follower,
-    /// Elected, and reading the records.
+    /// This controller is elected and reads the records.
     Recovering {
         /// The term's fencing token.
         token: FencingToken,
-        /// The end of the leadership lease.
+        /// When the leadership lease expires.
         valid_until: Time,
     },
-    /// The leader. That its lease is still valid is checked by the manager.
+    /// This controller is the leader. The manager checks that the leadership lease is still valid.
     Leading(Box<ClusterManager>),
 }
 
 impl Role {
-    /// The manager of the cluster, while this node leads.
+    /// The manager of the cluster, while this controller leads.
     pub(super) fn manager_mut(&mut self) -> Option<&mut ClusterManager> {
         match self {
             Role::Leading(manager) => Some(manager),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The highest fencing token that this node holds; 0 for a follower.
+    /// The highest fencing token that this controller holds; 0 for a follower.
     pub(super) fn token(&self) -> FencingToken {
         match self {
             Role::Follower => FencingToken::default(),
--- a/src/service/election_driver.rs
+++ b/src/service/election_driver.rs
@@ -1,4 +1,4 @@
-//! The driver of an [`Election`]: carries out its operations on a thread of its own.
+//! The driver of an [`Election`]: executes its operations on a separate thread.
 
 use crate::coordination::election::{
     CurrentLeader, Election, ElectionEvent, ElectionRequest, Input, Operation,
@@ -12,32 +12,32 @@
 use stairstage_upgrade::fence::Refusal;
 use std::time::{Duration, Instant};
 
-/// The capacity of the queue of requests. The controller makes at most three in each term.
+/// The capacity of the request queue. The controller actor makes at most three requests in each term.
 const MAX_REQUESTS: usize = 16;
 
-/// The queue of the controller's requests to the election.
+/// Creates the queue of the controller actor's requests to the election.
 pub fn request_queue() -> (Sender<ElectionRequest>, Receiver<ElectionRequest>) {
     crossbeam::channel::bounded(MAX_REQUESTS)
 }
 
-/// An election with what it needs to run.
+/// An election, with the connections to the state service and the controller actor.
 pub struct ElectionDriver {
-    /// The state machine.
+    /// The state machine that is driven.
     pub election: Election,
-    /// The state service that holds the leader's record.
+    /// The client of the state service, which stores the leader record.
     pub store: KeyValueStore,
-    /// The zero of the clock that the controller compares the lease's end with.
+    /// The origin of the times by which the controller actor checks the leadership lease.
     pub epoch: Instant,
-    /// Reports an event to the controller.
+    /// Sends an event to the controller actor.
     pub notify: Box<dyn Fn(ElectionEvent) + Send>,
-    /// The controller's requests.
+    /// The controller actor's requests.
     pub requests: Receiver<ElectionRequest>,
     /// The write fence: a controller that must not write does not campaign.
     pub write_fence: SharedWriteFence,
 }
 
 impl ElectionDriver {
-    /// Runs the election until the controller has ended, or must not lead any more.
+    /// Runs the election until the controller actor has stopped or must not lead any more.
     pub fn run(mut self) {
         let mut step = self.election.start();
         loop {
@@ -55,14 +55,14 @@
         self.epoch.elapsed().as_secs_f64()
     }
 
-    /// Executes an operation. `None` if the controller has ended, or must not lead any more.
+    /// Executes an operation; `None` if the controller actor has stopped or must not lead any more.
     fn execute(&self, operation: Operation) -> Option<Input> {
         Some(match operation {
             Operation::Read { timeout } => Input::Read(self.read(timeout)),
             Operation::Watch { after, hold } => {
                 Input::Watched(self.store.watch(LEADER_KEY, after, hold))
             }
-            // Every campaign begins with a lease.
+            // Every campaign begins with the grant of a lease, so a failed check prevents it.
             Operation::Grant { life } => match self.write_fence.get().refusal() {
                 None => Input::Granted(self.store.grant(life)),
                 Some(Refusal::VersionUnread) => Input::Granted(Err(Unavailable)),
@@ -98,7 +98,7 @@
         }))
     }
 
-    /// Waits for that time or a request. `None` if the controller has ended.
+    /// Waits until a time or for a request; `None` if the controller actor has stopped.
     fn wait(&self, until: Time) -> Option<Input> {
         let deadline = self.epoch + Duration::from_secs_f64(until);
         match self.requests.recv_deadline(deadline) {
--- a/src/service/end_watch.rs
+++ b/src/service/final_state_watch.rs
@@ -1,5 +1,5 @@
-//! Watches the state service for recorded ends of jobs, on every node: so that users' polls of ended
-//! jobs cost neither the leader nor the state service anything.
+//! Watches the state service for the final states of jobs. Every controller does so, and can then answer
+//! users' polls of finished jobs without a request to the leader or to the state service.
 
 use super::messages::Message;
 use super::polls::PollQueue;
@@ -12,14 +12,14 @@
 use crossbeam::channel::Sender;
 use std::time::Duration;
 
-/// The share of the state service's requests that a node's watches of ends may take. A watch ends
-/// with the first change, so that they are paced.
+/// The share of the state service's request rate that this watch may use. A watch request returns at the
+/// first change, so there is a pause between two of them.
 const REQUESTS_SHARE: f64 = 0.005;
-/// How long a watch stays open without changes, in heartbeat intervals.
+/// How long a watch request waits for a change, in heartbeat intervals.
 const HOLD_HEARTBEATS: f64 = 1.0;
 
-/// Follows the end records for as long as the process lives.
-struct EndWatch {
+/// Watches the records of final states for the lifetime of the process.
+struct FinalStateWatch {
     store: KeyValueStore,
     controller: Sender<Message>,
     polls: PollQueue,
@@ -27,7 +27,7 @@
     hold: Duration,
 }
 
-/// Starts the watch on a thread of its own.
+/// Starts the watch on a new thread.
 ///
 /// # Errors
 ///
@@ -39,19 +39,19 @@
     polls: &PollQueue,
 ) -> anyhow::Result<()> {
     let cluster = &settings.cluster;
-    let watch = EndWatch {
+    let watch = FinalStateWatch {
         store: store.clone(),
         controller: controller.clone(),
         polls: polls.clone(),
         pause: Duration::from_secs_f64(1.0 / (REQUESTS_SHARE * cluster.state.rps)),
         hold: Duration::from_secs_f64(HOLD_HEARTBEATS * cluster.workers.report_s),
     };
-    spawn("ends", move || watch.run())
+    spawn("final-watch", move || watch.run())
 }
 
-impl EndWatch {
-    /// What is missed while the state service is not reached, or has left its history, is looked up
-    /// when a user asks.
+impl FinalStateWatch {
+    /// Changes are missed while the state service is unreachable, or when it no longer retains them. The
+    /// final states of those jobs are read when a user polls them.
     fn run(&self) {
         let mut after = None;
         loop {
@@ -67,8 +67,8 @@
         Ok(self.store.page(LEADER_KEY, None, 1)?.revision)
     }
 
-    /// Publishes the ends recorded after a revision. Returns the revision to go on from, unless the
-    /// given one has left the state service's history.
+    /// Publishes the final states recorded after a revision. Returns the revision to continue from, or
+    /// `None` if the state service no longer retains the changes since the given one.
     fn follow(&self, after: u64) -> Result<Option<u64>, Unavailable> {
         let Some(events) = self.store.watch(END_PREFIX, after, self.hold)? else {
             return Ok(None);
@@ -79,18 +79,24 @@
     }
 
     fn publish(&self, events: Events) {
-        let ends: Vec<(String, JobState)> = events.events.into_iter().filter_map(end_of).collect();
-        if ends.is_empty() {
+        let final_states: Vec<(String, JobState)> = events
+            .events
+            .into_iter()
+            .filter_map(final_state_of)
+            .collect();
+        if final_states.is_empty() {
             return;
         }
-        self.polls.jobs_ended(ends.clone());
-        let _ = self.controller.try_send(Message::EndsRecorded { ends });
+        self.polls.jobs_finished(final_states.clone());
+        let _ = self
+            .controller
+            .try_send(Message::FinalStatesObserved { final_states });
     }
 }
 
-/// The job and its final state, if the event writes a readable end record.
-fn end_of(event: Event) -> Option<(String, JobState)> {
+/// The job and its final state, if the event is the put of a record that can be decoded.
+fn final_state_of(event: Event) -> Option<(String, JobState)> {
     let job = event.put?.strip_prefix(END_PREFIX)?.to_string();
-    let end: EndRecord = serde_json::from_value(event.value).ok()?;
-    Some((job, end.state))
+    let record: EndRecord = serde_json::from_value(event.value).ok()?;
+    Some((job, record.state))
 }
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -1,9 +1,9 @@
-//! The threads that serve users' requests: each executes what [`requests`] decides.
+//! The threads that serve users' requests. Each executes the effects that [`requests`] decides on.
 //!
 //! [`requests`]: crate::coordination::requests
 
 use super::clock::wall_ms;
-use super::end_notifier::EndNotifier;
+use super::final_state_notifier::FinalStateNotifier;
 use super::messages::{AcceptedJob, Message};
 use super::polls::{PollQueue, UserPoll};
 use super::replies::{busy, reply_to_user};
@@ -27,33 +27,33 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// How long the leader, or this node's controller, may take to answer before a node goes on without
-/// it.
+/// How long a gateway waits for the leader, or for the controller actor of this process, before it
+/// continues without the answer.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Requests that take longer are logged.
+/// Requests that take longer than this are logged.
 const SLOW_REQUEST: Duration = Duration::from_millis(200);
 
-/// What the gateways' threads work with; each has a copy.
+/// The handles of a gateway to the other actors. Each gateway has a copy.
 #[derive(Clone)]
 pub struct GatewayHandles {
     /// The settings.
     pub settings: Arc<Settings>,
-    /// The state service.
+    /// The client of the state service.
     pub store: KeyValueStore,
     /// The other controllers.
     pub peers: Peers,
-    /// The controller's inbox.
+    /// The controller actor's inbox.
     pub controller: Sender<Message>,
-    /// The requests to serve.
+    /// The queue of requests to serve.
     pub tasks: Receiver<RequestTask>,
     /// The machine types against which submissions are validated.
     pub machine_types: Arc<SharedMachineTypes>,
-    /// The driver of the polls that the records answer.
+    /// The queue of polls that are answered from the records.
     pub polls: PollQueue,
     /// What this controller may write at the active cluster version.
     pub write_fence: SharedWriteFence,
-    /// Publishes ends before users are told of them.
-    pub end_notifier: EndNotifier,
+    /// Publishes final states before they are confirmed to users.
+    pub final_state_notifier: FinalStateNotifier,
 }
 
 /// One thread that serves requests.
@@ -62,15 +62,15 @@
     unresponsive_peers: UnresponsivePeers,
 }
 
-/// How the processing of a request has ended.
+/// The outcome of processing a request.
 enum Outcome {
     Reply(Reply),
-    /// The records decide.
+    /// The poll must be answered from the records.
     ReadRecords(Poll),
 }
 
 impl Gateway {
-    /// A gateway that has not yet found any peer unresponsive.
+    /// A gateway that knows of no unresponsive peers yet.
     pub fn new(handles: GatewayHandles) -> Gateway {
         Gateway {
             handles,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Serves requests for as long as any can come.
+    /// Serves requests until the queue is closed.
     pub fn run(self) {
         for task in &self.handles.tasks {
             match task.work {
@@ -93,10 +93,10 @@
         }
     }
 
-    /// Forwards a worker's heartbeat to the leader. While the leader cannot be reached, the worker
-    /// had better try another node.
+    /// Forwards a worker's heartbeat to the leader. If the leader is unreachable, the request is rejected
+    /// so that the worker tries another controller.
     fn forward_heartbeat(&self, leader: &str, body: Vec<u8>) -> Reply {
-        let unreachable = || Reply::unavailable("the leader is not reached");
+        let unreachable = || Reply::unavailable("the leader is unreachable");
         if self.unresponsive_peers.contains(leader) {
             return unreachable();
         }
@@ -110,12 +110,12 @@
         })
     }
 
-    /// Forwards a poll to another controller that can ask the state service.
+    /// Forwards a poll to another controller, which may be able to reach the state service.
     fn forward_poll(&self, job: String) -> Reply {
         let (request, effects) = Request::refused_query(job, self.context(false));
         match self.execute(request, effects, Kind::Query, &[]) {
             Outcome::Reply(reply) => reply,
-            // It would be refused again.
+            // This controller can't read the records: the poll was rejected for that reason before.
             Outcome::ReadRecords(_) => busy(),
         }
     }
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Executes a request's effects until it is answered; `kind` and `body` are what another
-    /// controller is sent when the request is forwarded.
+    /// Executes a request's effects until the request is answered. If it is forwarded, `kind` and `body`
+    /// are sent to the other controller.
     fn execute(
         &self,
         mut request: Request,
@@ -189,18 +189,20 @@
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             let event = match effect {
-                RequestEffect::ReadLocalView => RequestEvent::LocalView(self.locate(request.job())),
+                RequestEffect::ReadLocalView => {
+                    RequestEvent::LocalView(self.read_local_view(request.job()))
+                }
                 RequestEffect::Store(call) => {
                     RequestEvent::Store(execute_store_call(&self.handles.store, call))
                 }
                 RequestEffect::Forward(peer) => {
-                    let asked = ForwardedRequest {
+                    let forwarded = ForwardedRequest {
                         kind,
                         job: request.job(),
                         body,
                         waits: request.has_dependencies(),
                     };
-                    RequestEvent::Peer(self.ask_peer(&peer, &asked))
+                    RequestEvent::Peer(self.forward_to_peer(&peer, &forwarded))
                 }
                 RequestEffect::JobAccepted { record, version } => {
                     let record = *record;
@@ -208,8 +210,8 @@
                     continue;
                 }
                 RequestEffect::JobEndRecorded(state) => {
-                    let ends = vec![(request.job().to_string(), state)];
-                    self.handles.end_notifier.publish(ends);
+                    let final_states = vec![(request.job().to_string(), state)];
+                    self.handles.final_state_notifier.publish(final_states);
                     continue;
                 }
                 RequestEffect::ReadRecords(poll) => return Outcome::ReadRecords(poll),
@@ -217,7 +219,7 @@
             };
             effects.extend(request.on_event(event));
         }
-        // A request goes on until it is answered: only a fault of its own gets here.
+        // Unreachable unless the request logic has a defect: a request has effects until it is answered.
         Outcome::Reply(busy())
     }
 
@@ -230,28 +232,32 @@
         let _ = self.handles.controller.try_send(message);
     }
 
-    /// Asks this node's controller what it knows of a job; `None` when it has no room or takes too
-    /// long.
-    fn locate(&self, id: &str) -> Option<LocalJobView> {
-        let (reply, located) = bounded(1);
+    /// Asks the controller actor of this process what it knows about a job; `None` if its inbox is full
+    /// or it does not answer in time.
+    fn read_local_view(&self, id: &str) -> Option<LocalJobView> {
+        let (reply, view) = bounded(1);
         let id = id.to_string();
         self.handles
             .controller
-            .try_send(Message::LocateJob { id, reply })
+            .try_send(Message::ReadLocalView { id, reply })
             .ok()?;
-        located.recv_timeout(LEADER_TIMEOUT).ok()
+        view.recv_timeout(LEADER_TIMEOUT).ok()
     }
 
-    fn ask_peer(&self, peer: &str, asked: &ForwardedRequest) -> Option<PeerAnswer> {
+    fn forward_to_peer(&self, peer: &str, forwarded: &ForwardedRequest) -> Option<PeerAnswer> {
         if self.unresponsive_peers.contains(peer) {
             return None;
         }
         let Some(reply) = self
             .handles
             .peers
-            .forward_request(peer, asked, LEADER_TIMEOUT)
+            .forward_request(peer, forwarded, LEADER_TIMEOUT)
         else {
-            debug!(peer, job = asked.job, "forwarded request unanswered");
+            debug!(
+                peer,
+                job = forwarded.job,
+                "peer did not answer a forwarded request"
+            );
             self.unresponsive_peers.insert(peer);
             return None;
         };
--- a/src/service/io_thread_pool/cloud_caller.rs
+++ b/src/service/io_thread_pool/cloud_caller.rs
@@ -1,4 +1,4 @@
-//! Makes the leader's calls to the cloud.
+//! Makes the leader's calls to the cloud API.
 
 use crate::protocol::cloud::Rent;
 use crate::service::cloud_client::CloudClient;
@@ -7,10 +7,10 @@
 use crate::settings::Settings;
 use crossbeam::channel::{bounded, Receiver, Sender};
 
-/// Threads that call, each one call at a time.
+/// Threads that call the cloud. Each makes one call at a time.
 const CALLERS: usize = 3;
-/// Calls that may wait: a rental for each offer, and a return in each half second.
-const QUEUE: usize = 256;
+/// Calls that may wait in the queue: a rental of each offer, and a return every half second.
+const QUEUE_CAPACITY: usize = 256;
 
 /// A call to the cloud.
 pub enum CloudCall {
@@ -23,7 +23,7 @@
 }
 
 impl CloudCall {
-    /// The outcome of a call that was not made, or none if nobody waits for it.
+    /// The outcome of a call that could not be enqueued; `None` if its outcome is not awaited.
     pub(super) fn into_failure(self) -> Option<IoOutcome> {
         match self {
             CloudCall::Rent(rent) => Some(IoOutcome::MachinesRented {
@@ -39,12 +39,12 @@
     }
 }
 
-/// Starts the threads; returns their queue.
+/// Starts the threads and returns their queue.
 pub(super) fn start(
     settings: &Settings,
     inbox: &Sender<Message>,
 ) -> anyhow::Result<Sender<CloudCall>> {
-    let (sender, receiver) = bounded(QUEUE);
+    let (sender, receiver) = bounded(QUEUE_CAPACITY);
     for _ in 0..CALLERS {
         let cloud = CloudClient::new(settings);
         let (calls, inbox) = (receiver.clone(), inbox.clone());
--- a/src/service/io_thread_pool/command_dispatcher.rs
+++ b/src/service/io_thread_pool/command_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Sends commands directly to workers, and classifies their answers.
+//! Sends command batches directly to workers and classifies their answers.
 
 use crate::coordination::cluster::CommandOutcome;
 use crate::coordination::state::MachineName;
@@ -11,10 +11,10 @@
 use crossbeam::channel::Sender;
 use std::time::Duration;
 
-/// A worker answers at once or hangs. What a direct command could not bring, the answer to the
-/// worker's next heartbeat does.
+/// The timeout of a command batch: a worker answers at once or hangs. Commands that did not arrive are
+/// sent again in the answer to the worker's next heartbeat.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Bytes of the heartbeat in a worker's answer.
+/// The maximum size of the heartbeat in a worker's answer.
 const MAX_HEARTBEAT_BYTES: usize = 1024 * 1024;
 
 /// Sends command batches without waiting for their answers.
--- a/src/service/io_thread_pool/end_reader.rs
+++ b/src/service/io_thread_pool/final_state_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the end records of jobs for the leader, at a limited rate.
+//! Reads the records of jobs' final states for the leader, at a limited rate.
 
 use crate::coordination::state::JobId;
 use crate::service::messages::{IoOutcome, Message};
@@ -9,37 +9,37 @@
 use crossbeam::channel::{bounded, Receiver, Sender};
 use std::time::Duration;
 
-/// Batches of jobs that may wait.
-const QUEUE: usize = 1;
-/// The share of the state service's requests that these reads may take.
+/// Batches of jobs that may wait in the queue.
+const QUEUE_CAPACITY: usize = 1;
+/// The share of the state service's request rate that these reads may use.
 const REQUESTS_SHARE: f64 = 0.25;
 
-/// Starts the thread; returns its queue.
+/// Starts the thread and returns its queue.
 pub(super) fn start(
     settings: &Settings,
     store: &KeyValueStore,
     inbox: &Sender<Message>,
 ) -> anyhow::Result<Sender<Vec<JobId>>> {
-    let (sender, batches) = bounded(QUEUE);
+    let (sender, batches) = bounded(QUEUE_CAPACITY);
     let pause = Duration::from_secs_f64(1.0 / (REQUESTS_SHARE * settings.cluster.state.rps));
     let (store, inbox) = (store.clone(), inbox.clone());
-    spawn("finder", move || read_all(&store, &batches, &inbox, pause))?;
+    spawn("final-read", move || run(&store, &batches, &inbox, pause))?;
     Ok(sender)
 }
 
-fn read_all(
+fn run(
     store: &KeyValueStore,
     batches: &Receiver<Vec<JobId>>,
     inbox: &Sender<Message>,
     pause: Duration,
 ) {
     for ids in batches {
-        let mut ends = Vec::new();
+        let mut records = Vec::new();
         for id in ids {
-            let end = store.read::<EndRecord>(&end_key(&id));
-            ends.push((id, end.ok().flatten().map(|(end, _)| end)));
+            let record = store.read::<EndRecord>(&end_key(&id));
+            records.push((id, record.ok().flatten().map(|(record, _)| record)));
             std::thread::sleep(pause);
         }
-        let _ = inbox.send(Message::Io(IoOutcome::EndsRead { ends }));
+        let _ = inbox.send(Message::Io(IoOutcome::FinalStatesRead { records }));
     }
 }
--- a/src/service/io_thread_pool/mod.rs
+++ b/src/service/io_thread_pool/mod.rs
@@ -1,11 +1,12 @@
-//! The threads that wait for the state service, the workers and the cloud in the controller's place.
+//! The threads that make blocking calls to the state service, the workers and the cloud for the controller
+//! actor.
 //!
-//! Each operation is enqueued without waiting; its outcome comes as an [`IoOutcome`] message. What a
-//! full queue does not take has failed at once.
+//! An operation is enqueued without blocking, and its outcome is sent back as an [`IoOutcome`] message. If
+//! the queue is full, the operation fails immediately.
 
 mod cloud_caller;
 mod command_dispatcher;
-mod end_reader;
+mod final_state_reader;
 mod transaction_writer;
 
 use super::messages::{IoOutcome, Message};
@@ -21,18 +22,18 @@
 use crossbeam::channel::{Sender, TrySendError};
 use transaction_writer::NumberedTransaction;
 
-/// The sending ends of the threads' queues.
+/// The senders of the threads' queues.
 pub struct IoThreadPool {
     inbox: Sender<Message>,
     writes: Sender<NumberedTransaction>,
     commands: CommandDispatcher,
     cloud_calls: Sender<CloudCall>,
-    /// Jobs of which the end records are to be read.
-    end_reads: Sender<Vec<JobId>>,
+    /// Batches of jobs whose final states must be read.
+    final_state_reads: Sender<Vec<JobId>>,
 }
 
 impl IoThreadPool {
-    /// Starts the threads; their outcomes go to `inbox`.
+    /// Starts the threads. They send the outcomes of operations to `inbox`.
     ///
     /// # Errors
     ///
@@ -47,16 +48,16 @@
             inbox: inbox.clone(),
             writes: transaction_writer::start(store, inbox)?,
             cloud_calls: cloud_caller::start(settings, inbox)?,
-            end_reads: end_reader::start(settings, store, inbox)?,
+            final_state_reads: final_state_reader::start(settings, store, inbox)?,
             commands: CommandDispatcher::new(settings, runtime, inbox),
         })
     }
 
-    /// Commits a transaction; `id` comes back with its outcome.
+    /// Commits a transaction; the outcome carries `id`.
     pub fn write(&self, id: u64, transaction: Transaction) {
         let write = NumberedTransaction { id, transaction };
         if self.writes.try_send(write).is_err() {
-            self.try_report(IoOutcome::WriteFinished {
+            self.try_send_outcome(IoOutcome::WriteFinished {
                 id,
                 outcome: WriteOutcome::Rejected,
             });
@@ -68,11 +69,11 @@
         self.commands.send(machine, endpoint, commands);
     }
 
-    /// Reads how jobs ended.
-    pub fn read_ends(&self, ids: Vec<JobId>) {
-        if let Err(TrySendError::Full(ids)) = self.end_reads.try_send(ids) {
-            let ends = ids.into_iter().map(|id| (id, None)).collect();
-            self.try_report(IoOutcome::EndsRead { ends });
+    /// Reads the final states of jobs.
+    pub fn read_final_states(&self, ids: Vec<JobId>) {
+        if let Err(TrySendError::Full(ids)) = self.final_state_reads.try_send(ids) {
+            let records = ids.into_iter().map(|id| (id, None)).collect();
+            self.try_send_outcome(IoOutcome::FinalStatesRead { records });
         }
     }
 
@@ -82,12 +83,12 @@
             self.cloud_calls.try_send(call)
         {
             if let Some(outcome) = call.into_failure() {
-                self.try_report(outcome);
+                self.try_send_outcome(outcome);
             }
         }
     }
 
-    fn try_report(&self, outcome: IoOutcome) {
+    fn try_send_outcome(&self, outcome: IoOutcome) {
         let _ = self.inbox.try_send(Message::Io(outcome));
     }
 }
--- a/src/service/io_thread_pool/transaction_writer.rs
+++ b/src/service/io_thread_pool/transaction_writer.rs
@@ -1,5 +1,5 @@
-//! Commits the leader's transactions, and finds out what became of those that met a conflict or were
-//! not answered.
+//! Commits the leader's transactions. After a conflict or an unknown outcome, the keys concerned are read
+//! again: their values show the leader whether the transaction was applied.
 
 use crate::coordination::cluster::WriteOutcome;
 use crate::protocol::store::{Transaction, VersionedValue, WriteOperation};
@@ -10,25 +10,25 @@
 use crossbeam::channel::{bounded, Receiver, Sender};
 use std::time::Duration;
 
-/// Threads that write, each one transaction at a time.
+/// Writer threads. Each commits one transaction at a time.
 const WRITERS: usize = 3;
-/// Transactions that may wait.
-const QUEUE: usize = 256;
-/// The pause before a read that failed is tried again.
+/// Transactions that may wait in the queue.
+const QUEUE_CAPACITY: usize = 256;
+/// The pause before a failed read is retried.
 const REREAD_PAUSE: Duration = Duration::from_millis(200);
 
-/// A transaction, and the number by which the leader knows it.
+/// A transaction with the leader's id of it.
 pub(super) struct NumberedTransaction {
     pub(super) id: u64,
     pub(super) transaction: Transaction,
 }
 
-/// Starts the threads; returns their queue.
+/// Starts the threads and returns their queue.
 pub(super) fn start(
     store: &KeyValueStore,
     inbox: &Sender<Message>,
 ) -> anyhow::Result<Sender<NumberedTransaction>> {
-    let (sender, receiver) = bounded(QUEUE);
+    let (sender, receiver) = bounded(QUEUE_CAPACITY);
     for _ in 0..WRITERS {
         let (store, writes, inbox) = (store.clone(), receiver.clone(), inbox.clone());
         spawn("writer", move || commit_all(&store, &writes, &inbox))?;
@@ -61,8 +61,8 @@
     }
 }
 
-/// The keys by which it shows whether a transaction was applied: those that it changes, and the
-/// leader's record, on which it depends.
+/// The compared keys whose values show whether a transaction was applied: the keys that it writes, and the
+/// key of the leader record, on which it depends.
 fn deciding_keys(transaction: &Transaction) -> Vec<String> {
     let is_changed = |key: &String| {
         transaction.operations.iter().any(|change| match change {
@@ -75,7 +75,7 @@
         .collect()
 }
 
-/// Reads what keys hold, and retries for as long as that takes.
+/// Reads the values of keys, and retries each read until it succeeds.
 fn reread(store: &KeyValueStore, keys: &[String]) -> Vec<(String, Option<VersionedValue>)> {
     let mut items = Vec::new();
     for key in keys {
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -1,7 +1,9 @@
-//! Whether this node is isolated: cut off from the state service and from every other controller.
+//! Detects that this controller is isolated: it reaches neither the state service nor any other
+//! controller.
 //!
-//! Such a node can serve no user, and leaves the load balancer's rotation until it can. An outage of
-//! the state service alone is no reason to leave: all nodes would, and the way back is slow.
+//! An isolated controller can't serve users, so it fails its health check and the load balancer stops
+//! sending requests to it. An outage of the state service alone does not fail the health check: it would
+//! take all controllers out of rotation at once, and a load balancer is slow to add them again.
 
 use super::threads::spawn;
 use crate::storage::key_value_store::KeyValueStore;
@@ -14,11 +16,11 @@
 
 /// The pause between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the state service must have given no answer before peers are checked.
+/// The time without an answer of the state service after which the peers are checked.
 const STATE_SERVICE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Starts the checks on a thread of their own; the health that is returned is false while the node
-/// is isolated.
+/// Starts the checks on a new thread. The returned health check is false while this controller is
+/// isolated.
 ///
 /// # Errors
 ///
@@ -35,9 +37,9 @@
         let now_isolated = is_isolated(&store, &peers, epoch);
         if now_isolated != isolated.swap(now_isolated, Ordering::Relaxed) {
             if now_isolated {
-                warn!("node isolated from the state service and all peers, reporting unhealthy");
+                warn!("isolated from the state service and all peers, reporting unhealthy");
             } else {
-                info!("node no longer isolated, reporting healthy");
+                info!("no longer isolated, reporting healthy");
             }
         }
     })?;
@@ -45,8 +47,8 @@
 }
 
 fn is_isolated(store: &KeyValueStore, peers: &Peers, epoch: Instant) -> bool {
-    let silence = epoch.elapsed().saturating_sub(store.last_answer(epoch));
-    silence > STATE_SERVICE_TIMEOUT
+    let since_last_answer = epoch.elapsed().saturating_sub(store.last_answer(epoch));
+    since_last_answer > STATE_SERVICE_TIMEOUT
         && !peers.is_empty()
         && !peers
             .names()
--- a/src/service/machine_types_follower.rs
+++ b/src/service/machine_types_refresher.rs
@@ -1,4 +1,4 @@
-//! Keeps the machine types current.
+//! Fetches the machine types from the cloud periodically.
 
 use super::cloud_client::CloudClient;
 use super::messages::Message;
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// The pause before another attempt while no types are known at all.
+/// The pause between two attempts while no machine types are known.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// How many times the cloud's lists may lag behind between two fetches.
-const LAGS_PER_FETCH: f64 = 4.0;
-/// Seconds that a lag counts at the least.
+/// The time between two fetches, as a multiple of the lag of the cloud's lists.
+const FETCH_INTERVAL_LAGS: f64 = 4.0;
+/// The minimum lag that is assumed, in seconds.
 const MIN_LAG_S: f64 = 1.0;
 
-/// Fetches the machine types again and again. The last ones seen are kept in the state service, so
-/// that a node which starts while the cloud is down can still accept and place jobs.
-struct MachineTypesFollower {
+/// Fetches the machine types periodically. The last ones seen are recorded in the state service, so that a
+/// controller which starts while the cloud is down can still accept and place jobs.
+struct MachineTypesRefresher {
     cloud: CloudClient,
     store: KeyValueStore,
     shared: Arc<SharedMachineTypes>,
@@ -32,7 +32,7 @@
     max_record_bytes: usize,
 }
 
-/// Starts the follower on a thread of its own.
+/// Starts the refresher on a new thread.
 ///
 /// # Errors
 ///
@@ -44,18 +44,18 @@
     inbox: &Sender<Message>,
 ) -> anyhow::Result<()> {
     let lag_s = settings.cluster.cloud.list_lag_s.max(MIN_LAG_S);
-    let follower = MachineTypesFollower {
+    let refresher = MachineTypesRefresher {
         cloud: CloudClient::new(settings),
         store: store.clone(),
         shared: shared.clone(),
         inbox: inbox.clone(),
-        pause: Duration::from_secs_f64(lag_s * LAGS_PER_FETCH),
+        pause: Duration::from_secs_f64(lag_s * FETCH_INTERVAL_LAGS),
         max_record_bytes: settings.cluster.state.record_bytes(),
     };
-    spawn("types", move || follower.run())
+    spawn("types", move || refresher.run())
 }
 
-impl MachineTypesFollower {
+impl MachineTypesRefresher {
     fn run(self) {
         let mut known: Vec<MachineType> = Vec::new();
         let mut recorded: Option<Vec<MachineType>> = None;
@@ -73,7 +73,7 @@
                 std::thread::sleep(RETRY_PAUSE);
                 continue;
             }
-            let has_changed = |old: &Vec<MachineType>| !equal_but_prices(old, &types);
+            let has_changed = |old: &Vec<MachineType>| !equal_except_prices(old, &types);
             if recorded.as_ref().is_some_and(has_changed) && self.record(&types) {
                 recorded = Some(types.clone());
             }
@@ -84,20 +84,23 @@
         }
     }
 
-    /// The recorded types, empty if there is no record; `None` while the state service is not
-    /// reached.
+    /// The recorded machine types, empty if there is no record; `None` if the state service is
+    /// unreachable.
     fn read_record(&self) -> Option<Vec<MachineType>> {
         let read = self.store.read::<Vec<MachineType>>(MACHINE_TYPES_KEY);
         read.ok().map(|r| r.map_or(Vec::new(), |(types, _)| types))
     }
 
-    /// Records the types; whether no further attempt is needed.
+    /// Records the machine types; `false` if the write must be retried.
     fn record(&self, types: &[MachineType]) -> bool {
         let value = serde_json::to_value(types).expect("serializing plain data cannot fail");
         debug!(count = types.len(), "recording machine types");
-        // Types that no record can hold are known only while the cloud lists them.
+        // Without a record the types are known only while the cloud lists them.
         if value.to_string().len() > self.max_record_bytes {
-            warn!(count = types.len(), "too many machine types to record");
+            warn!(
+                count = types.len(),
+                "machine types not recorded: the record would exceed the size limit"
+            );
             return true;
         }
         let transaction = Transaction::default().put(MACHINE_TYPES_KEY, value);
@@ -105,12 +108,14 @@
     }
 }
 
-/// Whether two lists differ in prices at most: these move all the time, the rest seldom changes.
-fn equal_but_prices(a: &[MachineType], b: &[MachineType]) -> bool {
-    let unpriced = |t: &MachineType| MachineType {
+/// Whether two lists are equal apart from prices, which change all the time; the rest seldom changes.
+fn equal_except_prices(a: &[MachineType], b: &[MachineType]) -> bool {
+    let without_prices = |t: &MachineType| MachineType {
         price: 0.0,
         spot_price: 0.0,
         ..t.clone()
     };
-    a.iter().map(unpriced).eq(b.iter().map(unpriced))
+    a.iter()
+        .map(without_prices)
+        .eq(b.iter().map(without_prices))
 }
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that the other actors send to the controller.
+//! The messages that the other actors send to the controller actor.
 
 use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
 use crate::coordination::cluster::heartbeats::HeartbeatSource;
@@ -17,93 +17,94 @@
 use crossbeam::channel::Sender;
 use stairstage_upgrade::fence::WriteFence;
 
-/// An event for the controller.
+/// A message in the inbox of the controller actor.
 pub enum Message {
-    /// The election has reached a new state.
+    /// An event of the election.
     Election(ElectionEvent),
     /// A worker's heartbeat.
     Heartbeat(ReceivedHeartbeat),
-    /// What this controller may write at the active cluster version.
+    /// The write fence has changed: what this controller may write at the active cluster version.
     WriteFence(WriteFence),
-    /// A gateway asks what is known of a job here, and who leads.
-    LocateJob {
+    /// A gateway asks what this controller knows about a job, and who the leader is.
+    ReadLocalView {
         /// The job's id.
         id: String,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: Sender<LocalJobView>,
     },
-    /// The records of jobs that were accepted or cancelled.
+    /// Jobs were accepted or cancelled.
     JobsAccepted {
         /// The jobs' records and their versions.
         jobs: Vec<AcceptedJob>,
     },
-    /// How jobs have ended, as the state service or the leader has answered.
-    JobsEnded {
+    /// Jobs have finished, according to the state service or the leader.
+    JobsFinished {
         /// Each job's id and final state.
-        ends: Vec<(String, JobState)>,
+        final_states: Vec<(String, JobState)>,
     },
-    /// Ends that the watch of end records has seen.
-    EndsRecorded {
+    /// The watch of final states has seen new records.
+    FinalStatesObserved {
         /// Each job's id and final state.
-        ends: Vec<(String, JobState)>,
+        final_states: Vec<(String, JobState)>,
     },
-    /// A new leader's reader has read all records.
+    /// The record reader of a new leader has read all records.
     RecordsLoaded {
-        /// The token of the term for which they were read.
+        /// The fencing token of the term for which the records were read.
         token: FencingToken,
         /// The records.
         records: Records,
-        /// When the read was sent.
+        /// When the read request was sent.
         sent_at: Time,
     },
-    /// All changes of open jobs that were on record at `sent_at` have been enqueued before this.
+    /// The record reader has caught up: every change of an open job that was recorded by `sent_at` has been
+    /// sent before this message.
     RecordsRead {
-        /// The token of the term for which they were read.
+        /// The fencing token of the term for which the records were read.
         token: FencingToken,
-        /// When the request that brought the last of them was sent.
+        /// When the request that returned the last of these changes was sent.
         sent_at: Time,
     },
-    /// The outcome of an operation that the leader had requested of its I/O threads.
+    /// The outcome of an operation of the I/O threads.
     Io(IoOutcome),
-    /// The machine types that the cloud offers now.
+    /// The machine types that the cloud currently offers.
     MachineTypes(Vec<MachineType>),
-    /// Whether other controllers are reached by a leader to which no worker sends heartbeats.
+    /// The result of a leader's probe of its peers, made because it receives no heartbeats.
     PeersProbed(PeerReachability),
     /// Another controller asks whether this one receives heartbeats directly from workers.
     ReceivesHeartbeats {
-        /// Where the reply goes.
+        /// Sends the reply.
         respond: Responder,
     },
-    /// A new leader asks for the promise that no heartbeat is answered here with a lower token.
+    /// A new leader asks this controller to promise that it answers no heartbeat with a lower token.
     PromiseRequested {
         /// The new leader's token.
         token: FencingToken,
-        /// Where the reply goes.
+        /// Sends the reply.
         respond: Responder,
     },
-    /// All other controllers have given that promise to the leader of this term.
+    /// All other controllers have given that promise to this controller.
     PromisesCollected {
-        /// The term's token.
+        /// The fencing token of the term for which they gave it.
         token: FencingToken,
     },
-    /// The outcome of a query of the cancellations that a peer has confirmed.
+    /// The outcome of a query for the cancellations that a peer has confirmed.
     PeerCancellations {
         /// The peer's name.
         peer: String,
-        /// Its answer, unless it gave none.
+        /// The peer's answer; `None` if it did not answer.
         answer: Option<PeerAnswer>,
     },
 }
 
-/// A worker's heartbeat that awaits a reply.
+/// A worker's heartbeat that has not been answered yet.
 pub struct ReceivedHeartbeat {
     /// The heartbeat, decoded.
     pub heartbeat: Box<Heartbeat>,
-    /// The heartbeat as received, to be forwarded unchanged.
+    /// The encoded heartbeat as received, for forwarding it unchanged.
     pub body: Vec<u8>,
-    /// Whether the worker or another controller has sent it.
+    /// Whether the worker sent the heartbeat or another controller forwarded it.
     pub source: HeartbeatSource,
-    /// Where the reply goes.
+    /// Sends the reply.
     pub respond: Responder,
 }
 
@@ -111,28 +112,28 @@
 pub enum IoOutcome {
     /// A transaction's outcome.
     WriteFinished {
-        /// The number by which the write was requested.
+        /// The write's id, as given with the request.
         id: u64,
-        /// What became of it.
+        /// Whether it was applied.
         outcome: WriteOutcome,
     },
-    /// How a worker has answered a batch of direct commands.
+    /// A worker's answer to a command batch that was sent directly.
     CommandsAnswered {
         /// The worker's machine.
         machine: MachineName,
-        /// What became of the commands.
+        /// Whether the commands were executed.
         outcome: CommandOutcome,
     },
-    /// The end records of jobs that were looked up.
-    EndsRead {
-        /// Each job's id and its end record, if there is one and it could be read.
-        ends: Vec<(JobId, Option<EndRecord>)>,
+    /// The final states of jobs that were requested.
+    FinalStatesRead {
+        /// Each job's id and the record of its final state; `None` if there is none or it could not be read.
+        records: Vec<(JobId, Option<EndRecord>)>,
     },
     /// The outcome of a rental.
     MachinesRented {
         /// The rental's request id.
         request: String,
-        /// The rented machines' names; `None` when the cloud gave no answer.
+        /// The rented machines' names, none if the cloud rejected the rental; `None` if it gave no answer.
         machines: Option<Vec<String>>,
     },
     /// The outcome of a return of machines.
@@ -146,21 +147,21 @@
     MachinesListed(Vec<ListedMachine>),
 }
 
-/// The record of an accepted job, which also tells whether the job was cancelled.
+/// The record of an accepted job, which also contains whether the job was cancelled.
 pub struct AcceptedJob {
-    /// The record.
+    /// The job's record.
     pub record: OpenRecord,
     /// The record's version in the state service.
     pub version: u64,
 }
 
-/// Whether other controllers are reached, and whether workers send heartbeats to them.
+/// Whether other controllers are reachable, and whether workers send heartbeats to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerReachability {
     /// No other controller answers.
     Unreachable,
-    /// Some do, but no worker sends heartbeats to them.
+    /// Some controllers answer, but no worker sends heartbeats to them.
     ReachableWithoutWorkers,
-    /// Workers send heartbeats to one that answers.
+    /// At least one controller answers to which workers send heartbeats.
     ReachableWithWorkers,
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,21 +1,21 @@
-//! Starts the actors and joins them by channels.
+//! Starts the actors and connects them by channels.
 //!
-//! The [`controller`] owns the state of the cluster; the election, the watch of ends, the
-//! [`io_thread_pool`] and the other actors each work on their own threads and send it
-//! [`messages`]. Users' requests wait in the [`request_queue`] for a [`gateway`]. Every queue is
-//! bounded: what does not fit is answered at once.
+//! The [`controller`] actor owns the state of the cluster. The election, the watch of final states, the
+//! [`io_thread_pool`] and the other actors run on their own threads and send [`messages`] to it. Users'
+//! requests wait in the [`request_queue`] for a [`gateway`]. Every queue is bounded: a request that does not
+//! fit is rejected immediately.
 
 mod call_router;
 pub mod clock;
 pub mod cloud_client;
 pub mod controller;
 pub mod election_driver;
-pub mod end_notifier;
-pub mod end_watch;
+pub mod final_state_notifier;
+pub mod final_state_watch;
 pub mod gateway;
 pub mod io_thread_pool;
 mod isolation;
-pub mod machine_types_follower;
+pub mod machine_types_refresher;
 pub mod messages;
 pub mod peer_queries;
 pub mod polls;
@@ -41,7 +41,7 @@
 use controller::{Controller, ControllerHandles};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use election_driver::ElectionDriver;
-use end_notifier::EndNotifier;
+use final_state_notifier::FinalStateNotifier;
 use gateway::{Gateway, GatewayHandles};
 use io_thread_pool::IoThreadPool;
 use messages::Message;
@@ -53,29 +53,29 @@
 pub(crate) use threads::spawn;
 use upgrade::SharedWriteFence;
 
-/// Users' requests that may wait.
+/// The maximum number of users' requests in the queue.
 const MAX_WAITING_REQUESTS: usize = 128;
-/// Heartbeat intervals for which a connection may stay open without a request.
+/// The idle timeout of a connection, in heartbeat intervals.
 const IDLE_HEARTBEATS: f64 = 10.0;
-/// Seconds for which a connection may stay open without a request, at the least.
+/// The minimum idle timeout of a connection, in seconds.
 const MIN_IDLE_S: f64 = 20.0;
-/// A request's body comes within this time, which is what its sender waits for an answer.
+/// The timeout for receiving a request's body: the time that its sender waits for an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
-/// Leadership leases that fit into a worker's lease, at the least.
+/// A leadership lease is at most a worker's lease divided by this.
 const LEADER_LEASES_PER_WORKER_LEASE: f64 = 4.0;
-/// Seconds of a leadership lease, at the least.
+/// The minimum duration of a leadership lease, in seconds.
 const MIN_LEADER_LEASE_S: f64 = 0.2;
 
 /// Runs a controller; returns only if it cannot start.
 ///
 /// # Errors
 ///
-/// When a thread cannot be started or a port cannot be listened on.
+/// When a thread cannot be started or the controller cannot listen on a port.
 pub fn run(settings: Settings) -> anyhow::Result<()> {
     let inbox_capacity = settings.inbox_messages().max(MAX_WAITING_REQUESTS);
     let (inbox, messages) = bounded::<Message>(inbox_capacity);
     let (requests, tasks) = RequestQueue::bounded(MAX_WAITING_REQUESTS);
-    let shared = Shared::start(settings, inbox, requests)?;
+    let shared = SharedResources::start(settings, inbox, requests)?;
     upgrade::start(
         &shared.settings,
         &shared.store,
@@ -88,7 +88,7 @@
     let controller = Controller::new(shared.settings.clone(), shared.epoch, handles);
     shared.serve_users()?;
     tracing::info!(
-        node = %shared.settings.name,
+        controller = %shared.settings.name,
         address = %shared.settings.front,
         "serving users and workers"
     );
@@ -96,10 +96,10 @@
     anyhow::bail!("the controller has stopped")
 }
 
-/// What several actors work with.
-struct Shared {
+/// The resources that several actors share.
+struct SharedResources {
     settings: Arc<Settings>,
-    /// The zero of the controller's clock.
+    /// The origin of the controller's times.
     epoch: Instant,
     inbox: Sender<Message>,
     requests: RequestQueue,
@@ -111,18 +111,18 @@
     machine_types: Arc<SharedMachineTypes>,
 }
 
-impl Shared {
-    /// Starts the runtime and listens for other controllers.
+impl SharedResources {
+    /// Starts the runtime and the peer server.
     fn start(
         settings: Settings,
         inbox: Sender<Message>,
         requests: RequestQueue,
-    ) -> anyhow::Result<Shared> {
+    ) -> anyhow::Result<SharedResources> {
         let epoch = Instant::now();
         let cancellations = CancellationLog::new(cancellation_capacity(&settings));
         let runtime = Runtime::start().context("cannot start the runtime")?;
         let peers = listen_for_peers(&settings, &runtime, &inbox, &requests, &cancellations)?;
-        Ok(Shared {
+        Ok(SharedResources {
             epoch,
             inbox,
             requests,
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Starts the election; returns where the controller's requests to it go.
+    /// Starts the election; returns the sender of the queue of requests to the election.
     fn start_election(&self) -> anyhow::Result<Sender<ElectionRequest>> {
         let (sender, requests) = election_driver::request_queue();
         let inbox = self.inbox.clone();
@@ -154,14 +154,19 @@
         Ok(sender)
     }
 
-    /// Starts the threads that answer users, and the watch of ends that helps them.
+    /// Starts the gateways, and the watch of final states by which they answer polls.
     fn start_gateways(&self, tasks: &Receiver<RequestTask>) -> anyhow::Result<()> {
-        let end_notifier = EndNotifier {
+        let final_state_notifier = FinalStateNotifier {
             controller: self.inbox.clone(),
             cancellations: self.cancellations.clone(),
         };
-        let polls = polls::start(&self.settings, &self.store, &end_notifier, &self.requests)?;
-        end_watch::start(&self.settings, &self.store, &self.inbox, &polls)?;
+        let polls = polls::start(
+            &self.settings,
+            &self.store,
+            &final_state_notifier,
+            &self.requests,
+        )?;
+        final_state_watch::start(&self.settings, &self.store, &self.inbox, &polls)?;
         let handles = GatewayHandles {
             settings: self.settings.clone(),
             store: self.store.clone(),
@@ -171,7 +176,7 @@
             machine_types: self.machine_types.clone(),
             polls,
             write_fence: self.write_fence.clone(),
-            end_notifier,
+            final_state_notifier,
         };
         for _ in 0..GATEWAYS {
             let gateway = Gateway::new(handles.clone());
@@ -180,14 +185,14 @@
         Ok(())
     }
 
-    /// Starts the threads that wait in the controller's place, and collects all that it works with.
+    /// Starts the threads that make blocking calls for the controller actor, and collects its handles.
     fn controller_handles(
         &self,
         election_requests: Sender<ElectionRequest>,
     ) -> anyhow::Result<ControllerHandles> {
         let (settings, store, inbox) = (&self.settings, &self.store, &self.inbox);
         let io_threads = IoThreadPool::start(settings, &self.runtime, store, inbox)?;
-        machine_types_follower::start(settings, store, &self.machine_types, inbox)?;
+        machine_types_refresher::start(settings, store, &self.machine_types, inbox)?;
         let query_timeout = Duration::from_secs_f64(settings.cluster.workers.report_s / 2.0);
         let cancellation_queries =
             CancellationQueries::start(&self.peers, inbox, self.epoch, query_timeout)?;
@@ -204,7 +209,7 @@
         })
     }
 
-    /// Starts the front.
+    /// Starts the API server.
     fn serve_users(&self) -> anyhow::Result<()> {
         let router = CallRouter {
             inbox: self.inbox.clone(),
@@ -221,7 +226,7 @@
             Arc::new(handler),
             Arc::new(is_healthy),
         )
-        .context("cannot listen for users")?;
+        .with_context(|| format!("cannot start the API server on {}", self.settings.front))?;
         Ok(())
     }
 }
@@ -250,10 +255,15 @@
         Arc::new(handler),
         cancellations.clone(),
     )
-    .context("cannot listen for peers")
+    .with_context(|| {
+        format!(
+            "cannot start the peer server on {}",
+            settings.cluster_listen
+        )
+    })
 }
 
-/// How long the leadership lease lasts.
+/// The duration of the leadership lease.
 fn leader_lease(settings: &Settings) -> Duration {
     let workers = &settings.cluster.workers;
     let lease_s = (settings.policy.leader_lease * workers.report_s)
@@ -262,14 +272,14 @@
     Duration::from_secs_f64(lease_s)
 }
 
-/// How many cancellations are kept for other controllers: no more can be written before the tasks of
-/// the first must be gone.
+/// The capacity of the cancellation log: the cancellations that the state service's write rate allows within
+/// `cancel_s`. The tasks of an older cancelled job must have stopped already.
 fn cancellation_capacity(settings: &Settings) -> usize {
     let cluster = &settings.cluster;
     (cluster.state.write_rps * cluster.workers.cancel_s).ceil() as usize
 }
 
-/// The front's bounds on connections and time.
+/// The API server's limits on connections and times.
 pub fn bounds(settings: &Settings) -> Bounds {
     let report_s = settings.cluster.workers.report_s;
     Bounds {
--- a/src/service/peer_queries/cancellation_queries.rs
+++ b/src/service/peer_queries/cancellation_queries.rs
@@ -1,4 +1,4 @@
-//! Queries of the cancellations that the other controllers have confirmed.
+//! Queries for the cancellations that the other controllers have confirmed.
 
 use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
 use crate::coordination::Time;
@@ -10,15 +10,15 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Asks each other controller which cancellations it has confirmed, on one thread for each: a
-/// controller that does not answer delays no other.
+/// Queries each other controller for the cancellations that it has confirmed. There is one thread for each
+/// peer, so that a peer that does not answer does not delay the queries of the others.
 pub struct CancellationQueries {
-    cursors: BTreeMap<String, Sender<Cursor>>,
+    queues: BTreeMap<String, Sender<Cursor>>,
 }
 
 impl CancellationQueries {
-    /// Starts the threads. Each peer may take `timeout` to answer; the answers go to `inbox`, with
-    /// times since `epoch`.
+    /// Starts the threads. A query times out after `timeout`; the answers are sent to `inbox`, with times
+    /// since `epoch`.
     ///
     /// # Errors
     ///
@@ -29,33 +29,33 @@
         epoch: Instant,
         timeout: Duration,
     ) -> anyhow::Result<CancellationQueries> {
-        let mut cursors = BTreeMap::new();
+        let mut queues = BTreeMap::new();
         for name in peers.names() {
             let (sender, receiver) = bounded(1);
-            let peer_queries = QueriesOfPeer {
+            let thread = PeerQueryThread {
                 peers: peers.clone(),
                 name: name.clone(),
                 inbox: inbox.clone(),
                 epoch,
                 timeout,
             };
-            spawn("cancellations", move || peer_queries.run(&receiver))?;
-            cursors.insert(name.clone(), sender);
+            spawn("cancellations", move || thread.run(&receiver))?;
+            queues.insert(name.clone(), sender);
         }
-        Ok(CancellationQueries { cursors })
+        Ok(CancellationQueries { queues })
     }
 
-    /// Asks a peer for the cancellations after a cursor, unless a query of it waits already; its
-    /// answer, or that there was none, comes as a message.
-    pub fn ask(&self, peer: &str, after: Cursor) {
-        if let Some(cursors) = self.cursors.get(peer) {
-            let _ = cursors.try_send(after);
+    /// Queries a peer for the cancellations after a cursor, unless a query of this peer is queued already.
+    /// The outcome is sent as a message, also if the peer does not answer.
+    pub fn query(&self, peer: &str, after: Cursor) {
+        if let Some(queue) = self.queues.get(peer) {
+            let _ = queue.try_send(after);
         }
     }
 }
 
-/// The queries of one peer.
-struct QueriesOfPeer {
+/// The thread that queries one peer.
+struct PeerQueryThread {
     peers: Peers,
     name: String,
     inbox: Sender<Message>,
@@ -63,16 +63,16 @@
     timeout: Duration,
 }
 
-impl QueriesOfPeer {
+impl PeerQueryThread {
     fn run(&self, cursors: &Receiver<Cursor>) {
         for cursor in cursors {
-            let answer = self.ask(cursor);
+            let answer = self.query(cursor);
             let peer = self.name.clone();
             let _ = self.inbox.send(Message::PeerCancellations { peer, answer });
         }
     }
 
-    fn ask(&self, cursor: Cursor) -> Option<PeerAnswer> {
+    fn query(&self, cursor: Cursor) -> Option<PeerAnswer> {
         let sent = self.now();
         let page = self.peers.cancellations(&self.name, cursor, self.timeout)?;
         Some(PeerAnswer {
--- a/src/service/peer_queries/mod.rs
+++ b/src/service/peer_queries/mod.rs
@@ -1,4 +1,4 @@
-//! A leader's queries of the other controllers. Each blocks, and so runs on a thread of its own.
+//! A leader's queries of the other controllers. They block, so each runs on its own thread.
 
 mod cancellation_queries;
 mod promise_collector;
--- a/src/service/peer_queries/promise_collector.rs
+++ b/src/service/peer_queries/promise_collector.rs
@@ -8,24 +8,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Asks all other controllers to promise that they answer no more heartbeats with lower tokens, as
-/// acceptors do in Paxos. A controller that gives no promise may still answer some; one that has
-/// restarted does not, as it knows no token.
+/// Asks all other controllers to promise that they answer no more heartbeats with lower fencing tokens, as
+/// acceptors do in Paxos. Until a controller has promised, it may still answer heartbeats with a lower
+/// token. A restart loses a promise, but also the token, and without one no heartbeat is answered.
 pub struct PromiseCollector {
     /// The other controllers.
     pub peers: Peers,
-    /// The controller's inbox.
+    /// The controller actor's inbox.
     pub inbox: Sender<Message>,
-    /// The present term; the collector ends with its own.
+    /// The current term. The collector stops when it is not `token` any more.
     pub term: Arc<AtomicU64>,
-    /// The token of the term that it collects for.
+    /// The fencing token of the term for which promises are collected.
     pub token: FencingToken,
     /// The time between two rounds of requests.
     pub pause: Duration,
 }
 
 impl PromiseCollector {
-    /// Asks until all have promised or the term is over.
+    /// Sends requests until all other controllers have promised or the term is over.
     pub fn run(self) {
         let mut outstanding: Vec<&String> = self.peers.names().collect();
         while self.term.load(Ordering::Relaxed) == self.token.0 {
--- a/src/service/peer_queries/reachability.rs
+++ b/src/service/peer_queries/reachability.rs
@@ -1,12 +1,12 @@
-//! Whether a leader that receives no heartbeats reaches other controllers.
+//! Probes whether a leader that receives no heartbeats can reach other controllers.
 
 use crate::service::messages::{Message, PeerReachability};
 use crate::transport::peers::Peers;
 use crossbeam::channel::Sender;
 use std::time::Duration;
 
-/// Finds out whether any other controller can be reached, and whether workers send heartbeats to it.
-/// Each peer may take `timeout` to answer; the result is sent to `inbox`.
+/// Finds out whether any other controller is reachable, and whether workers send heartbeats to it. Each
+/// request times out after `timeout`; the result is sent to `inbox`.
 pub fn probe(peers: &Peers, inbox: &Sender<Message>, timeout: Duration) {
     let mut reachability = PeerReachability::Unreachable;
     for name in peers.names() {
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -1,6 +1,6 @@
-//! The driver of the users' polls that the records answer: executes what [`PollBatcher`] decides.
+//! Answers users' polls from the records: executes the effects that [`PollBatcher`] decides on.
 
-use super::end_notifier::EndNotifier;
+use super::final_state_notifier::FinalStateNotifier;
 use super::replies::{busy, reply_to_user};
 use super::request_queue::{RequestQueue, RequestTask};
 use super::store_calls::execute_store_call;
@@ -16,37 +16,37 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// How long the driver waits for input while the batcher has nothing to do.
+/// How long the driver waits for input while the batcher has no work.
 const IDLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// A poll and who gets its answer.
+/// A poll and where its reply is sent.
 pub struct UserPoll {
-    /// What is asked.
+    /// The poll.
     pub poll: Poll,
-    /// Whether another controller has forwarded it. It is then forwarded no further.
+    /// Whether another controller has forwarded the poll. It is then not forwarded again.
     pub from_peer: bool,
-    /// Where the reply goes.
+    /// Sends the reply.
     pub respond: Responder,
 }
 
 enum Input {
     Poll(UserPoll),
-    /// A job was accepted here.
+    /// This controller has accepted a job.
     Accepted {
         job: String,
         waits_on: Vec<String>,
     },
-    /// Jobs whose ends are on record.
-    Ended(Vec<(String, JobState)>),
+    /// The final states of jobs have been recorded.
+    Finished(Vec<(String, JobState)>),
 }
 
-/// The sending end of the driver's queue: polls, and events that help to answer them.
+/// The sender of the driver's queue: polls, and events that help to answer them.
 #[derive(Clone)]
 pub struct PollQueue(Sender<Input>);
 
 impl PollQueue {
-    /// Enqueues a poll to be answered from the records; when the queue is full, it is answered at
-    /// once.
+    /// Enqueues a poll to be answered from the records. If the queue is full, the poll is rejected
+    /// immediately.
     pub fn enqueue(&self, poll: UserPoll) {
         let sent = self.0.try_send(Input::Poll(poll));
         if let Err(TrySendError::Full(input) | TrySendError::Disconnected(input)) = sent {
@@ -56,18 +56,20 @@
         }
     }
 
-    /// A job was accepted here. An event that is lost costs a read when the job is polled.
+    /// This controller has accepted a job. If the queue is full the event is dropped, and a poll of the job
+    /// then costs a read.
     pub fn job_accepted(&self, job: String, waits_on: Vec<String>) {
         let _ = self.0.try_send(Input::Accepted { job, waits_on });
     }
 
-    /// Ends are on record. An event that is lost costs a read when the job is polled.
-    pub fn jobs_ended(&self, ends: Vec<(String, JobState)>) {
-        let _ = self.0.try_send(Input::Ended(ends));
+    /// Final states of jobs have been recorded. If the queue is full the event is dropped, and a poll of such
+    /// a job then costs a read.
+    pub fn jobs_finished(&self, final_states: Vec<(String, JobState)>) {
+        let _ = self.0.try_send(Input::Finished(final_states));
     }
 }
 
-/// Starts the driver's thread. `requests` gets the polls that another controller must answer.
+/// Starts the driver's thread. Polls that another controller must answer are sent to `requests`.
 ///
 /// # Errors
 ///
@@ -75,7 +77,7 @@
 pub fn start(
     settings: &Settings,
     store: &KeyValueStore,
-    end_notifier: &EndNotifier,
+    final_state_notifier: &FinalStateNotifier,
     requests: &RequestQueue,
 ) -> anyhow::Result<PollQueue> {
     let (sender, receiver) = bounded(settings.waiting_polls());
@@ -85,7 +87,7 @@
         last_number: 0,
         epoch: Instant::now(),
         store: store.clone(),
-        end_notifier: end_notifier.clone(),
+        final_state_notifier: final_state_notifier.clone(),
         requests: requests.clone(),
     };
     spawn("polls", move || driver.run(&receiver))?;
@@ -94,12 +96,12 @@
 
 struct PollDriver {
     batcher: PollBatcher,
-    /// The polls that the batcher has not answered yet, by number.
+    /// The polls that the batcher has not answered yet, by their number.
     pending: HashMap<u64, UserPoll>,
     last_number: u64,
     epoch: Instant,
     store: KeyValueStore,
-    end_notifier: EndNotifier,
+    final_state_notifier: FinalStateNotifier,
     requests: RequestQueue,
 }
 
@@ -137,15 +139,15 @@
                 self.execute(effects);
             }
             Input::Accepted { job, waits_on } => self.batcher.job_accepted(&job, &waits_on),
-            Input::Ended(ends) => {
-                for (job, state) in ends {
+            Input::Finished(final_states) => {
+                for (job, state) in final_states {
                     self.batcher.job_end_recorded(&job, state);
                 }
             }
         }
     }
 
-    /// Forwards a poll to another controller, unless another one has forwarded it to this one.
+    /// Forwards a poll to another controller, or rejects it if another controller has forwarded it.
     fn forward(&self, poll: UserPoll) {
         if poll.from_peer {
             (poll.respond)(reply_to_user(Answer::RetryLater(
@@ -165,7 +167,7 @@
                     let answer = execute_store_call(&self.store, call);
                     effects.extend(self.batcher.on_answer(answer, self.now()));
                 }
-                PollEffect::JobEndsRecorded(ends) => self.end_notifier.publish(ends),
+                PollEffect::JobEndsRecorded(states) => self.final_state_notifier.publish(states),
                 PollEffect::Answer(number, answer) => {
                     if let Some(poll) = self.pending.remove(&number) {
                         (poll.respond)(reply_to_user(answer));
--- a/src/service/record_reader.rs
+++ b/src/service/record_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the records for a new leader, then follows the open jobs for as long as its term lasts.
+//! Reads all records for a new leader, and then follows the changes of open jobs until its term ends.
 
 use super::messages::{AcceptedJob, Message};
 use crate::coordination::cluster::recovery::Records;
@@ -14,32 +14,32 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Heartbeat intervals after which all open jobs are read anew, as an event may have been lost.
-const REREAD_HEARTBEATS: u32 = 8;
-/// Watches in a heartbeat interval, at the least. The end of each proves up to when all
-/// cancellations on record are known.
+/// Heartbeat intervals after which all open jobs are read again, as an event may have been lost.
+const REREAD_INTERVAL_HEARTBEATS: u32 = 8;
+/// The minimum number of watch requests in a heartbeat interval. When one returns, every cancellation that
+/// was recorded when it was sent is known.
 const WATCHES_PER_HEARTBEAT: u32 = 2;
-/// The pause before a read that failed is tried again.
+/// The pause before a failed read is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The reader of one term.
+/// Reads the records for one term of leadership.
 pub struct RecordReader {
-    /// The state service.
+    /// The client of the state service.
     pub store: KeyValueStore,
-    /// The controller's inbox.
+    /// The controller actor's inbox.
     pub inbox: Sender<Message>,
-    /// The present term; the reader ends with its own.
+    /// The current term. The reader stops when it is not `token` any more.
     pub term: Arc<AtomicU64>,
-    /// The token of the term that it reads for.
+    /// The fencing token of the term for which the records are read.
     pub token: FencingToken,
-    /// The zero of the controller's clock.
+    /// The origin of the controller's times.
     pub epoch: Instant,
     /// The time between two heartbeats of a worker.
-    pub report_interval: Duration,
+    pub heartbeat_interval: Duration,
 }
 
 impl RecordReader {
-    /// Reads and follows until the term is over.
+    /// Reads the records and follows their changes until the term is over.
     pub fn run(self) {
         if let Some(revision) = self.load() {
             self.follow(revision);
@@ -54,7 +54,7 @@
         self.epoch.elapsed().as_secs_f64()
     }
 
-    /// Reads all records; returns the revision from which on changes are to be watched.
+    /// Reads all records; returns the revision to watch changes from, or `None` if the term is over.
     fn load(&self) -> Option<u64> {
         while self.is_current() {
             let sent_at = self.now();
@@ -87,7 +87,7 @@
     fn follow(&self, mut after: u64) {
         let mut read_at = Instant::now();
         while self.is_current() {
-            if read_at.elapsed() > self.report_interval * REREAD_HEARTBEATS {
+            if read_at.elapsed() > self.heartbeat_interval * REREAD_INTERVAL_HEARTBEATS {
                 if let Ok(revision) = self.reread() {
                     read_at = Instant::now();
                     after = revision;
@@ -100,10 +100,10 @@
         }
     }
 
-    /// Waits for changes and publishes them; returns the revision to go on from.
+    /// Waits for changes and publishes them; returns the revision to continue from.
     fn watch(&self, after: u64) -> Result<u64, Unavailable> {
         let sent_at = self.now();
-        let hold = self.report_interval / WATCHES_PER_HEARTBEAT;
+        let hold = self.heartbeat_interval / WATCHES_PER_HEARTBEAT;
         let Some(events) = self.store.watch(OPEN_PREFIX, after, hold)? else {
             return self.reread();
         };
@@ -113,7 +113,7 @@
         Ok(revision)
     }
 
-    /// Reads all open jobs anew; returns the revision to go on from.
+    /// Reads all open jobs again; returns the revision to continue from.
     fn reread(&self) -> Result<u64, Unavailable> {
         let sent_at = self.now();
         let (items, revision) = self.store.list(OPEN_PREFIX)?;
@@ -130,8 +130,8 @@
         );
     }
 
-    /// Publishes open jobs in one message, however many there are: the controller's inbox keeps its
-    /// room for workers' heartbeats.
+    /// Publishes all open jobs in one message, which leaves the controller actor's inbox free for workers'
+    /// heartbeats.
     fn publish_jobs(&self, records: impl Iterator<Item = (String, Value, u64)>) {
         let jobs: Vec<AcceptedJob> = records
             .filter_map(|(key, value, version)| decode(&key, value, version))
@@ -149,7 +149,7 @@
 
 fn decode(key: &str, value: Value, version: u64) -> Option<AcceptedJob> {
     let record = serde_json::from_value::<OpenRecord>(value)
-        .map_err(|error| warn!(key, %error, "job record unreadable"))
+        .map_err(|error| warn!(key, %error, "cannot decode a job record"))
         .ok()?;
     Some(AcceptedJob { record, version })
 }
--- a/src/service/replies.rs
+++ b/src/service/replies.rs
@@ -1,14 +1,14 @@
-//! Replies that several parts of the service give.
+//! Replies that several modules of the service send.
 
 use crate::coordination::requests::Answer;
 use crate::transport::Reply;
 
-/// The reply to a request for which a bounded queue has no room.
+/// The reply to a request that a full queue has rejected.
 pub(crate) fn busy() -> Reply {
-    Reply::unavailable("too much is asked at once")
+    Reply::unavailable("the controller is overloaded")
 }
 
-/// Turns a decided answer into the reply that the transport sends.
+/// Converts an answer of the request logic into a reply of the transport.
 pub(super) fn reply_to_user(answer: Answer) -> Reply {
     Reply {
         status: answer.status(),
--- a/src/service/store_calls.rs
+++ b/src/service/store_calls.rs
@@ -1,9 +1,9 @@
-//! Executes the calls to the state service that the pure request logic asks for.
+//! Executes the calls to the state service that the request logic, which does no I/O, asks for.
 
 use crate::coordination::requests::{StoreAnswer, StoreCall};
 use crate::storage::key_value_store::KeyValueStore;
 
-/// Executes one call and blocks until the state service has answered or the call has failed.
+/// Executes a call; blocks until the state service has answered or the call has failed.
 pub(super) fn execute_store_call(store: &KeyValueStore, call: StoreCall) -> StoreAnswer {
     match call {
         StoreCall::Read(key) => StoreAnswer::Read(store.get(&key)),
--- a/src/service/unresponsive_peers.rs
+++ b/src/service/unresponsive_peers.rs
@@ -1,24 +1,24 @@
-//! Which peers a gateway leaves out for a while, because they lately gave no answer.
+//! The peers to which a gateway sends no requests for a while, because they did not answer recently.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// For how long a peer that gave no answer is left out.
+/// How long a peer that did not answer is skipped.
 const BACKOFF: Duration = Duration::from_secs(2);
 
-/// The peers that lately gave no answer, as one gateway's thread has seen it.
+/// The peers that did not answer one gateway's requests recently.
 #[derive(Default)]
 pub(super) struct UnresponsivePeers(RefCell<HashMap<String, Instant>>);
 
 impl UnresponsivePeers {
-    /// A peer has given no answer just now.
+    /// Skips a peer from now on, as it has not answered a request.
     pub(super) fn insert(&self, peer: &str) {
         let until = Instant::now() + BACKOFF;
         self.0.borrow_mut().insert(peer.to_string(), until);
     }
 
-    /// Whether a peer is to be left out now.
+    /// Whether a peer is currently skipped.
     pub(super) fn contains(&self, peer: &str) -> bool {
         let peers = self.0.borrow();
         let until = peers.get(peer);
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -1,5 +1,5 @@
-//! This controller's membership: keeps its member record alive, follows the active version, and
-//! finalizes by the policy.
+//! This controller's membership in the cluster: keeps its member record alive, follows the active version,
+//! and finalizes upgrades if the policy says so.
 
 use super::records;
 use super::SharedWriteFence;
@@ -19,30 +19,32 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// How many times a lease is renewed within its duration.
+/// Renewals of a lease within its duration.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// The bounds on a lease's duration, within those of the state service.
+/// The minimum duration of a lease, not below that of the state service.
 const MIN_LEASE: Duration = Duration::from_millis(200);
+/// The maximum duration of a lease, not above that of the state service.
 const MAX_LEASE: Duration = Duration::from_secs(600);
-/// The shortest time between two rounds, should watches end at once.
+/// The minimum time between two rounds, in case watch requests return immediately.
 const MIN_ROUND: Duration = Duration::from_millis(100);
 
+/// Registers this controller as a member of the cluster and keeps the registration alive.
 struct Membership {
     settings: Arc<Settings>,
     policy: UpgradePolicy,
     store: KeyValueStore,
     write_fence: SharedWriteFence,
     controller: Sender<Message>,
-    /// The lease of the member record, while it is registered.
+    /// The lease of the member record, while this controller is registered.
     lease: Option<LeaseId>,
     lease_duration: Duration,
     /// When this process started, in milliseconds since the Unix epoch.
     since_ms: u64,
-    /// The plan whose holds were last logged.
+    /// The plan for which the holds were last logged.
     logged_plan: Option<Plan>,
 }
 
-/// Starts the membership on a thread of its own, if upgrades are staged.
+/// Starts the membership on a new thread, if upgrades are staged.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -73,16 +75,16 @@
 impl Membership {
     fn run(mut self) {
         loop {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             if self.run_round().is_err() {
                 std::thread::sleep(self.lease_duration / (2 * RENEWALS_PER_LEASE));
             }
-            std::thread::sleep(MIN_ROUND.saturating_sub(begun.elapsed()));
+            std::thread::sleep(MIN_ROUND.saturating_sub(started_at.elapsed()));
         }
     }
 
-    /// Renews the lease, reads all records, and waits for a change of the version record until the lease is
-    /// to be renewed again.
+    /// Renews the lease, reads all records, and waits for a change of the version record until the next
+    /// renewal is due.
     fn run_round(&mut self) -> Result<(), Unavailable> {
         let registered = self.keep_registered();
         let controllers = records::configured(&self.settings);
@@ -124,7 +126,7 @@
                 self.lease = Some(lease);
                 self.write_seen_record()
             }
-            // Should the record be written later after all, it is removed with its lease.
+            // The write may still take effect later; releasing the lease then removes the record.
             _ => {
                 self.store.release(lease);
                 Err(Unavailable)
@@ -146,19 +148,20 @@
     }
 
     fn update_write_fence(&self, snapshot: &Snapshot) {
-        if !self.write_fence.read(&snapshot.version, snapshot.stamp) {
+        if !self.write_fence.apply(&snapshot.version, snapshot.stamp) {
             return;
         }
         let write_fence = self.write_fence.get();
         match write_fence.refusal() {
-            // The operators' page quotes this line.
+            // The operators' documentation quotes this message.
             Some(reason) => warn!("{reason}: withdraws"),
             None => info!(version = %snapshot.version.active, "cluster version active"),
         }
         let _ = self.controller.send(Message::WriteFence(write_fence));
     }
 
-    /// Every controller tries: the compares of the change let only one of them succeed.
+    /// Finalizes an upgrade that is ready. Every controller tries this; the change is a compare-and-swap
+    /// transaction, so only one of them succeeds.
     fn finalize_if_due(&mut self, snapshot: &Snapshot) {
         if self.policy.finalize != Finalize::Automatic {
             return;
@@ -176,7 +179,7 @@
         self.log_holds(plan);
     }
 
-    /// Logs, once for each next version, why it is not activated.
+    /// Logs why the next version is not activated, once for each version.
     fn log_holds(&mut self, plan: Plan) {
         let logged_next = self.logged_plan.as_ref().map(|logged| logged.next);
         if logged_next != Some(plan.next) {
--- a/src/service/upgrade/mod.rs
+++ b/src/service/upgrade/mod.rs
@@ -1,9 +1,10 @@
-//! Staged upgrades, which `stairstage_upgrade` decides on: this controller's membership, its write fence,
-//! and finalizing by the policy. Off unless the operators name an upgrade policy.
+//! Staged upgrades: this controller's membership, its write fence, and finalizing by the policy.
+//!
+//! The decisions are made in `stairstage_upgrade`. Staging is off unless an upgrade policy is configured.
 
 mod member;
 pub mod records;
-mod shared;
+mod shared_write_fence;
 
 pub use member::start;
-pub use shared::SharedWriteFence;
+pub use shared_write_fence::SharedWriteFence;
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -1,4 +1,4 @@
-//! The records of upgrades in the state service, and the driver of operations on them.
+//! Reads the upgrade records in the state service, and executes operations on them.
 
 use crate::protocol::store::{Transaction, VersionedValue};
 use crate::settings::Settings;
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The prefix of the keys of all records of upgrades.
+/// The key prefix of all upgrade records.
 const RECORD_PREFIX: &str = "cluster/";
-/// Pause after the state service was unavailable or refused a change.
+/// The pause after the state service was unavailable or rejected a change.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The names of all controllers in the settings, this one included, in order.
+/// The names of all controllers in the settings, including this one, sorted.
 pub fn configured(settings: &Settings) -> Vec<String> {
     let others = settings.peers.iter().map(|peer| peer.name.clone());
     let mut names: Vec<String> = others.chain([settings.name.clone()]).collect();
@@ -25,7 +25,7 @@
     names
 }
 
-/// Reads all records; returns them with the revision of the state service at which they were read.
+/// Reads all upgrade records; returns them with the revision of the state service at which they were read.
 ///
 /// # Errors
 /// When the state service is unavailable.
@@ -51,8 +51,8 @@
     Ok((snapshot, revision))
 }
 
-/// Removes a record from those that were read; returns it decoded, with its stamp. One that cannot be
-/// decoded counts as absent.
+/// Removes a record from those that were read, and returns it decoded with the version of its key. A record
+/// that cannot be decoded counts as absent.
 fn remove_decoded<T: DeserializeOwned>(
     records: &mut BTreeMap<String, VersionedValue>,
     key: &str,
@@ -61,13 +61,13 @@
     match serde_json::from_value(item.value) {
         Ok(value) => Some((value, item.version)),
         Err(error) => {
-            warn!(key, %error, "cannot decode a record");
+            warn!(key, %error, "cannot decode an upgrade record");
             None
         }
     }
 }
 
-/// Carries out an operation; blocks until it has ended.
+/// Executes an operation; blocks until it is finished.
 pub fn execute(
     store: &KeyValueStore,
     settings: &Settings,
@@ -93,7 +93,7 @@
     }
 }
 
-/// The times that a plan depends on, from the settings and the policy.
+/// The times that a plan depends on, taken from the settings and the policy.
 pub fn timing(settings: &Settings, policy: &UpgradePolicy, now_ms: u64) -> Timing {
     Timing {
         now_ms,
--- a/src/service/upgrade/shared.rs
+++ b/src/service/upgrade/shared_write_fence.rs
@@ -9,7 +9,7 @@
 pub struct SharedWriteFence(Arc<RwLock<WriteFence>>);
 
 impl SharedWriteFence {
-    /// A fence before the version record has been read; `staged` is whether upgrades are staged at all.
+    /// The fence before the version record has been read; `staged` is whether upgrades are staged at all.
     pub fn new(staged: bool) -> SharedWriteFence {
         let write_fence = if staged {
             WriteFence::Unread
@@ -19,13 +19,13 @@
         SharedWriteFence(Arc::new(RwLock::new(write_fence)))
     }
 
-    /// What is known of the active version now.
+    /// The current write fence.
     pub fn get(&self) -> WriteFence {
         *self.0.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies a version record that was read, with its stamp; returns whether the fence has changed.
-    pub fn read(&self, record: &VersionRecord, stamp: u64) -> bool {
+    /// Applies a version record and the version of its key; returns whether the fence has changed.
+    pub fn apply(&self, record: &VersionRecord, stamp: u64) -> bool {
         let mut write_fence = self.0.write().unwrap_or_else(PoisonError::into_inner);
         let before = *write_fence;
         write_fence.read(VersionRange::OF_THIS_RELEASE, record, stamp);
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -266,7 +266,7 @@
         term: term.clone(),
         token: FencingToken(1),
         epoch: Instant::now(),
-        report_interval: Duration::from_secs(1),
+        heartbeat_interval: Duration::from_secs(1),
     };
     let thread = std::thread::spawn(move || reader.run());
     let mut opened: Option<Vec<AcceptedJob>> = None;
