--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -81,7 +81,7 @@
 impl CommandContext {
     /// Reads the records; prints that the state service is unavailable otherwise.
     fn snapshot(&self) -> Option<Snapshot> {
-        let controllers = records::configured(&self.settings);
+        let controllers = records::configured_controllers(&self.settings);
         let result = records::read(&self.store, &controllers);
         if result.is_err() {
             eprintln!(
--- a/src/service/cloud_client.rs
+++ b/src/service/cloud_client.rs
@@ -14,7 +14,7 @@
 const CONNECTIONS: usize = 3;
 /// The timeout of one request.
 const TIMEOUT: Duration = Duration::from_secs(4);
-/// Attempts at a call before it fails.
+/// The maximum number of attempts at a call.
 const MAX_ATTEMPTS: u32 = 6;
 /// The pause after the first failed attempt. Each further pause is longer by the same amount.
 const BACKOFF: Duration = Duration::from_millis(300);
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -22,7 +22,7 @@
             Effect::ReturnMachines(names) => io_threads.call_cloud(CloudCall::Return(names)),
             Effect::RaiseToken => {
                 let term = FencingToken(self.term.load(Ordering::Relaxed));
-                self.request_election(ElectionRequest::RaiseToken { term });
+                self.send_election_request(ElectionRequest::RaiseToken { term });
             }
             Effect::JobEnded { id, state } => self.final_states.insert(&id, state),
             Effect::ReadEnds(ids) => self.read_final_states(ids),
--- a/src/service/controller/election_events.rs
+++ b/src/service/controller/election_events.rs
@@ -24,7 +24,7 @@
                 }
                 self.leader = leader;
             }
-            ElectionEvent::Elected { token } => self.accept_election(token),
+            ElectionEvent::Elected { token } => self.begin_term(token),
             ElectionEvent::LeaseExtended { valid_until } => self.extend_leader_lease(valid_until),
             ElectionEvent::TokenRaised(token) => {
                 let now = self.now();
@@ -41,11 +41,11 @@
     }
 
     /// Begins a term by reading the records, or steps down immediately if this controller must not lead.
-    fn accept_election(&mut self, token: FencingToken) {
+    fn begin_term(&mut self, token: FencingToken) {
         let must_withdraw = self.handles.write_fence.get().must_withdraw();
         // With a token below the promised one, a later term began before this election was observed.
         if must_withdraw || token < self.promised_token {
-            self.request_election(ElectionRequest::Resign { term: token });
+            self.send_election_request(ElectionRequest::Resign { term: token });
             return;
         }
         info!(%token, "elected leader");
@@ -79,7 +79,7 @@
         };
         if let Err(error) = spawn("records", move || reader.run()) {
             warn!(error = %format_args!("{error:#}"), "cannot start the record reader");
-            self.request_election(ElectionRequest::Resign { term: token });
+            self.send_election_request(ElectionRequest::Resign { term: token });
         }
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    pub(super) fn request_election(&self, request: ElectionRequest) {
+    pub(super) fn send_election_request(&self, request: ElectionRequest) {
         let _ = self.handles.election_requests.try_send(request);
     }
 
@@ -127,7 +127,7 @@
     pub(super) fn step_down(&mut self) {
         let term = FencingToken(self.term.load(Ordering::Relaxed));
         self.become_follower();
-        self.request_election(ElectionRequest::Resign { term });
+        self.send_election_request(ElectionRequest::Resign { term });
     }
 
     /// Becomes a follower. The threads of the term stop when they see that it is over.
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -56,9 +56,9 @@
 /// The maximum number of users' requests in the queue.
 const MAX_WAITING_REQUESTS: usize = 128;
 /// The idle timeout of a connection, in heartbeat intervals.
-const IDLE_HEARTBEATS: f64 = 10.0;
+const IDLE_TIMEOUT_HEARTBEATS: f64 = 10.0;
 /// The minimum idle timeout of a connection, in seconds.
-const MIN_IDLE_S: f64 = 20.0;
+const MIN_IDLE_TIMEOUT_S: f64 = 20.0;
 /// The timeout for receiving a request's body: the time that its sender waits for an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(4);
 /// A leadership lease is at most a worker's lease divided by this.
@@ -86,7 +86,7 @@
     shared.start_gateways(&tasks)?;
     let handles = shared.controller_handles(election_requests)?;
     let controller = Controller::new(shared.settings.clone(), shared.epoch, handles);
-    shared.serve_users()?;
+    shared.start_api_server()?;
     tracing::info!(
         controller = %shared.settings.name,
         address = %shared.settings.front,
@@ -121,7 +121,7 @@
         let epoch = Instant::now();
         let cancellations = CancellationLog::new(cancellation_capacity(&settings));
         let runtime = Runtime::start().context("cannot start the runtime")?;
-        let peers = listen_for_peers(&settings, &runtime, &inbox, &requests, &cancellations)?;
+        let peers = start_peer_server(&settings, &runtime, &inbox, &requests, &cancellations)?;
         Ok(SharedResources {
             epoch,
             inbox,
@@ -210,7 +210,7 @@
     }
 
     /// Starts the API server.
-    fn serve_users(&self) -> anyhow::Result<()> {
+    fn start_api_server(&self) -> anyhow::Result<()> {
         let router = CallRouter {
             inbox: self.inbox.clone(),
             requests: self.requests.clone(),
@@ -231,7 +231,7 @@
     }
 }
 
-fn listen_for_peers(
+fn start_peer_server(
     settings: &Settings,
     runtime: &Runtime,
     inbox: &Sender<Message>,
@@ -286,7 +286,7 @@
         connections: settings.front_connections(),
         workers: settings.worker_connections(),
         users: settings.user_connections(),
-        idle: Duration::from_secs_f64((IDLE_HEARTBEATS * report_s).max(MIN_IDLE_S)),
+        idle: Duration::from_secs_f64((IDLE_TIMEOUT_HEARTBEATS * report_s).max(MIN_IDLE_TIMEOUT_S)),
         body: BODY_TIMEOUT,
     }
 }
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -87,7 +87,7 @@
     /// renewal is due.
     fn run_round(&mut self) -> Result<(), Unavailable> {
         let registered = self.keep_registered();
-        let controllers = records::configured(&self.settings);
+        let controllers = records::configured_controllers(&self.settings);
         let (snapshot, revision) = records::read(&self.store, &controllers)?;
         self.update_write_fence(&snapshot);
         registered?;
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -18,7 +18,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// The names of all controllers in the settings, including this one, sorted.
-pub fn configured(settings: &Settings) -> Vec<String> {
+pub fn configured_controllers(settings: &Settings) -> Vec<String> {
     let others = settings.peers.iter().map(|peer| peer.name.clone());
     let mut names: Vec<String> = others.chain([settings.name.clone()]).collect();
     names.sort();
@@ -75,7 +75,7 @@
     request: Request,
     now_ms: impl Fn() -> u64,
 ) -> operation::Outcome {
-    let controllers = configured(settings);
+    let controllers = configured_controllers(settings);
     let timing = timing(settings, policy, now_ms());
     let (mut operation, mut step) = Operation::begin(request, policy.clone(), timing);
     loop {
