--- a/src/coordination/election/messages.rs
+++ b/src/coordination/election/messages.rs
@@ -1,5 +1,5 @@
-//! The election's interface: the operations that it has its driver carry out and their outcomes, the
-//! events that it reports to the controller, and the controller's requests.
+//! The election's interface: operations for the driver and their outcomes, events for the controller,
+//! and requests from the controller.
 
 use crate::coordination::Time;
 use crate::protocol::ids::FencingToken;
@@ -7,68 +7,70 @@
 use crate::storage::outcome::{CommitOutcome, Renewal, Unavailable};
 use std::time::Duration;
 
-/// What the election reports to the controller.
+/// An event for the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ElectionEvent {
-    /// This node follows: the leader as last read, or `None` since its record is gone.
+    /// This controller is a follower: the name of the leader, or `None` if the leader record was
+    /// deleted.
     LeaderObserved(Option<String>),
-    /// This node has won an election: it leads a new term with this fencing token.
+    /// This controller has won an election and leads a new term.
     Elected {
-        /// The fencing token. It identifies the term, too, also after the token has been raised.
+        /// The term's first fencing token. It identifies the term even after the token is raised.
         token: FencingToken,
     },
-    /// This node's leadership lease was granted or renewed.
+    /// This controller's leadership lease was granted or renewed.
     LeaseExtended {
-        /// Until when the lease is valid at least, by this node's clock.
+        /// The time by this controller's clock until which the lease is valid at least.
         valid_until: Time,
     },
-    /// The response to [`ElectionRequest::RaiseToken`]: the fencing token from now on, or `None` if it
-    /// is unchanged.
+    /// The response to [`ElectionRequest::RaiseToken`]: the new fencing token, or `None` if the token
+    /// was not raised.
     TokenRaised(Option<FencingToken>),
-    /// This node's term is over: its lease has expired or it has resigned.
-    Deposed,
+    /// This controller's term is over: its lease has expired or it has stepped down.
+    TermEnded,
 }
 
-/// A request of the controller to the election. It is meant for the term that began with the fencing
-/// token `term`; a request for a term that is over has no effect on a later one.
+/// A request from the controller to the election. It applies to the term that began with the fencing
+/// token `term`; a request for an earlier term is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionRequest {
-    /// Obtain a higher fencing token within the same term.
+    /// Raise the fencing token within the term.
     RaiseToken {
         /// The term's first token.
         term: FencingToken,
     },
-    /// Give leadership up, and let other nodes campaign first.
-    Resign {
+    /// Step down, and let the other controllers campaign first.
+    StepDown {
         /// The term's first token.
         term: FencingToken,
     },
 }
 
 impl ElectionRequest {
-    /// The first token of the term that the request is meant for.
+    /// The first token of the term that the request applies to.
     pub fn term(&self) -> FencingToken {
         match self {
-            ElectionRequest::RaiseToken { term } | ElectionRequest::Resign { term } => *term,
+            ElectionRequest::RaiseToken { term } | ElectionRequest::StepDown { term } => *term,
         }
     }
 }
 
-/// The leader's record as it was read.
+/// The leader record as read from the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CurrentLeader {
     /// The leader's name.
-    pub node: String,
+    pub name: String,
     /// The version of the record, which is the leader's fencing token.
     pub version: u64,
 }
 
-/// The outcome of an [`Operation`], as reported by the driver.
+/// The outcome of an [`Operation`].
 #[derive(Debug)]
 pub enum Input {
-    /// Of [`Operation::Read`]: the leader's record, or `None` if there is none.
+    /// Of [`Operation::Read`]: the leader record, or `None` if it does not exist.
     Read(Result<Option<CurrentLeader>, Unavailable>),
-    /// Of [`Operation::Watch`]: the changes, or `None` if the revision was too old to continue from.
+    /// Of [`Operation::Watch`]: the changes, or `None` if the state service no longer has the changes
+    /// after the requested revision.
     Watched(Result<Option<Events>, Unavailable>),
     /// Of [`Operation::Grant`]: the new lease.
     Granted(Result<LeaseId, Unavailable>),
@@ -78,31 +80,31 @@
     Renewed(Renewal),
     /// Of [`Operation::Release`], whether or not it succeeded.
     Released,
-    /// Of [`Operation::Wait`]: a request came before the time.
+    /// Of [`Operation::Wait`]: a request was received before the deadline.
     Requested(ElectionRequest),
-    /// Of [`Operation::Wait`]: the time has come.
+    /// Of [`Operation::Wait`]: the deadline has passed.
     Elapsed,
 }
 
-/// An operation for the driver to carry out. It reports the outcome as an [`Input`].
+/// An operation for the driver, which returns the outcome as an [`Input`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// Read the leader's record.
+    /// Read the leader record.
     Read {
         /// The timeout; `None` for the default of the state service's client.
         timeout: Option<Duration>,
     },
-    /// Wait for a change of the leader's record.
+    /// Wait for a change of the leader record.
     Watch {
-        /// The revision after which changes count.
+        /// The revision after which changes are returned.
         after: u64,
-        /// How long to wait.
+        /// How long the state service holds the request open if there is no change.
         hold: Duration,
     },
     /// Request a new lease.
     Grant {
         /// The time after which the lease expires unless it is renewed.
-        life: Duration,
+        lease_duration: Duration,
     },
     /// Commit a transaction.
     Commit {
@@ -118,22 +120,22 @@
         /// The timeout.
         timeout: Duration,
     },
-    /// End a lease, and with it the records that are attached to it.
+    /// Revoke a lease, which deletes the records attached to it.
     Release {
         /// The lease.
         lease: LeaseId,
     },
-    /// Wait for a time of the node's clock, or for a request of the controller's.
+    /// Wait until a deadline or until the controller sends a request.
     Wait {
-        /// The time.
+        /// The deadline by this controller's clock.
         until: Time,
     },
 }
 
-/// What follows from an input. The driver first reports the events, then carries the operation out.
+/// The result of an input. The driver first delivers the events, then executes the operation.
 #[derive(Debug, PartialEq)]
 pub struct Step {
-    /// The events for the controller, in this order.
+    /// The events for the controller, in order.
     pub events: Vec<ElectionEvent>,
     /// The next operation.
     pub operation: Operation,
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -1,17 +1,18 @@
 //! Leader election by a record in the state service that is attached to a lease.
 //!
-//! A node *campaigns* by writing its name into the leader's record, attached to a lease of its own, on
-//! the condition that the record is unchanged. The winner leads a *term* for as long as it renews the
-//! lease; when the lease expires, or the leader *resigns*, the record is deleted and the others
-//! campaign (*failover*). The version of the record is the leader's *fencing token*: tokens come from
-//! nowhere else and only rise, so workers and the state service can reject a deposed leader.
+//! A controller *campaigns* by a compare-and-swap that writes its name into the leader record and
+//! attaches the record to the controller's lease. The winner leads a *term* for as long as it renews
+//! the lease. When the lease expires, or the leader *steps down*, the record is deleted and the other
+//! controllers campaign (*failover*). The version of the record is the leader's *fencing token*. Every
+//! token is such a version, and versions only increase, so workers and the state service can reject a
+//! former leader.
 //!
-//! [`Election`] is a pure state machine without clocks, threads or sockets. Its driver carries out one
-//! [`Operation`] at a time and reports the outcome as an [`Input`], with the time of its clock.
+//! [`Election`] is a pure state machine without clocks, threads or sockets. Its driver executes one
+//! [`Operation`] at a time and returns the outcome as an [`Input`], with the time of its clock.
 //!
-//! - `state_machine`: following, campaigning, and leading by a `term`
-//! - `term`: a leader's renewals and the raising of its token
-//! - `leadership_lease`: the record and the timing that both share
+//! - `state_machine`: following, campaigning and leading; delegates to `term` while leading
+//! - `term`: renews a leader's lease and raises its token
+//! - `leadership_lease`: the leader record and the timing that both use
 //! - `messages`: the types of the interface
 
 mod leadership_lease;
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -2,7 +2,7 @@
 
 use super::leadership_lease::{self, leader_transaction, RETRIES_PER_LEASE};
 use super::messages::{CurrentLeader, ElectionEvent, Input, Operation, Step};
-use super::term::{Term, TermEnd};
+use super::term::{Term, TermEndReason};
 use crate::coordination::Time;
 use crate::protocol::ids::FencingToken;
 use crate::protocol::store::{Events, LeaseId};
@@ -10,73 +10,74 @@
 use std::time::Duration;
 use tracing::{debug, error, info, warn};
 
-/// The time that a watch of the leader's record is held open for, in leases.
+/// How long a watch of the leader record is held open, in lease durations.
 const WATCH_LEASES: u32 = 4;
 
-/// One node's part in the election.
+/// The election state machine of one controller.
 pub struct Election {
-    node: String,
+    controller: String,
     lease_duration: Duration,
     state: State,
-    /// Events for the controller, reported with the next step.
+    /// Events to return with the next step.
     events: Vec<ElectionEvent>,
 }
 
-/// The state by the operation that is in progress.
+/// The state, which corresponds to the operation in progress.
 enum State {
-    /// Reads the leader's record.
+    /// Reading the leader record.
     Reading,
-    /// Follows another node: watches the leader's record for changes after this revision.
+    /// Following another controller: watching the leader record for changes after this revision.
     Following { after: u64 },
-    /// Requests a lease, to campaign against this version of the leader's record.
+    /// Requesting a lease, in order to campaign against this version of the leader record.
     Granting { version: u64, requested_at: Time },
-    /// Campaigns: writes the leader's record with a lease that was requested at that time.
+    /// Campaigning: writing the leader record with the lease that was requested at that time.
     Campaigning { lease: LeaseId, requested_at: Time },
-    /// Releases a lease.
+    /// Releasing a lease.
     Releasing { next: AfterRelease },
-    /// Pauses until that time.
+    /// Waiting until that time.
     Pausing { until: Time, next: AfterPause },
-    /// Leads.
+    /// Leading a term.
     Leading(Term),
 }
 
-/// What follows when a lease is released.
+/// The state after the release of a lease.
 enum AfterRelease {
-    /// The campaign was lost: read who leads.
+    /// The campaign was lost: read the leader record.
     Read,
-    /// This node has resigned: let the others campaign for the duration of a lease.
+    /// This controller has stepped down: do not campaign for one lease duration, so that another
+    /// controller can win.
     Abstain,
 }
 
-/// What follows a pause.
+/// The state after a pause.
 enum AfterPause {
     Read,
     Watch { after: u64 },
 }
 
 impl Election {
-    /// The election of `node`, whose leadership leases last for `lease_duration`.
-    pub fn new(node: impl Into<String>, lease_duration: Duration) -> Election {
+    /// Creates the state machine of `controller`, which campaigns with leases of `lease_duration`.
+    pub fn new(controller: impl Into<String>, lease_duration: Duration) -> Election {
         Election {
-            node: node.into(),
+            controller: controller.into(),
             lease_duration,
             state: State::Reading,
             events: Vec::new(),
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&mut self) -> Step {
         let operation = self.read();
         self.step(operation)
     }
 
-    /// Handles the outcome of the last operation at that time of the node's clock.
+    /// Handles the outcome of the last operation. `now` is the time of this controller's clock.
     pub fn handle(&mut self, input: Input, now: Time) -> Step {
         let operation = match (std::mem::replace(&mut self.state, State::Reading), input) {
-            (State::Reading, Input::Read(record)) => self.record_read(record, now),
+            (State::Reading, Input::Read(record)) => self.on_record(record, now),
             (State::Following { after }, Input::Watched(events)) => {
-                self.watched(after, events, now)
+                self.on_watch_events(after, events, now)
             }
             (
                 State::Granting {
@@ -84,20 +85,20 @@
                     requested_at,
                 },
                 Input::Granted(lease),
-            ) => self.granted(version, requested_at, lease, now),
+            ) => self.on_lease_granted(version, requested_at, lease, now),
             (
                 State::Campaigning {
                     lease,
                     requested_at,
                 },
                 Input::Committed(outcome),
-            ) => self.campaign_ended(lease, requested_at, outcome, now),
-            (State::Releasing { next }, Input::Released) => self.released(next, now),
-            // Requests are meant for a leader; a node that pauses ignores them.
+            ) => self.on_campaign_outcome(lease, requested_at, outcome, now),
+            (State::Releasing { next }, Input::Released) => self.on_released(next, now),
+            // Requests apply to a term, so a controller that does not lead ignores them.
             (State::Pausing { until, next }, Input::Elapsed | Input::Requested(_)) => {
-                self.paused(until, next, now)
+                self.on_pause_input(until, next, now)
             }
-            (State::Leading(term), input) => self.lead(term, input, now),
+            (State::Leading(term), input) => self.on_term_input(term, input, now),
             (_, input) => {
                 error!(?input, "unexpected outcome of an election operation");
                 self.read()
@@ -132,7 +133,7 @@
             requested_at: now,
         };
         Operation::Grant {
-            life: self.lease_duration,
+            lease_duration: self.lease_duration,
         }
     }
 
@@ -151,7 +152,7 @@
         Operation::Release { lease }
     }
 
-    fn record_read(
+    fn on_record(
         &mut self,
         record: Result<Option<CurrentLeader>, Unavailable>,
         now: Time,
@@ -159,18 +160,20 @@
         match record {
             Err(Unavailable) => self.retry(AfterPause::Read, now),
             Ok(None) => self.campaign(0, now),
-            // This node's own record, of an earlier process or of a campaign with an unknown outcome:
-            // nobody renews its lease.
-            Ok(Some(leader)) if leader.node == self.node => self.campaign(leader.version, now),
+            // The record names this controller: it was written by an earlier process or by a campaign
+            // whose outcome is unknown. Its lease is not renewed by anyone, so campaign at once.
+            Ok(Some(leader)) if leader.name == self.controller => {
+                self.campaign(leader.version, now)
+            }
             Ok(Some(leader)) => {
                 self.events
-                    .push(ElectionEvent::LeaderObserved(Some(leader.node)));
+                    .push(ElectionEvent::LeaderObserved(Some(leader.name)));
                 self.follow(leader.version)
             }
         }
     }
 
-    fn watched(
+    fn on_watch_events(
         &mut self,
         after: u64,
         events: Result<Option<Events>, Unavailable>,
@@ -183,7 +186,7 @@
                 None => self.follow(after.max(changes.revision)),
                 Some(last) => {
                     if last.delete.is_some() {
-                        debug!(node = %self.node, "the leader's record was deleted");
+                        debug!(controller = %self.controller, "leader record deleted");
                         self.events.push(ElectionEvent::LeaderObserved(None));
                     }
                     self.read()
@@ -192,7 +195,7 @@
         }
     }
 
-    fn granted(
+    fn on_lease_granted(
         &mut self,
         version: u64,
         requested_at: Time,
@@ -207,12 +210,12 @@
             requested_at,
         };
         Operation::Commit {
-            transaction: leader_transaction(&self.node, version, lease),
+            transaction: leader_transaction(&self.controller, version, lease),
             timeout: None,
         }
     }
 
-    fn campaign_ended(
+    fn on_campaign_outcome(
         &mut self,
         lease: LeaseId,
         requested_at: Time,
@@ -223,11 +226,17 @@
             CommitOutcome::Applied(version) => {
                 let token = FencingToken(version);
                 self.events.push(ElectionEvent::Elected { token });
-                self.events.push(leadership_lease::extended(
+                self.events.push(leadership_lease::lease_extended(
                     requested_at,
                     self.lease_duration,
                 ));
-                let mut term = Term::new(self.node.clone(), token, lease, self.lease_duration, now);
+                let mut term = Term::new(
+                    self.controller.clone(),
+                    token,
+                    lease,
+                    self.lease_duration,
+                    now,
+                );
                 let operation = term.next_operation(now);
                 self.state = State::Leading(term);
                 operation
@@ -242,14 +251,14 @@
         }
     }
 
-    fn released(&mut self, next: AfterRelease, now: Time) -> Operation {
+    fn on_released(&mut self, next: AfterRelease, now: Time) -> Operation {
         match next {
             AfterRelease::Read => self.read(),
             AfterRelease::Abstain => self.pause(self.lease_duration, AfterPause::Read, now),
         }
     }
 
-    fn paused(&mut self, until: Time, next: AfterPause, now: Time) -> Operation {
+    fn on_pause_input(&mut self, until: Time, next: AfterPause, now: Time) -> Operation {
         if now < until {
             self.state = State::Pausing { until, next };
             return Operation::Wait { until };
@@ -260,20 +269,20 @@
         }
     }
 
-    fn lead(&mut self, mut term: Term, input: Input, now: Time) -> Operation {
+    fn on_term_input(&mut self, mut term: Term, input: Input, now: Time) -> Operation {
         match term.handle(input, now, &mut self.events) {
             Ok(operation) => {
                 self.state = State::Leading(term);
                 operation
             }
-            Err(TermEnd::LeaseExpired) => {
-                warn!(node = %self.node, token = %term.token(), "leadership lease expired");
-                self.events.push(ElectionEvent::Deposed);
+            Err(TermEndReason::LeaseExpired) => {
+                warn!(controller = %self.controller, token = %term.token(), "leadership lease expired");
+                self.events.push(ElectionEvent::TermEnded);
                 self.read()
             }
-            Err(TermEnd::Resigned) => {
-                info!(node = %self.node, token = %term.token(), "resigning leadership");
-                self.events.push(ElectionEvent::Deposed);
+            Err(TermEndReason::SteppedDown) => {
+                info!(controller = %self.controller, token = %term.token(), "stepping down");
+                self.events.push(ElectionEvent::TermEnded);
                 self.release(term.lease(), AfterRelease::Abstain)
             }
         }
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -1,10 +1,10 @@
-//! A leader's term: it renews the leadership lease for as long as the state service allows, and raises
-//! the fencing token on the controller's request.
+//! A leader's term: renews the leadership lease until it expires, and raises the fencing token on the
+//! controller's request.
 //!
-//! A raise is a transaction that rewrites the leader's record, conditional on the token that it
-//! replaces. If its response is lost, the transaction may be applied at any later time. It is therefore
-//! retried until one copy is known to be applied, which makes all others fail. Until then the
-//! controller gets no response, and must expect that the token may rise.
+//! Raising the token means rewriting the leader record by compare-and-swap on the current token. If the
+//! response to the transaction is lost, the transaction may still be applied later. It is therefore
+//! retried until one of the attempts is known to be applied, which makes all others fail. Until then
+//! the controller gets no response, and must allow for a change of the token at any time.
 
 use super::leadership_lease::{self, leader_transaction, RENEWALS_PER_LEASE, RETRIES_PER_LEASE};
 use super::messages::{CurrentLeader, ElectionEvent, ElectionRequest, Input, Operation};
@@ -15,27 +15,27 @@
 use std::time::Duration;
 use tracing::error;
 
-/// The timeout of a renewal is a lease divided by this.
+/// The timeout of a renewal is the lease duration divided by this.
 const RENEWAL_TIMEOUTS_PER_LEASE: u32 = 2;
-/// The timeout of an attempt to raise the token is a lease divided by this. It is shorter, as
-/// renewals wait for it.
+/// The timeout of an attempt to raise the token is the lease duration divided by this. It is shorter
+/// than that of a renewal, because renewals wait while an attempt is in progress.
 const RAISE_TIMEOUTS_PER_LEASE: u32 = 4;
 
 /// Why a term ended.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum TermEnd {
+pub(super) enum TermEndReason {
     /// The lease has expired.
     LeaseExpired,
-    /// The controller has resigned; the lease is still to be released.
-    Resigned,
+    /// The controller has stepped down. The caller has to release the lease.
+    SteppedDown,
 }
 
 /// The term of a leader.
 pub(super) struct Term {
-    node: String,
-    /// The token that the term began with, which identifies it.
+    controller: String,
+    /// The first token of the term, which identifies the term.
     first_token: FencingToken,
-    /// The highest token that is known to be this term's.
+    /// The highest token known to belong to this term.
     token: FencingToken,
     lease: LeaseId,
     lease_duration: Duration,
@@ -53,19 +53,19 @@
     ReadBack,
 }
 
-/// A raise of the token whose outcome is open.
+/// A raise of the token that is not finished.
 #[derive(Clone, Copy)]
 struct TokenRaise {
     next: RaiseStep,
     not_before: Time,
-    /// Whether the outcome of a transaction is unknown, so that it may be applied at any time.
+    /// Whether the outcome of an earlier transaction is unknown, so that it may still be applied.
     is_indeterminate: bool,
 }
 
 /// The next step of a raise.
 #[derive(Clone, Copy)]
 enum RaiseStep {
-    /// Rewrite the leader's record.
+    /// Rewrite the leader record.
     Commit,
     /// Read the record, to learn whether an earlier transaction was applied.
     ReadBack,
@@ -73,14 +73,14 @@
 
 impl Term {
     pub(super) fn new(
-        node: String,
+        controller: String,
         token: FencingToken,
         lease: LeaseId,
         lease_duration: Duration,
         now: Time,
     ) -> Term {
         Term {
-            node,
+            controller,
             first_token: token,
             token,
             lease,
@@ -99,29 +99,29 @@
         self.lease
     }
 
-    /// Handles the outcome of the last operation; returns the next one, or why the term ended.
+    /// Handles the outcome of the last operation. Returns the next operation, or why the term ended.
     pub(super) fn handle(
         &mut self,
         input: Input,
         now: Time,
         events: &mut Vec<ElectionEvent>,
-    ) -> Result<Operation, TermEnd> {
+    ) -> Result<Operation, TermEndReason> {
         match (self.in_progress, input) {
             (InProgress::Wait, Input::Elapsed) => {}
-            (InProgress::Wait, Input::Requested(request)) => self.requested(request, now)?,
+            (InProgress::Wait, Input::Requested(request)) => self.on_request(request, now)?,
             (InProgress::Renew { sent_at }, Input::Renewed(renewal)) => {
-                self.renewed(sent_at, renewal, now, events)?;
+                self.on_renewal(sent_at, renewal, now, events)?;
             }
             (InProgress::RaiseToken, Input::Committed(outcome)) => {
-                self.raise_committed(outcome, now, events);
+                self.on_raise_outcome(outcome, now, events);
             }
-            (InProgress::ReadBack, Input::Read(record)) => self.read_back(record, now, events),
+            (InProgress::ReadBack, Input::Read(record)) => self.on_read_back(record, now, events),
             (_, input) => error!(?input, "unexpected outcome of an election operation"),
         }
         Ok(self.next_operation(now))
     }
 
-    /// The next operation. Renewals take precedence.
+    /// Returns the next operation. Renewals take precedence over raises.
     pub(super) fn next_operation(&mut self, now: Time) -> Operation {
         if now >= self.renew_at {
             self.in_progress = InProgress::Renew { sent_at: now };
@@ -148,7 +148,7 @@
             RaiseStep::Commit => {
                 self.in_progress = InProgress::RaiseToken;
                 Operation::Commit {
-                    transaction: leader_transaction(&self.node, self.token.0, self.lease),
+                    transaction: leader_transaction(&self.controller, self.token.0, self.lease),
                     timeout,
                 }
             }
@@ -159,12 +159,11 @@
         }
     }
 
-    /// Handles a request of the controller.
-    fn requested(&mut self, request: ElectionRequest, now: Time) -> Result<(), TermEnd> {
+    fn on_request(&mut self, request: ElectionRequest, now: Time) -> Result<(), TermEndReason> {
         match request {
-            // The controller did not know of this term yet.
+            // The request is for an earlier term.
             request if request.term() != self.first_token => Ok(()),
-            ElectionRequest::Resign { .. } => Err(TermEnd::Resigned),
+            ElectionRequest::StepDown { .. } => Err(TermEndReason::SteppedDown),
             ElectionRequest::RaiseToken { .. } => {
                 self.raise.get_or_insert(TokenRaise {
                     next: RaiseStep::Commit,
@@ -176,26 +175,29 @@
         }
     }
 
-    fn renewed(
+    fn on_renewal(
         &mut self,
         sent_at: Time,
         renewal: Renewal,
         now: Time,
         events: &mut Vec<ElectionEvent>,
-    ) -> Result<(), TermEnd> {
+    ) -> Result<(), TermEndReason> {
         let interval = (self.lease_duration / RENEWALS_PER_LEASE).as_secs_f64();
         match renewal {
             Renewal::Renewed => {
-                events.push(leadership_lease::extended(sent_at, self.lease_duration));
+                events.push(leadership_lease::lease_extended(
+                    sent_at,
+                    self.lease_duration,
+                ));
                 self.renew_at = sent_at + interval;
             }
-            Renewal::Expired => return Err(TermEnd::LeaseExpired),
+            Renewal::Expired => return Err(TermEndReason::LeaseExpired),
             Renewal::Unavailable => self.renew_at = now + interval / 2.0,
         }
         Ok(())
     }
 
-    fn raise_committed(
+    fn on_raise_outcome(
         &mut self,
         outcome: CommitOutcome,
         now: Time,
@@ -203,14 +205,14 @@
     ) {
         let is_indeterminate = self.raise.is_some_and(|raise| raise.is_indeterminate);
         match outcome {
-            CommitOutcome::Applied(version) => self.raised(FencingToken(version), events),
+            CommitOutcome::Applied(version) => self.finish_raise(FencingToken(version), events),
             CommitOutcome::Unknown => self.continue_raise(RaiseStep::ReadBack, now),
-            // An earlier copy was applied, or leadership is lost.
+            // An earlier attempt was applied, or another controller leads.
             CommitOutcome::Conflict(_) if is_indeterminate => {
                 self.continue_raise(RaiseStep::ReadBack, now);
             }
-            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => self.not_raised(now, events),
-            // This copy was not applied, but an earlier one may be.
+            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => self.fail_raise(now, events),
+            // This attempt was not applied, but an earlier one may be.
             CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge
                 if is_indeterminate =>
             {
@@ -223,7 +225,7 @@
         }
     }
 
-    fn read_back(
+    fn on_read_back(
         &mut self,
         record: Result<Option<CurrentLeader>, Unavailable>,
         now: Time,
@@ -232,17 +234,19 @@
         let retry_at = now + self.retry_interval();
         match record {
             Err(Unavailable) => self.continue_raise(RaiseStep::ReadBack, retry_at),
-            Ok(Some(leader)) if leader.node == self.node && leader.version == self.token.0 => {
+            Ok(Some(leader))
+                if leader.name == self.controller && leader.version == self.token.0 =>
+            {
                 self.continue_raise(RaiseStep::Commit, retry_at);
             }
-            Ok(Some(leader)) if leader.node == self.node => {
-                self.raised(FencingToken(leader.version), events);
+            Ok(Some(leader)) if leader.name == self.controller => {
+                self.finish_raise(FencingToken(leader.version), events);
             }
-            Ok(_) => self.not_raised(now, events),
+            Ok(_) => self.fail_raise(now, events),
         }
     }
 
-    /// Retries a raise of which a transaction may have been, or may yet be, applied.
+    /// Continues a raise for which an indeterminate transaction has been sent.
     fn continue_raise(&mut self, next: RaiseStep, not_before: Time) {
         self.raise = Some(TokenRaise {
             next,
@@ -251,14 +255,15 @@
         });
     }
 
-    fn raised(&mut self, token: FencingToken, events: &mut Vec<ElectionEvent>) {
+    fn finish_raise(&mut self, token: FencingToken, events: &mut Vec<ElectionEvent>) {
         self.token = token;
         self.raise = None;
         events.push(ElectionEvent::TokenRaised(Some(token)));
     }
 
-    /// The record is not this term's any more: a renewal shows whether the lease has expired.
-    fn not_raised(&mut self, now: Time, events: &mut Vec<ElectionEvent>) {
+    /// Ends a raise because the leader record no longer belongs to this term. Renews at once, to find
+    /// out whether the lease has expired.
+    fn fail_raise(&mut self, now: Time, events: &mut Vec<ElectionEvent>) {
         self.raise = None;
         self.renew_at = now;
         events.push(ElectionEvent::TokenRaised(None));
--- a/src/service/controller/election_events.rs
+++ b/src/service/controller/election_events.rs
@@ -32,7 +32,7 @@
                     manager.token_raised(token, now);
                 }
             }
-            ElectionEvent::Deposed => {
+            ElectionEvent::TermEnded => {
                 if !self.role.is_follower() {
                     self.step_down();
                 }
@@ -45,7 +45,7 @@
         let must_withdraw = self.handles.write_fence.get().must_withdraw();
         // A lower token than promised: the term was over before this node learned of its election.
         if must_withdraw || token < self.promised_token {
-            self.request_election(ElectionRequest::Resign { term: token });
+            self.request_election(ElectionRequest::StepDown { term: token });
             return;
         }
         info!(%token, "elected leader");
@@ -79,7 +79,7 @@
         };
         if let Err(error) = spawn("records", move || reader.run()) {
             warn!(error = %format_args!("{error:#}"), "record reader not started");
-            self.request_election(ElectionRequest::Resign { term: token });
+            self.request_election(ElectionRequest::StepDown { term: token });
         }
     }
 
@@ -127,7 +127,7 @@
     pub(super) fn resign(&mut self) {
         let term = FencingToken(self.term.load(Ordering::Relaxed));
         self.step_down();
-        self.request_election(ElectionRequest::Resign { term });
+        self.request_election(ElectionRequest::StepDown { term });
     }
 
     /// Becomes a follower. The threads of the term end by themselves.
--- a/src/service/election_driver.rs
+++ b/src/service/election_driver.rs
@@ -63,8 +63,8 @@
                 Input::Watched(self.store.watch(LEADER_KEY, after, hold))
             }
             // Every campaign begins with a lease.
-            Operation::Grant { life } => match self.write_fence.get().refusal() {
-                None => Input::Granted(self.store.grant(life)),
+            Operation::Grant { lease_duration } => match self.write_fence.get().refusal() {
+                None => Input::Granted(self.store.grant(lease_duration)),
                 Some(Refusal::VersionUnread) => Input::Granted(Err(Unavailable)),
                 Some(Refusal::Withdrawn(_)) => return None,
             },
@@ -93,7 +93,7 @@
             None => self.store.read::<LeaderRecord>(LEADER_KEY)?,
         };
         Ok(read.map(|(record, version)| CurrentLeader {
-            node: record.node,
+            name: record.node,
             version,
         }))
     }
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -138,8 +138,8 @@
                 self.schedule(at, timeout);
                 return None;
             }
-            Operation::Grant { life } => {
-                let life = life.as_micros() as Micros;
+            Operation::Grant { lease_duration } => {
+                let life = lease_duration.as_micros() as Micros;
                 Input::Granted(Ok(self.store.grant(life, self.now)))
             }
             Operation::Commit { transaction, .. } => {
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -19,7 +19,7 @@
         };
         if let Some(term) = process.term.take() {
             let term = FencingToken(term.first_token);
-            self.request(node, ElectionRequest::Resign { term });
+            self.request(node, ElectionRequest::StepDown { term });
         }
     }
 
@@ -164,7 +164,7 @@
                 term.raising = false;
                 term.token = term.token.max(token.map_or(0, |token| token.0));
             }
-            (ElectionEvent::Deposed, term) => *term = None,
+            (ElectionEvent::TermEnded, term) => *term = None,
             _ => {}
         }
     }
--- a/tests/common/election_cluster/mod.rs
+++ b/tests/common/election_cluster/mod.rs
@@ -244,7 +244,7 @@
     /// The node that the leader's record names, whether or not it knows.
     pub(crate) fn recorded_leader(&self) -> Option<usize> {
         let record = self.store.leader()?;
-        self.nodes.iter().position(|node| node.name == record.node)
+        self.nodes.iter().position(|node| node.name == record.name)
     }
 
     /// Simulates until that time.
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -151,7 +151,7 @@
         let stored = self.keys.get(LEADER_KEY)?;
         let record: LeaderRecord = serde_json::from_value(stored.value.clone()).unwrap();
         Some(CurrentLeader {
-            node: record.node,
+            name: record.node,
             version: stored.version,
         })
     }
@@ -206,7 +206,7 @@
             return;
         }
         if let Some(leader) = self.leader() {
-            self.leader_versions.insert(leader.version, leader.node);
+            self.leader_versions.insert(leader.version, leader.name);
         }
         self.leader_changes.push(Event {
             put: value.is_some().then(|| key.to_string()),
