--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -11,8 +11,8 @@
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
 
-/// Writes a record of a job by compare-and-swap on the absence of all its records. This makes
-/// submissions idempotent: a repeated one meets a conflict, and looks the job up.
+/// Writes the first record of a job, on condition that the job has no record yet. This makes
+/// submissions idempotent: a repeated one conflicts, and looks up the job.
 pub(super) struct Acceptance {
     job: String,
     transaction: Transaction,
@@ -21,20 +21,20 @@
     lookup: Option<JobLookup>,
 }
 
-/// What has come of an [`Acceptance`].
+/// The outcome of an [`Acceptance`].
 pub(super) enum AcceptanceOutcome {
     /// This request has accepted the job.
     Created {
-        /// The version of the record that it wrote.
+        /// The version of the record that was written.
         version: u64,
     },
-    /// The job was accepted before, perhaps by an attempt of this request without a response; its
-    /// state, unless it can't be read yet.
+    /// The job was accepted before, possibly by an earlier attempt of this request whose response was
+    /// lost. Holds the job's status, or `None` if its record can't be read yet.
     Duplicate(Option<JobStatus>),
 }
 
 impl Acceptance {
-    /// Starts to write the record `value` at `key`.
+    /// Starts writing the record `value` at `key`.
     pub(super) fn begin(
         job: &str,
         key: String,
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: whether a submission is rejected on the strength of the settings alone.
+//! Admission control: the checks of a submission that need no call to the state service.
 
 use super::answers::{Answer, RetryReason};
 use super::context::Context;
@@ -8,10 +8,10 @@
 use crate::storage::records::OpenRecord;
 use stairstage_upgrade::FeatureGate;
 
-/// Tolerance for the rounding of sums of cpus or gpus.
+/// Tolerance for rounding errors in the products of cpus or gpus and tasks.
 const LIMIT_TOLERANCE: f64 = 1e-9;
 
-/// The answer that rejects a submission, if any; it holds unless the job was accepted before.
+/// The answer that rejects a submission, if any. It does not apply to a job that was accepted before.
 pub(super) fn rejection(record: &OpenRecord, context: &Context) -> Option<Answer> {
     if context.machine_types.is_empty() {
         return Some(Answer::RetryLater(RetryReason::NoMachineTypes));
@@ -28,38 +28,41 @@
     let max_bytes = context.settings.cluster.state.record_bytes();
     (bytes > max_bytes).then(|| {
         let reason =
-            format!("the description takes {bytes} bytes in the records, of at most {max_bytes}");
+            format!("the job specification takes {bytes} bytes, of at most {max_bytes} bytes");
         Answer::Malformed(reason)
     })
 }
 
-/// The reason why a job can never run with these settings and machine types, if there is one.
+/// The reason why a job can never run with these settings and machine types, if any.
 pub fn cannot_run(
     spec: &JobSpec,
     settings: &Settings,
     machine_types: &[MachineType],
 ) -> Option<String> {
     let Some(team) = settings.team(&spec.team) else {
-        return Some(format!("team {} is not known", spec.team));
+        return Some(format!("unknown team {}", spec.team));
     };
     if !machine_types.iter().any(|t| fits_task(t, spec)) {
-        return Some("no machine type that the job allows fits a task".into());
+        return Some("no machine type allowed by the job has enough resources for a task".into());
     }
     let min_running_tasks = match spec.kind {
         JobKind::Array => 1.0,
         JobKind::Gang | JobKind::Service => f64::from(spec.tasks),
     };
-    // A limit of zero means that there is none.
+    // A limit of zero means no limit.
     let exceeds = |request: f64, limit: f64| {
         limit > 0.0 && request * min_running_tasks > limit + LIMIT_TOLERANCE
     };
     if exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max) {
-        return Some(format!("more than the limit of team {}", spec.team));
+        return Some(format!(
+            "the requested cpus or gpus exceed the limit of team {}",
+            spec.team
+        ));
     }
     None
 }
 
-/// Whether the job allows the machine type, and one machine of it fits a task.
+/// Whether the job allows the machine type and a task fits on a machine of it.
 fn fits_task(machine_type: &MachineType, spec: &JobSpec) -> bool {
     let types = spec.types.as_ref();
     let is_allowed = types.is_none_or(|names| names.contains(&machine_type.name));
--- a/src/coordination/requests/answers.rs
+++ b/src/coordination/requests/answers.rs
@@ -1,34 +1,33 @@
-//! The answers to requests, of this controller and of others, and their HTTP form.
+//! Answers to requests, from this controller or a peer, and their HTTP form.
 
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::TOO_MANY_REQUESTS;
 use serde::Serialize;
 use serde_json::{json, Value};
 
-/// Seconds after which a client is to retry, unless the reason says otherwise.
+/// The default value of Retry-After, in seconds.
 const DEFAULT_RETRY_AFTER_S: u32 = 1;
 
-/// Why a request can't be answered now, and is to be retried.
+/// Why a request can't be answered now and has to be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryReason {
-    /// The node has no capacity for it.
+    /// This controller is overloaded.
     Busy,
-    /// Neither this node nor another one that was asked reaches the state service.
-    NoStateService,
+    /// The state service is unavailable to this controller and to the peers that were tried.
+    StateServiceUnavailable,
     /// The rate limit of the state service is exceeded.
     StateServiceLimit,
-    /// The active cluster version changed while the request was under way.
-    VersionRaised,
-    /// The request needs a feature that the upgrade under way opens once it is finalized.
+    /// The active cluster version changed while the request was in progress.
+    VersionChanged,
+    /// The request needs a feature that is unavailable until the upgrade in progress is finalized.
     NotFinalized,
     /// The machine types are not known yet.
     NoMachineTypes,
-    /// The submission met another one of the same job whose record can't be read yet.
+    /// The submission conflicted with another one of the same job whose record can't be read yet.
     JustAccepted,
-    /// There are more polls than the rate limit allows to answer; this one takes precedence when it
-    /// is repeated.
+    /// There are more polls than the rate limit allows. A retry takes precedence over newer polls.
     TooManyPolls {
-        /// Seconds after which to repeat it.
+        /// Seconds after which to retry.
         retry_after_s: u32,
     },
 }
@@ -36,48 +35,52 @@
 /// The answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The state of a job that was accepted before.
+    /// The status of a job that was accepted before.
     Known(JobStatus),
-    /// The submission is accepted. A job with a cancelled dependency is cancelled at once.
+    /// The submission is accepted. If a dependency is cancelled, so is the job.
     Accepted {
         /// The id of the job.
         job: String,
-        /// The state in which it was accepted.
+        /// The state of the job: pending or cancelled.
         state: JobState,
     },
-    /// The cancellation is on record.
+    /// The cancellation is recorded.
     Cancelled {
         /// The id of the job.
         job: String,
     },
-    /// No such job was ever accepted.
+    /// The job was never accepted.
     NotFound,
-    /// The submission can't be parsed, or is too large; with the reason.
+    /// The submission can't be parsed or is too large, for this reason.
     Malformed(String),
-    /// The job can never run; with the reason.
+    /// The job can never run, for this reason.
     CannotRun(String),
     /// The request can't be answered now.
     RetryLater(RetryReason),
-    /// The answer of another controller, passed through.
+    /// The answer of a peer, passed on unchanged.
     FromPeer(PeerAnswer),
 }
 
 impl RetryReason {
-    /// The error text in the response.
+    /// The error text of the response.
     fn text(self) -> &'static str {
         match self {
-            RetryReason::Busy => "too much is asked at once",
-            RetryReason::NoStateService => "the state service is not reached",
-            RetryReason::StateServiceLimit => "more is asked than the state service does",
-            RetryReason::VersionRaised => "the cluster version has changed just now",
-            RetryReason::NotFinalized => "is taken once the upgrade under way is finalized",
+            RetryReason::Busy => "the controller is overloaded",
+            RetryReason::StateServiceUnavailable => "the state service is unavailable",
+            RetryReason::StateServiceLimit => "the rate limit of the state service is exceeded",
+            RetryReason::VersionChanged => "the cluster version has just changed",
+            RetryReason::NotFinalized => {
+                "the request needs a feature that is unavailable until the upgrade is finalized"
+            }
             RetryReason::NoMachineTypes => "the machine types are not known yet",
-            RetryReason::JustAccepted => "the job is just being accepted",
-            RetryReason::TooManyPolls { .. } => "more is asked than can be looked up now",
+            RetryReason::JustAccepted => {
+                "the job was just accepted, and its record cannot be read yet"
+            }
+            RetryReason::TooManyPolls { .. } => "too many job status queries",
         }
     }
 
-    /// Seconds after which a retry makes sense.
+    /// The value of Retry-After, in seconds.
     fn retry_after_s(self) -> u32 {
         match self {
             RetryReason::TooManyPolls { retry_after_s } => retry_after_s,
@@ -117,7 +120,7 @@
         to_json(&value)
     }
 
-    /// Seconds after which a retry makes sense.
+    /// The value of Retry-After, in seconds.
     pub fn retry_after(&self) -> Option<u32> {
         match self {
             Answer::RetryLater(reason) => Some(reason.retry_after_s()),
@@ -126,8 +129,8 @@
         }
     }
 
-    /// The end of the job that the answer reports, on the authority of the state service.
-    pub(super) fn reported_end(&self) -> Option<JobState> {
+    /// The final state of the job, if the answer reports one that the state service has recorded.
+    pub(super) fn reported_final_state(&self) -> Option<JobState> {
         match self {
             Answer::Known(status) => Some(status.state),
             Answer::Accepted { state, .. } => Some(*state),
@@ -138,30 +141,30 @@
     }
 }
 
-/// The answer of another controller to a forwarded request.
+/// The answer of a peer to a forwarded request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The JSON text of the response body.
     pub body: Vec<u8>,
-    /// Seconds after which a retry makes sense.
+    /// The value of Retry-After, in seconds.
     pub retry_after: Option<u32>,
 }
 
 impl PeerAnswer {
-    /// Whether the other controller could not answer.
+    /// Whether the peer failed to answer the request.
     pub(super) fn is_server_error(&self) -> bool {
         self.status >= 500
     }
 
-    /// Whether it answers the request, rather than asking for a retry.
+    /// Whether this is an answer to the request, rather than an error that calls for a retry.
     pub(super) fn is_final(&self) -> bool {
         !self.is_server_error() && self.status != TOO_MANY_REQUESTS
     }
 
-    /// The end of the job that the answer reports.
-    pub(super) fn reported_end(&self) -> Option<JobState> {
+    /// The final state of the job, if the answer reports one.
+    pub(super) fn reported_final_state(&self) -> Option<JobState> {
         let status: JobStatus = serde_json::from_slice(&self.body).ok()?;
         Some(status.state).filter(|state| self.status == 200 && state.is_end())
     }
@@ -177,7 +180,7 @@
     }
 }
 
-/// The status of a job whose task counts are not known.
+/// The status of a job without its task counts, which are reported as zero.
 pub(super) fn status_without_counts(job: &str, state: JobState) -> JobStatus {
     JobStatus {
         id: job.to_string(),
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -1,5 +1,5 @@
-//! Cancellations: the end record of an open job is written. The open record is marked as well, and
-//! stays until the leader has released the job's allocations.
+//! Cancellations. One transaction writes the final state record of an open job and marks its open
+//! record as cancelled. The open record is kept until the leader has released the job's allocations.
 
 use super::answers::Answer;
 use super::context::{Context, MAX_ATTEMPTS};
@@ -12,7 +12,7 @@
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
-/// Records that a job is cancelled, unless it has ended.
+/// Records that a job is cancelled, unless it is finished.
 pub(super) struct Cancellation {
     job: String,
     now_ms: u64,
@@ -24,7 +24,7 @@
 
 enum State {
     ReadingOpen,
-    /// There is no open record.
+    /// There was no open record.
     LookingUp(JobLookup),
     Committing,
 }
@@ -75,7 +75,7 @@
         match step {
             Step::Call(call) => Ok(Step::Call(call)),
             Step::Finished(None) => Ok(Step::Finished(Answer::NotFound)),
-            // Accepted between the two reads of the open record.
+            // The job was accepted between the first read of its open record and the lookup.
             Step::Finished(Some(status)) if status.state == JobState::Pending => self.retry(),
             Step::Finished(Some(status)) => Ok(Step::Finished(Answer::Known(status))),
         }
@@ -101,7 +101,8 @@
             CommitOutcome::Conflict(failed) if has_version_changed(&failed) => {
                 Err(StepError::VersionChanged)
             }
-            // Ended in the meantime, or cancelled by an attempt without a response.
+            // The open record has changed, the job is finished, or an earlier attempt whose response was
+            // lost has cancelled it.
             CommitOutcome::Conflict(_) | CommitOutcome::Unknown => self.retry(),
             CommitOutcome::Limited => Err(StepError::RateLimited),
             CommitOutcome::Refused | CommitOutcome::TooLarge | CommitOutcome::NoLease => {
--- a/src/coordination/requests/context.rs
+++ b/src/coordination/requests/context.rs
@@ -1,26 +1,26 @@
-//! What a request needs to know of the node that it has come to.
+//! The settings and state of the controller that handles a request.
 
 use crate::protocol::cloud::MachineType;
 use crate::settings::Settings;
 use stairstage_upgrade::fence::WriteFence;
 use std::sync::Arc;
 
-/// How many times a transaction is attempted that gets no response or meets a conflict.
+/// The maximum number of attempts for a transaction that gets no response or conflicts.
 pub(super) const MAX_ATTEMPTS: usize = 3;
 
-/// The node's settings and state as of the arrival of a request.
+/// The settings and state of the controller when it received the request.
 #[derive(Clone)]
 pub struct Context {
-    /// The settings of the node.
+    /// The settings of the controller.
     pub settings: Arc<Settings>,
-    /// The machine types that the cloud offers; empty while they are not known.
+    /// The machine types that the cloud offers; empty until they have been read.
     pub machine_types: Arc<Vec<MachineType>>,
-    /// What may be written at the active cluster version.
+    /// Restricts writes to the active cluster version.
     pub write_fence: WriteFence,
-    /// The other controllers, in the order in which a request is forwarded to them.
+    /// The peers, in the order in which a request is forwarded to them.
     pub peers: Vec<String>,
-    /// Whether another controller has forwarded the request. It is then forwarded no further.
+    /// Whether a peer has forwarded the request. Such a request is not forwarded again.
     pub from_peer: bool,
-    /// The wall clock in milliseconds since the Unix epoch, for records.
+    /// The wall-clock time for records, in milliseconds since the Unix epoch.
     pub now_ms: u64,
 }
--- a/src/coordination/requests/decision.rs
+++ b/src/coordination/requests/decision.rs
@@ -1,21 +1,21 @@
-//! What the state service has decided of a submission or cancellation.
+//! The result of a submission or cancellation.
 
 use super::answers::Answer;
 use crate::storage::records::OpenRecord;
 
-/// The result of a submission or cancellation.
+/// The result of a submission or cancellation, as decided by the state service.
 pub(super) struct Decision {
-    /// The job, if this request has accepted it and it is to run.
+    /// The job, if this request has accepted it and it is not cancelled.
     pub(super) accepted: Option<AcceptedJob>,
     /// The answer to the client.
     pub(super) answer: Answer,
 }
 
-/// A job that was accepted by this request.
+/// A job accepted by this request.
 pub(super) struct AcceptedJob {
-    /// The record that accepts the job.
+    /// The open record that was written.
     pub(super) record: Box<OpenRecord>,
-    /// The version of that record in the state service.
+    /// The version of the record's key.
     pub(super) version: u64,
 }
 
--- a/src/coordination/requests/dependency_check.rs
+++ b/src/coordination/requests/dependency_check.rs
@@ -1,6 +1,6 @@
-//! Checking the dependencies of a submitted job in the DAG of jobs.
+//! Checks the dependencies of a submitted job.
 
-use super::dependency_search::is_end_cancelled;
+use super::dependency_search::is_cancelled;
 use super::job_lookup::JobLookup;
 use super::step::{Step, StepError, StepResult};
 use super::store_call::{StoreAnswer, StoreCall};
@@ -10,26 +10,26 @@
 use crate::storage::records::{end_key, open_key};
 use std::collections::VecDeque;
 
-/// Checks that all jobs that a submission depends on were accepted. One transaction compares the
-/// records of several of them: an open record is deleted by the transaction that writes the end
-/// record, so that a job without either was never accepted.
+/// Checks that all dependencies of a submission were accepted. One transaction compares the records of
+/// several dependencies. The open record is not deleted before the final state record is written, so
+/// a job with neither record was never accepted.
 pub(super) struct DependencyCheck {
-    /// Dependencies that are not compared yet, in chunks that fit a transaction.
+    /// Dependencies that have not been compared, in chunks that fit in a transaction.
     chunks: VecDeque<Vec<String>>,
-    /// Dependencies that are compared, but not evaluated yet.
+    /// Dependencies that have been compared but not evaluated.
     compared: VecDeque<String>,
-    /// The keys that the last comparison found to be present.
+    /// The keys that the last comparison found present.
     present_keys: Vec<String>,
-    /// Whether a cancelled dependency was found. All others are evaluated nevertheless: one that was
-    /// never accepted takes precedence.
+    /// Whether a cancelled dependency was found. The other dependencies are still evaluated: one that
+    /// was never accepted takes precedence.
     has_cancelled: bool,
     state: State,
 }
 
 enum State {
     Comparing,
-    ReadingEnd,
-    /// Neither record was present.
+    ReadingFinal,
+    /// The comparison found neither record.
     LookingUp {
         job: String,
         lookup: JobLookup,
@@ -39,21 +39,21 @@
 /// The result of a [`DependencyCheck`].
 #[derive(Debug)]
 pub(super) enum DependencyStatus {
-    /// All dependencies were accepted, and none is recorded as cancelled.
+    /// All dependencies were accepted and none is recorded as cancelled.
     Accepted,
-    /// A dependency was never accepted, or is the job itself; with the reason for the user.
+    /// A dependency was never accepted or is the job itself. Holds the reason for the user.
     Invalid(String),
-    /// A dependency is cancelled, and so will be the job.
+    /// A dependency is cancelled, so the job has to be cancelled.
     Cancelled,
 }
 
 impl DependencyCheck {
-    /// Starts the check of a job; a transaction takes at most `max_compares` compares.
+    /// Starts the check of a job. A transaction has at most `max_compares` compares.
     pub(super) fn begin(
         spec: &JobSpec,
         max_compares: usize,
     ) -> (DependencyCheck, Step<DependencyStatus>) {
-        // Two compares a job: its open record and its end record.
+        // Two compares per job: its open record and its final state record.
         let chunk_len = (max_compares / 2).max(1);
         let chunks = spec.waits_on.chunks(chunk_len);
         let mut check = DependencyCheck {
@@ -64,7 +64,7 @@
             state: State::Comparing,
         };
         let step = if spec.waits_on.contains(&spec.id) {
-            let reason = "waits_on: names the job itself".to_string();
+            let reason = "waits_on: a job cannot depend on itself".to_string();
             Step::Finished(DependencyStatus::Invalid(reason))
         } else {
             check.evaluate_next()
@@ -75,11 +75,11 @@
     pub(super) fn on_answer(&mut self, answer: StoreAnswer) -> StepResult<DependencyStatus> {
         match &mut self.state {
             State::Comparing => self.present_keys = present_keys(answer.commit_outcome())?,
-            State::ReadingEnd => self.has_cancelled |= is_end_cancelled(answer)?,
+            State::ReadingFinal => self.has_cancelled |= is_cancelled(answer)?,
             State::LookingUp { job, lookup } => match lookup.on_answer(answer)? {
                 Step::Call(call) => return Ok(Step::Call(call)),
                 Step::Finished(None) => {
-                    let reason = format!("waits_on: {job} was never accepted");
+                    let reason = format!("waits_on: job {job} was never accepted");
                     return Ok(Step::Finished(DependencyStatus::Invalid(reason)));
                 }
                 Step::Finished(Some(_)) => {}
@@ -88,13 +88,13 @@
         Ok(self.evaluate_next())
     }
 
-    /// Evaluates the compared dependencies up to the next one that needs a call.
+    /// Evaluates the compared dependencies until one needs a call to the state service.
     fn evaluate_next(&mut self) -> Step<DependencyStatus> {
         while let Some(job) = self.compared.pop_front() {
-            let end = end_key(&job);
-            if self.present_keys.contains(&end) {
-                self.state = State::ReadingEnd;
-                return Step::Call(StoreCall::Read(end));
+            let key = end_key(&job);
+            if self.present_keys.contains(&key) {
+                self.state = State::ReadingFinal;
+                return Step::Call(StoreCall::Read(key));
             }
             if !self.present_keys.contains(&open_key(&job)) {
                 let (lookup, call) = JobLookup::begin(&job);
@@ -124,7 +124,7 @@
     }
 }
 
-/// The keys that a comparison found although it expected them to be absent.
+/// The keys that a comparison found present.
 fn present_keys(outcome: CommitOutcome) -> Result<Vec<String>, StepError> {
     match outcome {
         CommitOutcome::Conflict(present) => Ok(present),
--- a/src/coordination/requests/dependency_search.rs
+++ b/src/coordination/requests/dependency_search.rs
@@ -1,4 +1,4 @@
-//! Searching the dependencies of a job for a cancelled one.
+//! Searches the dependencies of a job for a cancelled one.
 
 use super::step::{Step, StepError, StepResult};
 use super::store_call::{StoreAnswer, StoreCall};
@@ -9,23 +9,23 @@
 /// The maximum number of jobs that one search reads.
 const MAX_JOBS_READ: usize = 24;
 
-/// Finds out whether a job that another depends on, directly or transitively, is cancelled. A job
-/// with more dependencies than a search may read is left to the leader.
+/// Determines whether a direct or transitive dependency of a job is cancelled. Fails with
+/// [`StepError::Unavailable`] after [`MAX_JOBS_READ`] jobs: a job with more is left to the leader.
 pub(super) struct DependencySearch {
-    /// Jobs whose records are yet to be read.
+    /// Jobs whose records have not been read.
     unread: Vec<String>,
     jobs_read: usize,
     state: State,
 }
 
-/// Which record is being read.
+/// The record that is being read.
 enum State {
     ReadingOpen { job: String },
-    ReadingEnd,
+    ReadingFinal,
 }
 
 impl DependencySearch {
-    /// Starts with the direct dependencies; finishes with whether a cancelled job was found.
+    /// Starts the search at the direct dependencies. Its result is whether a cancelled job was found.
     ///
     /// # Errors
     ///
@@ -36,7 +36,7 @@
         let mut search = DependencySearch {
             unread: dependencies,
             jobs_read: 0,
-            state: State::ReadingEnd,
+            state: State::ReadingFinal,
         };
         let step = search.read_next()?;
         Ok((search, step))
@@ -61,8 +61,8 @@
                 let end_key = end_key(job);
                 self.on_open_record(answer, end_key)
             }
-            State::ReadingEnd => {
-                if is_end_cancelled(answer)? {
+            State::ReadingFinal => {
+                if is_cancelled(answer)? {
                     Ok(Step::Finished(true))
                 } else {
                     self.read_next()
@@ -79,19 +79,19 @@
                 self.read_next()
             }
             None => {
-                self.state = State::ReadingEnd;
+                self.state = State::ReadingFinal;
                 Ok(Step::Call(StoreCall::Read(end_key)))
             }
         }
     }
 }
 
-/// Whether the end record that was read says that its job is cancelled.
+/// Whether the final state record that was read is that of a cancelled job.
 ///
 /// # Errors
 ///
-/// [`Unavailable`] if it could not be read.
-pub(super) fn is_end_cancelled(answer: StoreAnswer) -> Result<bool, Unavailable> {
-    let end = answer.decode::<EndRecord>()?;
-    Ok(end.is_some_and(|end| end.record.state == JobState::Cancelled))
+/// [`Unavailable`] if the record could not be read.
+pub(super) fn is_cancelled(answer: StoreAnswer) -> Result<bool, Unavailable> {
+    let found = answer.decode::<EndRecord>()?;
+    Ok(found.is_some_and(|found| found.record.state == JobState::Cancelled))
 }
--- a/src/coordination/requests/events.rs
+++ b/src/coordination/requests/events.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the state machine of a [`Request`](super::Request).
+//! The inputs and outputs of a [`Request`](super::Request).
 
 use super::answers::{Answer, PeerAnswer};
 use super::polls::Poll;
@@ -6,49 +6,49 @@
 use crate::protocol::job::{JobState, JobStatus};
 use crate::storage::records::OpenRecord;
 
-/// What this node knows of a job without a call to anyone, and who leads.
+/// What this controller knows about a job and the leader without calling the state service or a peer.
 #[derive(Clone, Debug)]
 pub struct LocalJobView {
-    /// The job's state, if this node knows it for certain.
+    /// The job's status, if this controller knows it for certain.
     pub status: Option<JobStatus>,
-    /// Whether this node is the leader, with a valid lease.
+    /// Whether this controller is the leader and its lease is valid.
     pub is_leader: bool,
-    /// The controller that leads, if it is known and is another one.
+    /// The name of the leader, if it is known and is a peer.
     pub leader: Option<String>,
 }
 
-/// An input: what has come of an effect.
+/// An input: the outcome of an effect.
 #[derive(Debug)]
 pub enum RequestEvent {
-    /// The response to [`RequestEffect::ReadLocalView`]; `None` if it could not be read.
+    /// The outcome of [`RequestEffect::ReadLocalView`]; `None` if the view could not be read.
     LocalView(Option<LocalJobView>),
     /// The response to [`RequestEffect::Store`].
     Store(StoreAnswer),
-    /// The response to [`RequestEffect::Forward`]; `None` without one.
+    /// The response to [`RequestEffect::Forward`]; `None` if there was no response.
     Peer(Option<PeerAnswer>),
 }
 
-/// An output: what the driver has to do.
+/// An output: an action for the driver.
 #[derive(Debug)]
 pub enum RequestEffect {
-    /// Read what this node knows of the job; continues with [`RequestEvent::LocalView`].
+    /// Read what this controller knows about the job; answered by [`RequestEvent::LocalView`].
     ReadLocalView,
-    /// Call the state service; continues with [`RequestEvent::Store`].
+    /// Call the state service; answered by [`RequestEvent::Store`].
     Store(StoreCall),
-    /// Forward the request to this controller; continues with [`RequestEvent::Peer`].
+    /// Forward the request to this peer; answered by [`RequestEvent::Peer`].
     Forward(String),
     /// This request has accepted a job.
     JobAccepted {
-        /// The record that accepts the job.
+        /// The open record that was written.
         record: Box<OpenRecord>,
-        /// The version of that record in the state service.
+        /// The version of the record's key.
         version: u64,
     },
-    /// The end of the job is on record. Precedes every answer that reports an end on the authority
-    /// of the state service or of the leader.
-    JobEndRecorded(JobState),
-    /// Answer the query from the records, batched with others: see
-    /// [`PollBatcher`](super::polls::PollBatcher). The request is finished.
+    /// The final state of the job is recorded. Precedes every answer that reports a final state which
+    /// the state service or the leader has confirmed.
+    FinalStateRecorded(JobState),
+    /// Pass the query to the [`PollBatcher`](super::polls::PollBatcher), which answers it from the
+    /// records. The request is finished.
     ReadRecords(Poll),
     /// Send the answer to the client. The request is finished.
     Answer(Answer),
--- a/src/coordination/requests/job_lookup.rs
+++ b/src/coordination/requests/job_lookup.rs
@@ -1,4 +1,4 @@
-//! Reading the state of one job from the records of the state service.
+//! Reads the state of one job from its records in the state service.
 
 use super::answers::status_without_counts;
 use super::dependency_search::DependencySearch;
@@ -7,8 +7,8 @@
 use crate::protocol::job::{JobState, JobStatus};
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 
-/// Reads a job's state; finishes with `None` if the job was never accepted. The open record is read
-/// first: it is deleted by the transaction that writes the end record, or later.
+/// Reads a job's state. The result is `None` if the job was never accepted. The open record is read
+/// first: it is deleted by the transaction that writes the final state record, or later.
 pub(super) struct JobLookup {
     job: String,
     state: State,
@@ -16,9 +16,9 @@
 
 enum State {
     ReadingOpen,
-    /// The end record of the job may be written later than that of a cancelled dependency.
+    /// The final state record of the job may be written later than that of a cancelled dependency.
     SearchingDependencies(DependencySearch),
-    ReadingEnd,
+    ReadingFinal,
 }
 
 impl JobLookup {
@@ -38,9 +38,9 @@
                 let step = search.on_answer(answer)?;
                 self.on_search_step(step)
             }
-            State::ReadingEnd => {
-                let end = answer.decode::<EndRecord>()?;
-                let status = end.map(|end| status_without_counts(&self.job, end.record.state));
+            State::ReadingFinal => {
+                let found = answer.decode::<EndRecord>()?;
+                let status = found.map(|f| status_without_counts(&self.job, f.record.state));
                 Ok(Step::Finished(status))
             }
         }
@@ -55,14 +55,14 @@
                 self.on_search_step(step)
             }
             None => {
-                self.state = State::ReadingEnd;
+                self.state = State::ReadingFinal;
                 Ok(Step::Call(StoreCall::Read(end_key(&self.job))))
             }
         }
     }
 
-    /// A job with a cancelled dependency is cancelled soon: until that is recorded, its state can't
-    /// be reported.
+    /// A job with a cancelled dependency will be cancelled by the leader. Until that is recorded, its
+    /// state can't be reported.
     fn on_search_step(&self, step: Step<bool>) -> StepResult<Option<JobStatus>> {
         match step {
             Step::Call(call) => Ok(Step::Call(call)),
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -1,27 +1,27 @@
-//! Requests of users, decided without clocks, threads or sockets.
+//! User requests: state machines without clocks, threads or sockets.
 //!
-//! A [`Request`] is a state machine for one submission, query or cancellation: [`RequestEvent`]s go
-//! in, [`RequestEffect`]s come out, and a driver carries them out. A request is answered from this
-//! node's own view, by the leader, or from the records of the state service. Where the state service
-//! refuses this node, the request is forwarded to another controller. Queries that only the records
-//! can answer go to the node's [`polls::PollBatcher`], which checks many of them with one
+//! A [`Request`] is a state machine for one submission, query or cancellation. It takes
+//! [`RequestEvent`]s and returns [`RequestEffect`]s, which a driver executes. A request is answered
+//! from this controller's state, by the leader, or from the records in the state service. If the state
+//! service is unavailable to this controller, the request is forwarded to a peer. Queries that only
+//! the records can answer go to the [`polls::PollBatcher`], which checks many of them with one
 //! transaction.
 //!
 //! Invariants of every answer:
 //!
 //! - a job is reported as accepted, done or cancelled only once the record that says so is written;
-//! - a recorded end is final: no answer contradicts an end that is already on record;
-//! - a transaction without a response may have been applied, or may be applied later: it is repeated
-//!   with the same compares, or the records are read, but its outcome is never guessed.
+//! - a recorded final state never changes: no answer contradicts one that was recorded before;
+//! - a transaction without a response is indeterminate, and may even be applied later: it is retried
+//!   with the same compares, or the records are read, but its outcome is never assumed.
 //!
 //! The layers, each using only those before it:
 //!
 //! - `answers`, `store_call`, `step`, `context` and `decision`: shared types;
-//! - `dependency_search`, `job_lookup`, `dependency_check` and `acceptance`: parts of a request that
-//!   take several calls to the state service;
-//! - `admission`, `submission` and `cancellation`: requests that the state service decides;
+//! - `dependency_search`, `job_lookup`, `dependency_check` and `acceptance`: steps of a request that
+//!   make several calls to the state service;
+//! - `admission`, `submission` and `cancellation`: requests that write to the state service;
 //! - [`polls`]: batched queries;
-//! - `events` and `request`: the state machine that a driver runs.
+//! - `events` and `request`: the state machine of a request.
 
 mod acceptance;
 mod admission;
--- a/src/coordination/requests/polls/batcher/mod.rs
+++ b/src/coordination/requests/polls/batcher/mod.rs
@@ -1,8 +1,8 @@
-//! The state machine that answers the polls of one node.
+//! The state machine that answers the polls of one controller.
 
 mod read_results;
 
-use super::comparison::{ComparedPoll, Comparison, DecisionPlan, Verdict};
+use super::comparison::{ComparedPoll, Comparison, DecisionPlan, PollResult};
 use super::known_jobs::KnownJobs;
 use super::limits::{Limits, COMPARISONS_SHARE, POLL_TIMEOUT_S};
 use super::poll_queue::PollQueue;
@@ -17,20 +17,20 @@
 use crate::storage::key_value_store::CommitOutcome;
 use crate::storage::token_bucket::TokenBucket;
 
-/// While fewer polls are pending than a comparison takes, one starts at every other request that the
-/// rate limit allows, so that further polls can join it.
+/// The minimum interval between comparisons that are not full, in requests at the rate limit. Further
+/// polls can join the comparison in the meantime.
 const BATCHING_REQUESTS: f64 = 2.0;
-/// Of a node's rate limit per second, this share may be used in a burst; the rest is spread evenly.
-/// So no second sees more requests than the limit.
+/// The share of a controller's requests per second that may be sent in a burst. The rest is spread
+/// evenly, so that no second has more requests than the limit.
 const BURST_SHARE: f64 = 0.2;
-/// How long polls are forwarded at once after the state service has refused a request.
+/// How long new polls are forwarded at once after the state service was unavailable.
 const FORWARDING_S: f64 = 1.0;
 
-/// Answers the polls of one node.
+/// Answers the polls of one controller.
 ///
-/// A driver enqueues polls, calls [`PollBatcher::tick`] at the interval of
-/// [`PollBatcher::tick_interval_s`], carries out the effects, and passes every response of the state
-/// service to [`PollBatcher::on_answer`]. At most one call is in flight.
+/// A driver enqueues polls, calls [`PollBatcher::tick`] at the interval given by
+/// [`PollBatcher::tick_interval_s`], executes the effects, and passes each response of the state service
+/// to [`PollBatcher::on_answer`]. At most one call is in flight.
 pub struct PollBatcher {
     limits: Limits,
     rate_limit: TokenBucket,
@@ -41,11 +41,11 @@
     last_comparison_at: Time,
     /// Whether the last call was a comparison: reads and comparisons alternate.
     was_comparison_last: bool,
-    /// The state service has refused this node: polls are forwarded until then.
+    /// The time until which polls are forwarded, since the state service was unavailable.
     forward_until: Time,
 }
 
-/// A call to the state service without a response yet.
+/// A call to the state service that awaits its response.
 enum InFlightCall {
     Compare(Comparison),
     Read(ReadCall),
@@ -70,21 +70,21 @@
         }
     }
 
-    /// Notes that a job was accepted by this node, with its dependencies.
+    /// Caches that a job was accepted, with its dependencies.
     pub fn job_accepted(&mut self, job: &str, waits_on: &[String]) {
         self.known_jobs.insert_accepted(job, waits_on);
     }
 
-    /// Notes that a job's end is on record.
-    pub fn job_end_recorded(&mut self, job: &str, state: JobState) {
-        self.known_jobs.insert_end(job, state);
+    /// Caches the recorded final state of a job.
+    pub fn final_state_recorded(&mut self, job: &str, state: JobState) {
+        self.known_jobs.insert_final_state(job, state);
     }
 
-    /// Takes a poll; it is answered at once where the job's end is known.
+    /// Adds a poll. If the job's final state is known, the poll is answered at once.
     pub fn enqueue(&mut self, id: PollId, poll: Poll, now: Time) -> Vec<PollEffect> {
-        if let Some(state) = self.known_jobs.end(&poll.job) {
+        if let Some(state) = self.known_jobs.final_state(&poll.job) {
             self.queue.forget_rejections(&poll.job);
-            return report_end(id, &poll.job, state);
+            return report_final_state(id, &poll.job, state);
         }
         if now < self.forward_until {
             return vec![PollEffect::Forward(id)];
@@ -97,13 +97,14 @@
         Vec::new()
     }
 
-    /// Seconds until [`PollBatcher::tick`] is to be called again, if there is anything left to do.
+    /// Seconds until the next call of [`PollBatcher::tick`], or `None` if nothing is pending.
     pub fn tick_interval_s(&self) -> Option<f64> {
         let is_idle = self.queue.is_empty() && self.reads.is_empty();
         (!is_idle).then_some(1.0 / self.limits.requests_per_s)
     }
 
-    /// Starts the next call, if one is due, and rejects the polls that can't be answered in time.
+    /// Starts the next call to the state service if one is due, and rejects the polls that can't be
+    /// answered in time.
     pub fn tick(&mut self, now: Time) -> Vec<PollEffect> {
         let mut effects = self.queue.reject_expired(now);
         if self.in_flight.is_some() {
@@ -151,8 +152,8 @@
 
     /// The number of polls that can be compared within the timeout of a poll.
     fn max_compared_in_time(&mut self, now: Time) -> usize {
-        let to_come = self.limits.requests_per_s * POLL_TIMEOUT_S;
-        let requests = self.rate_limit.level(now) + to_come;
+        let refill = self.limits.requests_per_s * POLL_TIMEOUT_S;
+        let requests = self.rate_limit.level(now) + refill;
         let comparisons = (COMPARISONS_SHARE * requests).ceil() as usize;
         comparisons * self.limits.polls_per_comparison()
     }
@@ -186,7 +187,7 @@
         let present_keys = match outcome {
             CommitOutcome::Applied(_) => Vec::new(),
             CommitOutcome::Conflict(present_keys) => present_keys,
-            // Only this request exceeded the rate limit: the next one may be served.
+            // Only this request exceeded the rate limit; the next one may succeed.
             CommitOutcome::Limited => {
                 let polls = comparison.into_polls().into_iter();
                 polls.for_each(|poll| self.queue.push(poll));
@@ -200,14 +201,14 @@
             }
         };
         let mut effects = Vec::new();
-        for ComparedPoll { poll, verdict } in comparison.into_verdicts(&present_keys) {
-            match verdict {
-                Verdict::Known(status) => {
+        for ComparedPoll { poll, result } in comparison.into_results(&present_keys) {
+            match result {
+                PollResult::Known(status) => {
                     effects.push(self.queue.answer(&poll, Answer::Known(status)));
                 }
-                Verdict::NeverAccepted => effects.push(self.queue.answer(&poll, Answer::NotFound)),
-                Verdict::Read(key) => self.await_read(poll, key),
-                Verdict::Undecided => effects.push(self.queue.reject(&poll, now)),
+                PollResult::NotFound => effects.push(self.queue.answer(&poll, Answer::NotFound)),
+                PollResult::Read(key) => self.await_read(poll, key),
+                PollResult::Undecided => effects.push(self.queue.reject(&poll, now)),
             }
         }
         effects
@@ -225,7 +226,7 @@
         Some(store_call)
     }
 
-    /// The state service refuses this node: all pending polls are forwarded.
+    /// Forwards all pending polls, since the state service is unavailable to this controller.
     fn forward_all(&mut self, compared: Vec<PendingPoll>, now: Time) -> Vec<PollEffect> {
         self.forward_until = now + FORWARDING_S;
         let polls = compared.into_iter().chain(self.queue.take_all());
@@ -233,10 +234,10 @@
     }
 }
 
-fn report_end(id: PollId, job: &str, state: JobState) -> Vec<PollEffect> {
+fn report_final_state(id: PollId, job: &str, state: JobState) -> Vec<PollEffect> {
     let status = status_without_counts(job, state);
     vec![
-        PollEffect::JobEndsRecorded(vec![(job.to_string(), state)]),
+        PollEffect::FinalStatesRecorded(vec![(job.to_string(), state)]),
         PollEffect::Answer(id, Answer::Known(status)),
     ]
 }
--- a/src/coordination/requests/polls/batcher/read_results.rs
+++ b/src/coordination/requests/polls/batcher/read_results.rs
@@ -1,4 +1,4 @@
-//! Answering the polls that have awaited a record, once it is read.
+//! Handles the results of reads, and answers the polls that wait for the records.
 
 use super::PollBatcher;
 use crate::coordination::requests::answers::{status_without_counts, Answer};
@@ -56,12 +56,12 @@
         effects
     }
 
-    /// Caches what the records say; reports the ends that are among them, together.
+    /// Caches the records, and returns one effect for all final states among them.
     fn cache_records(&mut self, records: Vec<JobRecord>) -> Vec<PollEffect> {
-        let mut ends = Vec::new();
+        let mut final_states = Vec::new();
         for JobRecord { job, content } in records {
-            let end = match content {
-                RecordContent::Ended(state) => Some(state),
+            let final_state = match content {
+                RecordContent::Finished(state) => Some(state),
                 RecordContent::Open {
                     waits_on,
                     cancelled,
@@ -70,28 +70,28 @@
                     cancelled.then_some(JobState::Cancelled)
                 }
             };
-            if let Some(state) = end {
-                self.known_jobs.insert_end(&job, state);
-                ends.push((job, state));
+            if let Some(state) = final_state {
+                self.known_jobs.insert_final_state(&job, state);
+                final_states.push((job, state));
             }
         }
-        if ends.is_empty() {
+        if final_states.is_empty() {
             Vec::new()
         } else {
-            vec![PollEffect::JobEndsRecorded(ends)]
+            vec![PollEffect::FinalStatesRecorded(final_states)]
         }
     }
 
-    /// Answers the polls whose records are cached now. A job with an open record was open when it was
-    /// compared; its dependencies are compared next.
+    /// Answers the polls whose records have been cached. A job whose open record was found is pending if
+    /// it has no dependencies; otherwise the dependencies are compared next.
     fn answer_awaiting(&mut self, is_cached: impl Fn(&RecordKey) -> bool) -> Vec<PollEffect> {
         let mut effects = Vec::new();
         for awaiting in self.queue.take_awaiting(is_cached) {
             let poll = awaiting.poll;
             let job = &poll.poll.job;
-            let state = match self.known_jobs.end(job) {
+            let state = match self.known_jobs.final_state(job) {
                 Some(state) => state,
-                None if self.known_jobs.is_independent(job) => JobState::Pending,
+                None if self.known_jobs.has_no_dependencies(job) => JobState::Pending,
                 None => {
                     self.queue.push(poll);
                     continue;
@@ -103,8 +103,9 @@
         effects
     }
 
-    /// An open record that was present in the comparison has been replaced by the end record. An end
-    /// record is never deleted: one that is missing can't be decoded.
+    /// Handles expected records that a read did not find. A missing open record has been replaced by the
+    /// final state record, which is read next. A final state record is never deleted, so a missing one
+    /// can't be decoded.
     fn on_missing(
         &mut self,
         kind: RecordKind,
@@ -112,17 +113,17 @@
         now: Time,
     ) -> Vec<PollEffect> {
         let missing = self.queue.take_awaiting(is_missing).into_iter();
-        if kind == RecordKind::End {
+        if kind == RecordKind::FinalState {
             let polls: Vec<PendingPoll> = missing.map(|awaiting| awaiting.poll).collect();
             return self.queue.reject_all(&polls, now);
         }
         for awaiting in missing {
-            self.await_read(awaiting.poll, RecordKey::end(&awaiting.key.job));
+            self.await_read(awaiting.poll, RecordKey::final_state(&awaiting.key.job));
         }
         Vec::new()
     }
 
-    /// The record is read again for those that retry.
+    /// Handles a failed read: queues the record again, so that it is read for the retries of the polls.
     fn on_read_failed(&mut self, key: &RecordKey, now: Time) -> Vec<PollEffect> {
         self.reads.push(key);
         let failed = self.queue.take_awaiting(|awaited| awaited == key);
--- a/src/coordination/requests/polls/comparison.rs
+++ b/src/coordination/requests/polls/comparison.rs
@@ -1,4 +1,4 @@
-//! One read-only transaction whose compares decide many polls.
+//! Read-only transactions whose compares decide many polls.
 
 use super::known_jobs::{KnownDependencies, KnownJobs};
 use super::record_keys::RecordKey;
@@ -9,52 +9,53 @@
 use crate::storage::records::{end_key, open_key};
 use std::collections::{BTreeSet, HashSet};
 
-/// How a poll can be decided with what is known.
+/// How to decide a poll, given the known jobs.
 pub(super) enum DecisionPlan {
-    /// By comparing whether these keys are absent.
+    /// By a transaction that checks whether these keys are absent.
     Compare(ComparedKeys),
-    /// By reading this record first.
+    /// By reading this record first, as the keys to compare depend on it.
     Read(RecordKey),
 }
 
 /// The keys whose absence decides a poll.
 pub(super) struct ComparedKeys {
-    end: String,
-    /// The open record, where the job is not known to be accepted.
+    final_state: String,
+    /// The key of the open record, if the job is not known to be accepted.
     open: Option<String>,
-    /// The ids of the dependencies without a known end.
+    /// The ids of the dependencies without a known final state.
     dependencies: Vec<String>,
-    /// Whether the status is not known before the job's own end is on record: a dependency is
-    /// cancelled, or there are too many of them.
-    awaits_end: bool,
+    /// Whether only a final state record of the job can decide the poll: a dependency is cancelled, or
+    /// there are too many dependencies to compare.
+    awaits_final_state: bool,
 }
 
-/// What a comparison says of a poll.
-pub(super) enum Verdict {
+/// The result of a comparison for one poll.
+pub(super) enum PollResult {
     Known(JobStatus),
-    NeverAccepted,
-    /// This record has to be read.
+    /// The job was never accepted.
+    NotFound,
+    /// This record has to be read to decide the poll.
     Read(RecordKey),
-    /// This node can't tell yet.
+    /// The poll can't be decided yet.
     Undecided,
 }
 
-/// A poll with what a comparison says of it.
+/// A poll and its result.
 pub(super) struct ComparedPoll {
     pub(super) poll: PendingPoll,
-    pub(super) verdict: Verdict,
+    pub(super) result: PollResult,
 }
 
 impl DecisionPlan {
-    /// The plan for a poll; at most `max_dependencies` are compared.
+    /// The plan for a poll. At most `max_dependencies` dependencies are compared.
     pub(super) fn of(poll: &Poll, known: &KnownJobs, max_dependencies: usize) -> DecisionPlan {
         let mut keys = ComparedKeys {
-            end: end_key(&poll.job),
+            final_state: end_key(&poll.job),
             open: None,
             dependencies: Vec::new(),
-            awaits_end: false,
+            awaits_final_state: false,
         };
-        // The leader's status takes the dependencies into account.
+        // The leader's status accounts for the dependencies.
         if poll.leader_status.is_some() {
             return DecisionPlan::Compare(keys);
         }
@@ -65,7 +66,7 @@
                 return DecisionPlan::Read(RecordKey::open(&job));
             }
             Some(KnownDependencies::Cancelled | KnownDependencies::TooMany) => {
-                keys.awaits_end = true;
+                keys.awaits_final_state = true;
             }
         }
         DecisionPlan::Compare(keys)
@@ -75,35 +76,35 @@
 impl ComparedKeys {
     fn iter(&self) -> impl Iterator<Item = String> + '_ {
         let dependencies = self.dependencies.iter().map(|job| end_key(job));
-        let own = self.open.iter().cloned().chain([self.end.clone()]);
+        let own = self.open.iter().cloned().chain([self.final_state.clone()]);
         own.chain(dependencies)
     }
 
-    fn verdict(&self, poll: &Poll, present_keys: &HashSet<&str>) -> Verdict {
+    fn evaluate(&self, poll: &Poll, present_keys: &HashSet<&str>) -> PollResult {
         let is_present = |key: &str| present_keys.contains(key);
-        if is_present(&self.end) {
-            return Verdict::Read(RecordKey::end(&poll.job));
+        if is_present(&self.final_state) {
+            return PollResult::Read(RecordKey::final_state(&poll.job));
         }
         match &self.open {
-            Some(open) if is_present(open) => return Verdict::Read(RecordKey::open(&poll.job)),
-            Some(_) => return Verdict::NeverAccepted,
+            Some(open) if is_present(open) => return PollResult::Read(RecordKey::open(&poll.job)),
+            Some(_) => return PollResult::NotFound,
             None => {}
         }
-        if self.awaits_end {
-            return Verdict::Undecided;
+        if self.awaits_final_state {
+            return PollResult::Undecided;
         }
         let mut dependencies = self.dependencies.iter();
-        if let Some(ended) = dependencies.find(|job| is_present(&end_key(job))) {
-            return Verdict::Read(RecordKey::end(ended));
+        if let Some(finished) = dependencies.find(|job| is_present(&end_key(job))) {
+            return PollResult::Read(RecordKey::final_state(finished));
         }
         let status = poll.leader_status.clone();
-        Verdict::Known(
+        PollResult::Known(
             status.unwrap_or_else(|| status_without_counts(&poll.job, JobState::Pending)),
         )
     }
 }
 
-/// A poll with its keys in a comparison.
+/// A poll and its keys in a comparison.
 struct PlannedPoll {
     poll: PendingPoll,
     keys: ComparedKeys,
@@ -117,7 +118,7 @@
 }
 
 impl Comparison {
-    /// An empty comparison, which takes at most `max_compares` keys.
+    /// An empty comparison of at most `max_compares` keys.
     pub(super) fn new(max_compares: usize) -> Comparison {
         Comparison {
             max_compares,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Adds a poll, or returns it if its keys do not fit.
+    /// Adds a poll. Returns the poll if its keys do not fit.
     pub(super) fn add(&mut self, poll: PendingPoll, keys: ComparedKeys) -> Option<PendingPoll> {
         let new = keys.iter().filter(|key| !self.keys.contains(key)).count();
         if self.keys.len() + new > self.max_compares {
@@ -137,26 +138,26 @@
         None
     }
 
-    /// The transaction; `None` where there is nothing to compare.
+    /// The transaction, or `None` if there is nothing to compare.
     pub(super) fn transaction(&self) -> Option<Transaction> {
         let absent = |transaction: Transaction, key: &String| transaction.absent(key.clone());
         let transaction = self.keys.iter().fold(Transaction::default(), absent);
         (!self.polls.is_empty()).then_some(transaction)
     }
 
-    /// The polls, undecided.
+    /// The polls, when the transaction was not executed.
     pub(super) fn into_polls(self) -> Vec<PendingPoll> {
         self.polls.into_iter().map(|planned| planned.poll).collect()
     }
 
-    /// What the keys that are present say of each poll.
-    pub(super) fn into_verdicts(self, present_keys: &[String]) -> Vec<ComparedPoll> {
+    /// The result for each poll, given the keys that are present.
+    pub(super) fn into_results(self, present_keys: &[String]) -> Vec<ComparedPoll> {
         let present_keys: HashSet<&str> = present_keys.iter().map(String::as_str).collect();
         let polls = self.polls.into_iter();
         polls
             .map(|PlannedPoll { poll, keys }| {
-                let verdict = keys.verdict(&poll.poll, &present_keys);
-                ComparedPoll { poll, verdict }
+                let result = keys.evaluate(&poll.poll, &present_keys);
+                ComparedPoll { poll, result }
             })
             .collect()
     }
--- a/src/coordination/requests/polls/decoded_records.rs
+++ b/src/coordination/requests/polls/decoded_records.rs
@@ -1,4 +1,4 @@
-//! Decoding the records that were read.
+//! Decodes records that were read.
 
 use super::record_keys::RecordKind;
 use crate::coordination::requests::store_call::StoreAnswer;
@@ -9,15 +9,15 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// What a record says of its job.
+/// The content of a job's record.
 pub(super) enum RecordContent {
-    /// The job has ended.
-    Ended(JobState),
+    /// The job is finished, in this state.
+    Finished(JobState),
     /// The job was accepted.
     Open {
-        /// The jobs that it depends on.
+        /// The job's dependencies.
         waits_on: Vec<String>,
-        /// Whether it is cancelled; its end is on record then too.
+        /// Whether the job is cancelled. If so, its final state is recorded too.
         cancelled: bool,
     },
 }
@@ -28,33 +28,36 @@
     pub(super) content: RecordContent,
 }
 
-/// Decoded records in the order of their keys.
+/// A page of decoded records in the order of their keys.
 pub(super) struct RecordPage {
     pub(super) records: Vec<JobRecord>,
-    /// The last job of the page, if there are more after it.
+    /// The last job of the page, if there are further pages.
     pub(super) last: Option<String>,
 }
 
-/// Decodes the response to the read of one record; `None` if it does not exist or can't be decoded.
+/// Decodes the response to the read of one record. Returns `None` if the record does not exist or can't
+/// be decoded.
 ///
 /// # Errors
 ///
-/// [`Unavailable`] if the state service did not answer.
+/// [`Unavailable`] if the read failed.
 pub(super) fn decode_single(
     kind: RecordKind,
     answer: StoreAnswer,
 ) -> Result<Option<RecordContent>, Unavailable> {
     Ok(match kind {
-        RecordKind::End => answer.decode()?.and_then(|end| end_content(&end.record)),
+        RecordKind::FinalState => answer
+            .decode()?
+            .and_then(|found| final_state_content(&found.record)),
         RecordKind::Open => answer.decode()?.map(|open| open_content(open.record)),
     })
 }
 
-/// Decodes the response to the read of a page, without the records that can't be decoded.
+/// Decodes the response to the read of a page. Records that can't be decoded are skipped.
 ///
 /// # Errors
 ///
-/// [`Unavailable`] if the state service did not answer.
+/// [`Unavailable`] if the read failed.
 pub(super) fn decode_page(
     kind: RecordKind,
     answer: StoreAnswer,
@@ -78,7 +81,7 @@
 fn decode_item(kind: RecordKind, item: VersionedValue) -> Option<JobRecord> {
     let job = item.key.strip_prefix(kind.prefix())?.to_string();
     let content = match kind {
-        RecordKind::End => end_content(&decode_value(item.value)?)?,
+        RecordKind::FinalState => final_state_content(&decode_value(item.value)?)?,
         RecordKind::Open => open_content(decode_value(item.value)?),
     };
     Some(JobRecord { job, content })
@@ -88,9 +91,9 @@
     serde_json::from_value(value).ok()
 }
 
-fn end_content(record: &EndRecord) -> Option<RecordContent> {
-    let is_end = record.state.is_end();
-    is_end.then_some(RecordContent::Ended(record.state))
+fn final_state_content(record: &EndRecord) -> Option<RecordContent> {
+    let is_final = record.state.is_end();
+    is_final.then_some(RecordContent::Finished(record.state))
 }
 
 fn open_content(record: OpenRecord) -> RecordContent {
--- a/src/coordination/requests/polls/limits.rs
+++ b/src/coordination/requests/polls/limits.rs
@@ -2,32 +2,33 @@
 
 use crate::settings::Settings;
 
-/// The share of the state service's rate limit that the polls of all nodes may take together: the
+/// The share of the state service's rate limit that the polls of all controllers may use together. The
 /// leader needs the rest for its lease and its records.
 const REQUESTS_SHARE: f64 = 0.4;
-/// How long a poll may stay pending here; its client waits for two seconds, most of which the
-/// request to the leader may have taken.
+/// How long a poll may stay pending. Its client waits for two seconds, most of which may already have
+/// been spent on the request to the leader.
 pub(super) const POLL_TIMEOUT_S: f64 = 0.5;
-/// Of the requests within the timeout of a poll, half may go to reads.
+/// The share of the requests within a poll's timeout that is available for comparisons; the rest may
+/// be used for reads.
 pub(super) const COMPARISONS_SHARE: f64 = 0.5;
-/// The share of memory for the cache of immutable facts about jobs.
+/// The share of the memory limit for the cache of known jobs.
 const MEMORY_SHARE: f64 = 0.1;
-/// The memory that the cache needs for a job.
+/// The memory that the cache needs per job.
 const BYTES_PER_JOB: f64 = 400.0;
 
-/// How many requests and jobs a batcher may deal with.
+/// The limits of a poll batcher on requests and cached jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Requests to the state service per second.
     pub requests_per_s: f64,
-    /// Compares in a transaction.
+    /// The maximum number of compares in a transaction.
     pub max_compares: usize,
-    /// Jobs that are cached.
+    /// The maximum number of cached jobs.
     pub max_jobs: usize,
 }
 
 impl Limits {
-    /// The limits of one of the controllers that the settings name.
+    /// The limits of each controller under these settings.
     pub fn of(settings: &Settings) -> Limits {
         let state = &settings.cluster.state;
         let controllers = 1 + settings.peers.len();
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Polls that one comparison takes if each has two compares.
+    /// Polls in a comparison if each needs two compares.
     pub(super) fn polls_per_comparison(&self) -> usize {
         (self.max_compares / 2).max(1)
     }
--- a/src/coordination/requests/polls/mod.rs
+++ b/src/coordination/requests/polls/mod.rs
@@ -1,19 +1,19 @@
-//! Queries that only the records can answer, batched.
+//! Polls: job status queries that only the records can answer, in batches.
 //!
-//! The leader's state may lack a cancellation that another node has already confirmed to a user, a
-//! node without a leader has no such state at all, and no answer may be older than one given before.
-//! So the polls that are pending at a node share read-only transactions: each compares the keys of as
-//! many jobs as a transaction takes compares. What a comparison leaves open is read once and cached:
-//! that a job was accepted, its dependencies, and how it ended are immutable.
+//! The leader's state is not enough to answer them: it may lack a cancellation that a peer has already
+//! confirmed to a user, and it is missing when there is no leader. No answer may be older than a
+//! previous one. Pending polls therefore share read-only transactions, each of which compares the keys
+//! of as many jobs as the limit on compares allows. Records that a comparison finds are read once and
+//! cached: that a job was accepted, its dependencies and its final state never change.
 //!
-//! All of this stays within a share of the rate limit of the state service. A poll that exceeds it is
-//! rejected at once, and takes precedence when it is repeated.
+//! The batcher uses at most a share of the rate limit of the state service. A poll that exceeds this
+//! share is rejected at once; its retry takes precedence.
 //!
 //! The layers, each using only those before it:
 //!
-//! - `limits` and `types`: what all of them share;
+//! - `limits` and `types`: shared definitions;
 //! - `record_keys`, `decoded_records` and `read_queue`: reading records, a page at a time;
-//! - `known_jobs` and `comparison`: deciding polls by one transaction;
+//! - `known_jobs` and `comparison`: deciding many polls by one transaction;
 //! - `retry_schedule` and `poll_queue`: pending polls, their order and timeouts;
 //! - `batcher`: the state machine that a driver runs.
 
--- a/src/coordination/requests/polls/poll_queue.rs
+++ b/src/coordination/requests/polls/poll_queue.rs
@@ -1,4 +1,4 @@
-//! Pending polls: their order, their timeouts, and the rejection of those beyond the rate limit.
+//! The queue of pending polls: their order, timeouts and rejection beyond the rate limit.
 
 use super::record_keys::RecordKey;
 use super::retry_schedule::RetrySchedule;
@@ -6,19 +6,19 @@
 use crate::coordination::requests::answers::{Answer, RetryReason};
 use crate::coordination::Time;
 
-/// A poll that can't be answered before a record is read.
+/// A poll that waits for the read of a record.
 pub(super) struct AwaitingPoll {
     pub(super) poll: PendingPoll,
-    /// The record.
+    /// The record to be read.
     pub(super) key: RecordKey,
 }
 
-/// The polls of a node that are not answered yet, but for those that are being compared.
+/// The polls that are not answered yet, except those in the comparison in flight.
 pub(super) struct PollQueue {
     to_compare: Vec<PendingPoll>,
     awaiting_read: Vec<AwaitingPoll>,
     retries: RetrySchedule,
-    /// No poll expires before this.
+    /// The earliest time at which a poll can expire.
     next_expiry_at: Time,
 }
 
@@ -37,25 +37,25 @@
         self.to_compare.is_empty() && self.awaiting_read.is_empty()
     }
 
-    /// The number of polls that are to be compared.
+    /// The number of polls to compare.
     pub(super) fn len_to_compare(&self) -> usize {
         self.to_compare.len()
     }
 
-    /// Adds a poll that is to be compared.
+    /// Adds a poll to compare.
     pub(super) fn push(&mut self, poll: PendingPoll) {
         self.next_expiry_at = self.next_expiry_at.min(poll.expires_at());
         self.to_compare.push(poll);
     }
 
-    /// Adds a poll for which a record is to be read first.
+    /// Adds a poll that waits for the read of a record.
     pub(super) fn push_awaiting(&mut self, poll: PendingPoll, key: RecordKey) {
         self.next_expiry_at = self.next_expiry_at.min(poll.expires_at());
         self.awaiting_read.push(AwaitingPoll { poll, key });
     }
 
-    /// Removes all polls that are to be compared, in their order: first those rejected longest ago,
-    /// then those enqueued longest ago.
+    /// Removes and returns all polls to compare, oldest first. A poll of a job whose polls were rejected
+    /// counts from the first rejection, any other poll from when it was enqueued.
     pub(super) fn take_ordered(&mut self) -> Vec<PendingPoll> {
         let mut polls = std::mem::take(&mut self.to_compare);
         let pending_since = |pending: &PendingPoll| {
@@ -66,7 +66,7 @@
         polls
     }
 
-    /// Removes the polls whose records match.
+    /// Removes and returns the polls that wait for a matching record.
     pub(super) fn take_awaiting(
         &mut self,
         is_match: impl Fn(&RecordKey) -> bool,
@@ -74,7 +74,7 @@
         drain_matching(&mut self.awaiting_read, |awaiting| is_match(&awaiting.key))
     }
 
-    /// Removes all polls.
+    /// Removes and returns all polls.
     pub(super) fn take_all(&mut self) -> Vec<PendingPoll> {
         let mut polls = std::mem::take(&mut self.to_compare);
         let awaiting = std::mem::take(&mut self.awaiting_read).into_iter();
@@ -82,30 +82,31 @@
         polls
     }
 
-    /// Answers a poll that was removed.
+    /// Answers a poll that was removed from the queue.
     pub(super) fn answer(&mut self, pending: &PendingPoll, answer: Answer) -> PollEffect {
         self.forget_rejections(&pending.poll.job);
         PollEffect::Answer(pending.id, answer)
     }
 
-    /// The next poll of the job takes no precedence: one has been answered.
+    /// Discards the precedence of the job's polls, since one was answered.
     pub(super) fn forget_rejections(&mut self, job: &str) {
         self.retries.remove(job);
     }
 
-    /// Rejects a poll that was removed.
+    /// Rejects a poll that was removed from the queue.
     pub(super) fn reject(&mut self, pending: &PendingPoll, now: Time) -> PollEffect {
         let retry_after_s = self.retries.reject(&pending.poll.job, now);
         let reason = RetryReason::TooManyPolls { retry_after_s };
         PollEffect::Answer(pending.id, Answer::RetryLater(reason))
     }
 
-    /// Rejects polls that were removed.
+    /// Rejects polls that were removed from the queue.
     pub(super) fn reject_all(&mut self, polls: &[PendingPoll], now: Time) -> Vec<PollEffect> {
         polls.iter().map(|poll| self.reject(poll, now)).collect()
     }
 
-    /// Rejects the polls whose timeout has passed; the records that they await are read all the same.
+    /// Rejects the polls whose timeout has passed. The records that they wait for are still read, for
+    /// their retries.
     pub(super) fn reject_expired(&mut self, now: Time) -> Vec<PollEffect> {
         if now < self.next_expiry_at {
             return Vec::new();
@@ -126,7 +127,7 @@
         self.reject_all(&expired, now)
     }
 
-    /// Keeps at most `max_len` polls that are to be compared, and rejects the last in order.
+    /// Keeps the first `max_len` polls to compare, in their order, and rejects the rest.
     pub(super) fn reject_excess(&mut self, max_len: usize, now: Time) -> Vec<PollEffect> {
         if self.to_compare.len() <= max_len {
             return Vec::new();
@@ -137,7 +138,7 @@
     }
 }
 
-/// Removes the matching elements; both parts keep their order.
+/// Removes and returns the matching elements. Both parts keep their order.
 fn drain_matching<T>(list: &mut Vec<T>, is_match: impl Fn(&T) -> bool) -> Vec<T> {
     let (matching, rest) = std::mem::take(list).into_iter().partition(is_match);
     *list = rest;
--- a/src/coordination/requests/polls/read_queue.rs
+++ b/src/coordination/requests/polls/read_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of records to read, and the order in which they are read.
+//! The queue of records to read and the order of the reads.
 
 use super::record_keys::{PageRange, RecordKey, RecordKind};
 use crate::coordination::requests::store_call::StoreCall;
@@ -6,10 +6,10 @@
 
 /// The maximum number of records in a page.
 const MAX_PAGE_LEN: usize = 400;
-/// Records in a page for each one that is queued: reading more than is needed costs time.
+/// Records in a page per queued record. It is limited because reading unneeded records takes time.
 const PAGE_LEN_PER_QUEUED: usize = 16;
 
-/// What a call reads.
+/// A read of one record or a page.
 #[derive(Debug)]
 pub(super) enum ReadCall {
     /// One record.
@@ -21,39 +21,39 @@
     },
 }
 
-/// A read that is to be made now.
+/// The next read and its call.
 pub(super) struct NextRead {
-    /// What it reads.
+    /// The read.
     pub(super) read: ReadCall,
     /// The call to the state service.
     pub(super) store_call: StoreCall,
 }
 
-/// Records to read; end records and open records alternate.
+/// Records to read. Reads of final state records and of open records alternate.
 pub(super) struct ReadQueue {
-    ends: KeyScan,
+    final_states: KeyScan,
     open: KeyScan,
-    was_end_read_last: bool,
+    was_final_state_read_last: bool,
 }
 
 impl ReadQueue {
-    /// At most `max_len` records of each kind are queued; a further one is queued by the next poll of
-    /// its job.
+    /// An empty queue of at most `max_len` records of each kind. A record that does not fit is queued by
+    /// a later poll of its job.
     pub(super) fn new(max_len: usize) -> ReadQueue {
         ReadQueue {
-            ends: KeyScan::new(max_len),
+            final_states: KeyScan::new(max_len),
             open: KeyScan::new(max_len),
-            was_end_read_last: false,
+            was_final_state_read_last: false,
         }
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.ends.queued.is_empty() && self.open.queued.is_empty()
+        self.final_states.queued.is_empty() && self.open.queued.is_empty()
     }
 
     fn scan_mut(&mut self, kind: RecordKind) -> &mut KeyScan {
         match kind {
-            RecordKind::End => &mut self.ends,
+            RecordKind::FinalState => &mut self.final_states,
             RecordKind::Open => &mut self.open,
         }
     }
@@ -63,13 +63,13 @@
         self.scan_mut(key.kind).push(&key.job);
     }
 
-    /// Takes the next read from the queue: a page, where more than one record is queued.
+    /// Removes the next read from the queue: a page if more than one record of its kind is queued.
     pub(super) fn pop(&mut self) -> Option<NextRead> {
-        let has_ends = !self.ends.queued.is_empty();
-        self.was_end_read_last =
-            has_ends && (self.open.queued.is_empty() || !self.was_end_read_last);
-        let kind = if self.was_end_read_last {
-            RecordKind::End
+        let has_final_states = !self.final_states.queued.is_empty();
+        self.was_final_state_read_last =
+            has_final_states && (self.open.queued.is_empty() || !self.was_final_state_read_last);
+        let kind = if self.was_final_state_read_last {
+            RecordKind::FinalState
         } else {
             RecordKind::Open
         };
@@ -94,15 +94,14 @@
         })
     }
 
-    /// Removes the records that a page has answered; the next page of the kind starts behind it.
+    /// Removes the records that a page covers. The next page of this kind starts after them.
     pub(super) fn remove_range(&mut self, range: &PageRange) {
         self.scan_mut(range.kind).remove_range(range);
     }
 }
 
-/// Queued records of one kind, read in the order of their keys: many neighbours with each call, from
-/// where the last page ended. So each is read within one pass over the pages, however many are
-/// queued.
+/// Queued records of one kind. They are read in the order of their keys, in pages that each continue
+/// after the previous one, so every queued record is read within one pass over the keys.
 struct KeyScan {
     max_len: usize,
     /// The ids of the jobs.
@@ -139,7 +138,8 @@
     }
 }
 
-/// A key that precedes this one, and succeeds almost all keys that do: lists begin *after* a key.
+/// A key that sorts shortly before this key. A list that starts after it includes this key and almost
+/// no earlier ones.
 fn key_before(key: &str) -> String {
     let mut before = key.to_string();
     let Some(last) = before.pop() else {
--- a/src/coordination/requests/polls/record_keys.rs
+++ b/src/coordination/requests/polls/record_keys.rs
@@ -1,21 +1,21 @@
-//! Which records of jobs are read, by key or by a range of keys.
+//! Keys and key ranges of the records of jobs.
 
 use crate::storage::records::{END_PREFIX, OPEN_PREFIX};
 
 /// The kinds of a job's records.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RecordKind {
-    /// How the job ended.
-    End,
-    /// The specification of a job that has not ended.
+    /// The final state of a finished job.
+    FinalState,
+    /// The specification of an open job.
     Open,
 }
 
 impl RecordKind {
-    /// The prefix of all keys of the kind.
+    /// The prefix of the keys of this kind.
     pub(super) fn prefix(self) -> &'static str {
         match self {
-            RecordKind::End => END_PREFIX,
+            RecordKind::FinalState => END_PREFIX,
             RecordKind::Open => OPEN_PREFIX,
         }
     }
@@ -29,10 +29,10 @@
 }
 
 impl RecordKey {
-    /// The end record of a job.
-    pub(super) fn end(job: &str) -> RecordKey {
+    /// The final state record of a job.
+    pub(super) fn final_state(job: &str) -> RecordKey {
         RecordKey {
-            kind: RecordKind::End,
+            kind: RecordKind::FinalState,
             job: job.to_string(),
         }
     }
@@ -45,13 +45,14 @@
         }
     }
 
-    /// The key in the state service.
+    /// The record's key in the state service.
     pub(super) fn store_key(&self) -> String {
         format!("{}{}", self.kind.prefix(), self.job)
     }
 }
 
-/// The records that a page is authoritative for: one of them that is not in the page does not exist.
+/// The range of records that a page covers: a record in this range that is not in the page does not
+/// exist.
 pub(super) struct PageRange<'a> {
     pub(super) kind: RecordKind,
     /// The first job of the range.
@@ -61,12 +62,12 @@
 }
 
 impl PageRange<'_> {
-    /// Whether the range comprises the record.
+    /// Whether the range contains the record.
     pub(super) fn contains(&self, key: &RecordKey) -> bool {
         key.kind == self.kind && self.contains_job(&key.job)
     }
 
-    /// Whether the range comprises the record of its kind of the job.
+    /// Whether the range contains the job's record of this kind.
     pub(super) fn contains_job(&self, job: &str) -> bool {
         self.first <= job && self.last.is_none_or(|last| job <= last)
     }
--- a/src/coordination/requests/polls/retry_schedule.rs
+++ b/src/coordination/requests/polls/retry_schedule.rs
@@ -1,22 +1,21 @@
-//! When rejected polls are to be retried, and that they take precedence then.
+//! Assigns retry times to rejected polls and remembers the rejections, so that retries take precedence.
 
 use crate::coordination::Time;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// The longest delay before a retry: the interval at which clients poll by themselves. Who retries
-/// later, at another node, waits longer than necessary.
+/// The maximum delay before a retry, which is the interval at which clients poll anyway. A longer delay
+/// would make a client wait longer than necessary, as it may retry at another controller.
 const MAX_RETRY_AFTER_S: f64 = 5.0;
 const MIN_RETRY_AFTER_S: f64 = 1.0;
 
-/// Since when the polls of jobs have been rejected, bounded in number, and the slots of their
-/// retries.
+/// The first rejections of the polls of a bounded number of jobs, and the time slots for retries.
 pub(super) struct RetrySchedule {
     max_jobs: usize,
     first_rejected_at: HashMap<Arc<str>, Time>,
-    /// In the order of rejection; includes some that were answered since.
+    /// In the order of rejection. May include jobs whose polls have been answered since.
     rejections: VecDeque<Rejection>,
-    /// Seconds between two polls that can be answered.
+    /// Seconds between two slots.
     slot_interval_s: f64,
     next_slot: Time,
 }
@@ -28,7 +27,7 @@
 }
 
 impl RetrySchedule {
-    /// Remembers at most `max_jobs` jobs, and spreads retries over time so that `polls_per_s` come.
+    /// A schedule that remembers at most `max_jobs` jobs and has `polls_per_s` slots per second.
     pub(super) fn new(max_jobs: usize, polls_per_s: f64) -> RetrySchedule {
         RetrySchedule {
             max_jobs: max_jobs.max(1),
@@ -39,20 +38,20 @@
         }
     }
 
-    /// The time by which polls are ordered: when the job was first rejected, or else when the poll
-    /// was enqueued.
+    /// The time by which polls are ordered: the first rejection of the job's polls, or else when the
+    /// poll was enqueued.
     pub(super) fn pending_since(&self, job: &str, enqueued_at: Time) -> Time {
         let rejected_at = self.first_rejected_at.get(job);
         rejected_at.copied().unwrap_or(enqueued_at)
     }
 
-    /// A poll of the job is answered.
+    /// Removes the rejection of a job, one of whose polls has been answered.
     pub(super) fn remove(&mut self, job: &str) {
         self.first_rejected_at.remove(job);
     }
 
-    /// Records that a poll of the job is rejected; returns the seconds after which to retry. Each
-    /// retry gets a slot of its own, so that they do not come together.
+    /// Records the rejection of a poll of the job, and returns the seconds after which to retry. Each
+    /// retry gets a separate slot, which spreads the retries over time.
     pub(super) fn reject(&mut self, job: &str, now: Time) -> u32 {
         if !self.first_rejected_at.contains_key(job) {
             let job: Arc<str> = job.into();
--- a/src/coordination/requests/polls/types.rs
+++ b/src/coordination/requests/polls/types.rs
@@ -1,4 +1,4 @@
-//! Polls, and the outputs of a batcher.
+//! Polls and the outputs of a batcher.
 
 use super::limits::POLL_TIMEOUT_S;
 use crate::coordination::requests::answers::Answer;
@@ -6,7 +6,7 @@
 use crate::coordination::Time;
 use crate::protocol::job::{JobState, JobStatus};
 
-/// The number by which a driver identifies a poll of its batcher.
+/// The number that identifies a poll of a batcher; chosen by the driver.
 pub type PollId = u64;
 
 /// A query of a job's status.
@@ -14,22 +14,22 @@
 pub struct Poll {
     /// The id of the job.
     pub job: String,
-    /// The status of the job as this node knows it for certain as the leader; `None` where only the
-    /// records can tell.
+    /// The job's status according to this controller, if it is the leader and knows the status for
+    /// certain; otherwise `None`.
     pub leader_status: Option<JobStatus>,
 }
 
-/// An output of a batcher: what its driver has to do.
+/// An output of a batcher: an action for its driver.
 #[derive(Debug)]
 pub enum PollEffect {
     /// Call the state service, and pass the response to
     /// [`PollBatcher::on_answer`](super::PollBatcher::on_answer).
     Store(StoreCall),
-    /// The ends of these jobs are on record. Precedes every answer that reports one of them.
-    JobEndsRecorded(Vec<(String, JobState)>),
-    /// Send the answer to the client of a poll.
+    /// The final states of these jobs are recorded. Precedes every answer that reports one of them.
+    FinalStatesRecorded(Vec<(String, JobState)>),
+    /// Send the answer to the poll's client.
     Answer(PollId, Answer),
-    /// The state service refuses this node: forward the poll to another one.
+    /// The state service is unavailable to this controller: forward the poll to a peer.
     Forward(PollId),
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl PendingPoll {
-    /// When the poll is to be rejected, if it is not answered before.
+    /// When the poll is rejected unless it is answered before.
     pub(super) fn expires_at(&self) -> Time {
         self.enqueued_at + POLL_TIMEOUT_S
     }
--- a/src/coordination/requests/request.rs
+++ b/src/coordination/requests/request.rs
@@ -1,4 +1,4 @@
-//! The state machine of one request.
+//! The state machine of a request.
 
 use super::answers::{Answer, PeerAnswer, RetryReason};
 use super::cancellation::Cancellation;
@@ -13,14 +13,15 @@
 
 /// A submission, query or cancellation of one job.
 ///
-/// Each constructor returns the first effects; every response to one goes to [`Request::on_event`],
-/// until [`RequestEffect::Answer`] or [`RequestEffect::ReadRecords`] finishes the request:
+/// Each constructor returns the first effects. The driver passes their outcomes to
+/// [`Request::on_event`] until [`RequestEffect::Answer`] or [`RequestEffect::ReadRecords`] finishes the
+/// request:
 ///
 /// ```text
 /// submission, cancellation -> CallingStore --------------------------> Answered
-///                                  | state service refuses                ^ ^
+///                                  | state service unavailable            ^ ^
 ///                                  v                                      | |
-/// refused_query ------------> ForwardingToPeers --------------------------+ |
+/// query_peers --------------> ForwardingToPeers --------------------------+ |
 /// query -> ReadingLocalView -> ForwardingToLeader --------------------------+
 /// ```
 pub struct Request {
@@ -34,14 +35,15 @@
     ReadingLocalView,
     ForwardingToLeader,
     CallingStore(Operation),
-    /// The state service refuses this node: the request has been forwarded to so many of the peers.
+    /// The state service is unavailable to this controller: the request is forwarded to one peer after
+    /// another.
     ForwardingToPeers {
         peers_tried: usize,
     },
     Answered,
 }
 
-/// A request that the state service decides.
+/// An operation that writes to the state service.
 enum Operation {
     Submission(Box<Submission>),
     Cancellation(Cancellation),
@@ -60,7 +62,7 @@
 }
 
 impl Request {
-    /// A submission with its body, and the first effects.
+    /// Creates a submission from the request body, and returns its first effects.
     pub fn submission(body: &[u8], context: Context) -> (Request, Vec<RequestEffect>) {
         match JobSpec::parse(body) {
             Ok(spec) => Request::parsed_submission(spec, context),
@@ -83,21 +85,22 @@
         (request, effects)
     }
 
-    /// A query of a job's status, and the first effects.
+    /// Creates a query of a job's status, and returns its first effects.
     pub fn query(job: String, context: Context) -> (Request, Vec<RequestEffect>) {
         let request = Request::new(job, context, State::ReadingLocalView);
         (request, vec![RequestEffect::ReadLocalView])
     }
 
-    /// A query of a job for which the state service refuses this node, and the first effects.
-    pub fn refused_query(job: String, context: Context) -> (Request, Vec<RequestEffect>) {
+    /// Creates a query that is forwarded to the peers, since the state service is unavailable to this
+    /// controller, and returns its first effects.
+    pub fn query_peers(job: String, context: Context) -> (Request, Vec<RequestEffect>) {
         let state = State::ForwardingToPeers { peers_tried: 0 };
         let mut request = Request::new(job, context, state);
         let effects = request.forward_to_peer(0);
         (request, effects)
     }
 
-    /// A cancellation of a job, and the first effects.
+    /// Creates a cancellation of a job, and returns its first effects.
     pub fn cancellation(job: String, context: Context) -> (Request, Vec<RequestEffect>) {
         let (cancellation, call) = Cancellation::begin(&job, &context);
         let state = State::CallingStore(Operation::Cancellation(cancellation));
@@ -119,13 +122,13 @@
         &self.job
     }
 
-    /// Whether it is the submission of a job that depends on others.
+    /// Whether this is the submission of a job with dependencies.
     pub fn has_dependencies(&self) -> bool {
         self.has_dependencies
     }
 
-    /// Handles the response to the last effect; returns the next effects. An event that the current
-    /// state does not wait for is ignored.
+    /// Handles the outcome of the last effect, and returns the next effects. An event that does not fit
+    /// the current state is ignored.
     pub fn on_event(&mut self, event: RequestEvent) -> Vec<RequestEffect> {
         match (event, &mut self.state) {
             (RequestEvent::LocalView(view), State::ReadingLocalView) => self.on_local_view(view),
@@ -164,18 +167,21 @@
         }
     }
 
-    /// A leader that can't answer now may be partitioned from what this node still reaches.
+    /// If the leader can't answer, the records are read: the leader may be partitioned from the state
+    /// service while this controller is not.
     fn on_leader_answer(&mut self, answer: Option<PeerAnswer>) -> Vec<RequestEffect> {
         let Some(answer) = answer.filter(PeerAnswer::is_final) else {
             return self.read_records(None);
         };
-        // An end never changes: once noted, it is answered from this node's own view.
-        let end = answer.reported_end().map(RequestEffect::JobEndRecorded);
+        // A final state never changes: once cached, this controller can report it without the leader.
+        let final_state = answer
+            .reported_final_state()
+            .map(RequestEffect::FinalStateRecorded);
         let answered = self.answer(Answer::FromPeer(answer));
-        end.into_iter().chain(answered).collect()
+        final_state.into_iter().chain(answered).collect()
     }
 
-    /// The records decide; the leader's status of the job holds unless they contradict it.
+    /// Reads the records. The answer is the leader's status of the job, unless the records contradict it.
     fn read_records(&mut self, leader_status: Option<JobStatus>) -> Vec<RequestEffect> {
         self.state = State::Answered;
         let job = self.job.clone();
@@ -188,7 +194,7 @@
             Ok(Step::Finished(decision)) => self.on_decision(decision),
             Err(StepError::Unavailable) => self.forward_to_peer(0),
             Err(StepError::VersionChanged) => {
-                self.answer(Answer::RetryLater(RetryReason::VersionRaised))
+                self.answer(Answer::RetryLater(RetryReason::VersionChanged))
             }
             Err(StepError::RateLimited) => {
                 self.answer(Answer::RetryLater(RetryReason::StateServiceLimit))
@@ -196,20 +202,21 @@
         }
     }
 
-    /// Every answer that the state service has decided passes here.
+    /// Handles the result of a submission or cancellation.
     fn on_decision(&mut self, decision: Decision) -> Vec<RequestEffect> {
         let accepted = decision.accepted.map(|job| RequestEffect::JobAccepted {
             record: job.record,
             version: job.version,
         });
-        let end = decision.answer.reported_end();
-        let notices = accepted
+        let final_state = decision.answer.reported_final_state();
+        let effects = accepted
             .into_iter()
-            .chain(end.map(RequestEffect::JobEndRecorded));
-        notices.chain(self.answer(decision.answer)).collect()
+            .chain(final_state.map(RequestEffect::FinalStateRecorded));
+        effects.chain(self.answer(decision.answer)).collect()
     }
 
-    /// The state service may refuse this node alone: another one may serve the request.
+    /// Forwards the request to the next peer: the state service may be unavailable to this controller
+    /// only.
     fn forward_to_peer(&mut self, peers_tried: usize) -> Vec<RequestEffect> {
         let peer = self.context.peers.get(peers_tried).cloned();
         match peer.filter(|_| !self.context.from_peer) {
@@ -218,7 +225,7 @@
                 self.state = State::ForwardingToPeers { peers_tried };
                 vec![RequestEffect::Forward(peer)]
             }
-            None => self.answer(Answer::RetryLater(RetryReason::NoStateService)),
+            None => self.answer(Answer::RetryLater(RetryReason::StateServiceUnavailable)),
         }
     }
 
--- a/src/coordination/requests/store_call.rs
+++ b/src/coordination/requests/store_call.rs
@@ -9,12 +9,11 @@
 pub enum StoreCall {
     /// Read the value of a key; answered by [`StoreAnswer::Read`].
     Read(String),
-    /// List the first keys under a prefix that come after another key; answered by
-    /// [`StoreAnswer::Listed`].
+    /// List the keys with a prefix that sort after another key; answered by [`StoreAnswer::Listed`].
     List {
-        /// The prefix of the keys.
+        /// The prefix.
         under: String,
-        /// The key after which the list begins.
+        /// The list starts after this key.
         after: String,
         /// The maximum number of keys in the page.
         limit: usize,
@@ -26,11 +25,11 @@
 /// The response to a [`StoreCall`].
 #[derive(Debug)]
 pub enum StoreAnswer {
-    /// The value of a key, if there is one.
+    /// The value of a key, or `None` if the key does not exist.
     Read(Result<Option<VersionedValue>, Unavailable>),
     /// A page of keys and values.
     Listed(Result<Page, Unavailable>),
-    /// What has become of a transaction.
+    /// The outcome of a transaction.
     Committed(CommitOutcome),
 }
 
@@ -43,11 +42,11 @@
 }
 
 impl StoreAnswer {
-    /// The value that was read; one that can't be decoded as `T` counts as absent.
+    /// Decodes the value that was read. A value that can't be decoded as `T` counts as absent.
     ///
     /// # Errors
     ///
-    /// [`Unavailable`] if the state service gave no value, or the call was not a read.
+    /// [`Unavailable`] if the read failed, or the call was not a read.
     pub(super) fn decode<T: DeserializeOwned>(
         self,
     ) -> Result<Option<VersionedRecord<T>>, Unavailable> {
@@ -63,7 +62,8 @@
         }))
     }
 
-    /// The outcome of the transaction; the answer to another call counts as a refusal.
+    /// The outcome of the transaction. An answer to another kind of call counts as
+    /// [`CommitOutcome::Refused`].
     pub(super) fn commit_outcome(self) -> CommitOutcome {
         match self {
             StoreAnswer::Committed(outcome) => outcome,
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -1,4 +1,5 @@
-//! Submissions. Any node records an accepted job itself; the leader learns of it by its watch.
+//! Submissions. Any controller can accept a job by writing its open record; the leader receives the job
+//! through its watch.
 
 use super::acceptance::{Acceptance, AcceptanceOutcome};
 use super::admission::rejection;
@@ -13,7 +14,7 @@
 use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
-/// Accepts a job, unless it was accepted before or is rejected.
+/// Accepts or rejects a job, unless it was accepted before.
 pub(super) struct Submission {
     record: OpenRecord,
     write_fence: WriteFence,
@@ -21,15 +22,15 @@
 }
 
 enum State {
-    /// The job is to be rejected, unless it was accepted before: that holds whatever the settings
-    /// and the release of this node.
+    /// The job will be rejected unless the lookup finds it: an earlier acceptance remains valid even if
+    /// the settings or the release of this controller would reject the job now.
     Rejecting {
         lookup: JobLookup,
         answer: Answer,
     },
     CheckingDependencies(DependencyCheck),
     Accepting(Acceptance),
-    /// A dependency is cancelled: only the end of the job is recorded.
+    /// A dependency is cancelled: the job is recorded as cancelled and gets no open record.
     AcceptingCancelled(Acceptance),
 }
 
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -112,7 +112,7 @@
 
     /// Forwards a poll to another controller that can ask the state service.
     fn forward_poll(&self, job: String) -> Reply {
-        let (request, effects) = Request::refused_query(job, self.context(false));
+        let (request, effects) = Request::query_peers(job, self.context(false));
         match self.execute(request, effects, Kind::Query, &[]) {
             Outcome::Reply(reply) => reply,
             // It would be refused again.
@@ -207,7 +207,7 @@
                     self.publish_acceptance(AcceptedJob { record, version });
                     continue;
                 }
-                RequestEffect::JobEndRecorded(state) => {
+                RequestEffect::FinalStateRecorded(state) => {
                     let ends = vec![(request.job().to_string(), state)];
                     self.handles.end_notifier.publish(ends);
                     continue;
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -139,7 +139,7 @@
             Input::Accepted { job, waits_on } => self.batcher.job_accepted(&job, &waits_on),
             Input::Ended(ends) => {
                 for (job, state) in ends {
-                    self.batcher.job_end_recorded(&job, state);
+                    self.batcher.final_state_recorded(&job, state);
                 }
             }
         }
@@ -149,7 +149,7 @@
     fn forward(&self, poll: UserPoll) {
         if poll.from_peer {
             (poll.respond)(reply_to_user(Answer::RetryLater(
-                RetryReason::NoStateService,
+                RetryReason::StateServiceUnavailable,
             )));
         } else {
             self.requests
@@ -165,7 +165,7 @@
                     let answer = execute_store_call(&self.store, call);
                     effects.extend(self.batcher.on_answer(answer, self.now()));
                 }
-                PollEffect::JobEndsRecorded(ends) => self.end_notifier.publish(ends),
+                PollEffect::FinalStatesRecorded(ends) => self.end_notifier.publish(ends),
                 PollEffect::Answer(number, answer) => {
                     if let Some(poll) = self.pending.remove(&number) {
                         (poll.respond)(reply_to_user(answer));
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -45,7 +45,7 @@
                     effects.extend(batcher.on_answer(answer_of(store, call), now));
                 }
                 PollEffect::Answer(number, answer) => answers.push((number, answer.status())),
-                PollEffect::JobEndsRecorded(..) => {}
+                PollEffect::FinalStatesRecorded(..) => {}
                 PollEffect::Forward(number) => panic!("{number} is handed on"),
             }
         }
@@ -108,7 +108,7 @@
 fn a_cancellation_that_is_known_already_counts_for_what_waits_for_it() {
     let mut batcher = batcher();
     batcher.job_accepted("req-2", &["req-1".to_string()]);
-    batcher.job_end_recorded("req-1", JobState::Cancelled);
+    batcher.final_state_recorded("req-1", JobState::Cancelled);
     let first = batcher.enqueue(1, poll("req-2"), 0.0);
     let mut store = pipeline(Some("cancelled"));
     assert_eq!(answers(&mut batcher, &store, first), [(1, 503)]);
@@ -167,7 +167,7 @@
     };
     let page = store.page(under, after, *limit);
     let effects = batcher.on_answer(StoreAnswer::Listed(Ok(page)), 0.1);
-    let [PollEffect::JobEndsRecorded(ends), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
+    let [PollEffect::FinalStatesRecorded(ends), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
         &effects[..]
     else {
         panic!("{effects:?}");
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -233,7 +233,7 @@
         for effect in effects {
             match effect {
                 PollEffect::Store(call) => self.send(node, call),
-                PollEffect::JobEndsRecorded(..) => {}
+                PollEffect::FinalStatesRecorded(..) => {}
                 PollEffect::Answer(number, answer) => {
                     let asker = self.nodes[node].askers.remove(&number).expect("was asked");
                     self.answer(asker, answer);
@@ -265,7 +265,10 @@
             }
             asker @ (Asker::Node { .. } | Asker::Follower { .. }) => {
                 self.nodes[node].askers.remove(&number);
-                self.answer(asker, Answer::RetryLater(RetryReason::NoStateService));
+                self.answer(
+                    asker,
+                    Answer::RetryLater(RetryReason::StateServiceUnavailable),
+                );
             }
         }
     }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -297,7 +297,7 @@
         matches!(reads_records[..], [RequestEffect::ReadRecords(_)]),
         "{reads_records:?}"
     );
-    let (_, refused) = Request::refused_query(jobs::id_of(0), context(true));
+    let (_, refused) = Request::query_peers(jobs::id_of(0), context(true));
     assert_eq!(status_of(&refused), Some(503));
 }
 
@@ -315,7 +315,7 @@
         matches!(refused[..], [PollEffect::Forward(1)]),
         "{refused:?}"
     );
-    let (mut request, asked) = Request::refused_query(jobs::id_of(0), context(false));
+    let (mut request, asked) = Request::query_peers(jobs::id_of(0), context(false));
     assert!(asks(&asked, "n1"));
     assert!(asks(&request.on_event(not_now()), "n2"));
     assert_eq!(status_of(&request.on_event(not_now())), Some(503));
@@ -347,7 +347,7 @@
     let in_order = matches!(
         &effects[..],
         [
-            PollEffect::JobEndsRecorded(ends),
+            PollEffect::FinalStatesRecorded(ends),
             PollEffect::Answer(1, Answer::Known(_))
         ] if *ends == [(job.clone(), JobState::Cancelled)]
     );
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -163,7 +163,7 @@
                 RequestEffect::JobAccepted { record, version } => {
                     self.job_accepted(node, *record, version);
                 }
-                RequestEffect::JobEndRecorded(state) => {
+                RequestEffect::FinalStateRecorded(state) => {
                     let job = self.running[&key].job.unwrap();
                     self.job_end_recorded(node, job, state);
                 }
@@ -199,7 +199,7 @@
                         simulation.wait(key, Waiting::Store(call));
                     });
                 }
-                PollEffect::JobEndsRecorded(ends) => {
+                PollEffect::FinalStatesRecorded(ends) => {
                     for (id, state) in ends {
                         self.job_end_recorded(node, job_of(&id).unwrap(), state);
                     }
@@ -219,7 +219,7 @@
     /// A poll for which the state service refuses its node.
     fn forward_poll(&mut self, node: usize, job: u8, origin: Origin) {
         let context = self.context(node, !matches!(origin, Origin::User(_)));
-        let (request, effects) = Request::refused_query(id_of(job), context);
+        let (request, effects) = Request::query_peers(id_of(job), context);
         let machine = Machine::Request(Box::new(request), Kind::Query, origin);
         self.run(node, Some(job), machine, |simulation, key| {
             simulation.request_effects(key, effects);
