--- a/src/coordination/election/messages.rs
+++ b/src/coordination/election/messages.rs
@@ -67,22 +67,22 @@
 /// The outcome of an [`Operation`].
 #[derive(Debug)]
 pub enum Input {
-    /// Of [`Operation::Read`]: the leader record, or `None` if it does not exist.
+    /// The outcome of [`Operation::Read`]: the leader record, or `None` if it does not exist.
     Read(Result<Option<CurrentLeader>, Unavailable>),
-    /// Of [`Operation::Watch`]: the changes, or `None` if the state service no longer has the changes
-    /// after the requested revision.
+    /// The outcome of [`Operation::Watch`]: the changes, or `None` if the state service no longer has
+    /// the changes after the requested revision.
     Watched(Result<Option<Events>, Unavailable>),
-    /// Of [`Operation::Grant`]: the new lease.
+    /// The outcome of [`Operation::Grant`]: the new lease.
     Granted(Result<LeaseId, Unavailable>),
-    /// Of [`Operation::Commit`].
+    /// The outcome of [`Operation::Commit`].
     Committed(CommitOutcome),
-    /// Of [`Operation::Renew`].
+    /// The outcome of [`Operation::Renew`].
     Renewed(Renewal),
-    /// Of [`Operation::Release`], whether or not it succeeded.
+    /// The outcome of [`Operation::Release`], whether or not it succeeded.
     Released,
-    /// Of [`Operation::Wait`]: a request was received before the deadline.
+    /// The outcome of [`Operation::Wait`]: a request was received before the deadline.
     Requested(ElectionRequest),
-    /// Of [`Operation::Wait`]: the deadline has passed.
+    /// The outcome of [`Operation::Wait`]: the deadline has passed.
     Elapsed,
 }
 
