--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -112,7 +112,7 @@
 
     /// Forwards a poll to another controller, which may be able to reach the state service.
     fn forward_poll(&self, job: String) -> Reply {
-        let (request, effects) = Request::refused_query(job, self.context(false));
+        let (request, effects) = Request::query_peers(job, self.context(false));
         match self.execute(request, effects, Kind::Query, &[]) {
             Outcome::Reply(reply) => reply,
             // This controller can't read the records: the poll was rejected for that reason before.
@@ -209,7 +209,7 @@
                     self.publish_acceptance(AcceptedJob { record, version });
                     continue;
                 }
-                RequestEffect::JobEndRecorded(state) => {
+                RequestEffect::FinalStateRecorded(state) => {
                     let final_states = vec![(request.job().to_string(), state)];
                     self.handles.final_state_notifier.publish(final_states);
                     continue;
