--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -1,10 +1,10 @@
 //! Adding, stopping and releasing allocations.
 //!
-//! Every allocation comes by `ClusterState::add_allocation` and goes by
-//! `ClusterState::release_allocation`, which keep the job, the machine, the quota and the placement
-//! record in step. One is released only on proof that its task is gone and that no launch of it may
-//! still arrive: a newer heartbeat, a new incarnation, a lease that is over by the leader's clock, or
-//! the cloud's word. See `reconciliation` and `leases`.
+//! `ClusterState::add_allocation` and `ClusterState::release_allocation` are the only ways to add and
+//! release allocations. They keep the job, the machine, the quota and the placement record consistent.
+//! An allocation is released only on proof that its task is gone and that no launch of it may still
+//! arrive: a newer heartbeat, a new incarnation, a lease that has expired by the leader's clock, or the
+//! cloud's confirmation that the machine is gone. See `reconciliation` and `leases`.
 
 use super::ClusterState;
 use crate::coordination::state::{
@@ -14,7 +14,7 @@
 use crate::coordination::Time;
 
 impl ClusterState {
-    /// Puts a task on a machine. Its launch is sent once the placement record is written.
+    /// Places a task on a machine. Its launch is sent once the placement record is written.
     pub(crate) fn add_allocation(
         &mut self,
         id: AllocationId,
@@ -30,7 +30,7 @@
         self.add_allocation_to(record, placement, state, now);
     }
 
-    /// The same, where it is known which record holds the placement.
+    /// Adds an allocation whose placement goes into a given record.
     fn add_allocation_to(
         &mut self,
         record: usize,
@@ -55,11 +55,12 @@
         };
         job.add_allocation(id.task, reference);
         self.quota.allocate(&job.spec.team, &profile.request);
-        self.enter_placement(record, placement, state, now);
+        self.insert_placement(record, placement, state, now);
     }
 
-    /// Enters a placement into a record; its launch waits for that while it is pending.
-    fn enter_placement(
+    /// Inserts a placement into a record. While the allocation is pending, its launch waits for the
+    /// write.
+    fn insert_placement(
         &mut self,
         record: usize,
         placement: Placement,
@@ -70,13 +71,13 @@
         let priority = job.map(|job| job.priority);
         let pending = priority.filter(|_| state == AllocationState::Pending);
         self.placement_records
-            .enter(record, placement, pending, now);
+            .insert(record, placement, pending, now);
     }
 
     /// Restores an allocation that an earlier leader recorded.
     pub(super) fn restore_allocation(&mut self, record: usize, placement: Placement, now: Time) {
         let name = placement.machine.clone();
-        // The record names the machine only: its own heartbeat or the cloud's list tells the rest.
+        // The record holds only the machine's name; its heartbeat or the cloud's list adds the rest.
         self.machines.entry(name.clone()).or_insert_with(|| {
             let mut machine = Machine::new(name.clone(), "".into(), "".into(), false, now);
             machine.phase = MachinePhase::Up;
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Moves placements for which a record is too small into others, as after a leader whose records
-    /// may be larger.
+    /// Moves placements out of a record that is too large into other records. A record can be too large
+    /// if an earlier leader had a higher limit.
     pub(super) fn split_placement_record(&mut self, record: usize, now: Time) {
         while let Some(placement) = self.placement_records.take_excess(record) {
             let to = self.placement_records.choose(&placement);
@@ -102,13 +103,13 @@
             let machine = self.machines.get(&placement.machine);
             let allocation = machine.and_then(|machine| machine.allocations().get(id));
             let state = allocation.map_or(AllocationState::Launching, |a| a.state);
-            self.enter_placement(to, placement, state, now);
+            self.insert_placement(to, placement, state, now);
             self.placement_records.moved(record, to, now);
         }
     }
 
-    /// Releases an allocation: its task, which `has_run` or not, is certainly not on the machine any
-    /// more, or has exited. It counts no longer, and the task may be placed anew.
+    /// Releases an allocation whose task has exited or is proven not to be on the machine any more.
+    /// `has_run` says whether the task ever ran. The task may then be placed again.
     pub(super) fn release_allocation(
         &mut self,
         id: &AllocationId,
@@ -134,10 +135,10 @@
         };
         self.placement_records
             .remove(released.placement_record, &placement, now);
-        self.drop_ended_job(&id.job);
+        self.drop_finished_job(&id.job);
     }
 
-    /// Stops a task, which has so many seconds to write its checkpoint.
+    /// Stops a task, which gets `grace_s` seconds to write its checkpoint.
     pub(crate) fn stop(
         &mut self,
         machine: &MachineName,
@@ -145,17 +146,17 @@
         grace_s: f64,
         now: Time,
     ) {
-        let Some(holder) = self.machines.get_mut(machine) else {
+        let Some(host) = self.machines.get_mut(machine) else {
             return;
         };
-        let Some(allocation) = holder.allocation_mut(id) else {
+        let Some(allocation) = host.allocation_mut(id) else {
             return;
         };
         match allocation.state {
             AllocationState::Exited(_) => {}
             AllocationState::Pending => {
-                // The launch was not sent, and never will be.
-                holder.remove_allocation(id);
+                // The launch was not sent and never will be.
+                host.remove_allocation(id);
                 self.release_allocation(id, machine, false, now);
             }
             AllocationState::Launching | AllocationState::Observed(_) => {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Stops whatever is or may be of a job on any machine.
+    /// Stops every allocation of a job on every machine.
     pub(super) fn stop_job(&mut self, id: &JobId, grace_s: f64, now: Time) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -188,7 +189,8 @@
         }
     }
 
-    /// A task of a job was lost. The rest of a gang is of no use without it.
+    /// Handles the loss of a task of a job. The rest of a gang is stopped, since it cannot run without
+    /// the task.
     pub(super) fn task_lost(&mut self, id: &JobId, now: Time) {
         let job = self.jobs.get(id);
         if job.is_some_and(|job| job.is_gang() && !job.cancelled) {
@@ -196,7 +198,7 @@
         }
     }
 
-    /// A machine and all on it are gone, by the cloud's word.
+    /// Removes a machine and its allocations after the cloud has confirmed that it is gone.
     pub(super) fn remove_machine(&mut self, name: &MachineName, now: Time) {
         let Some(machine) = self.machines.remove(name) else {
             return;
--- a/src/coordination/cluster/cancellation_evidence.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -1,20 +1,20 @@
-//! Until when a controller provably knows of every cancellation that any user was told of, and so
-//! until when it may renew the leases of workers.
+//! Tracks up to which time a controller provably knows every cancellation that was confirmed to a user,
+//! and so until when it may renew the leases of workers.
 //!
-//! A task of a cancelled job must be gone within `cancel_s` of the confirmation. A worker whose
-//! lease is renewed may run its tasks for another `lease_s`. A controller that knows every
-//! cancellation confirmed before a moment, but perhaps none confirmed after it, may therefore renew
-//! leases until `cancel_s - lease_s` after that moment and not longer.
+//! A task of a cancelled job must be gone within `cancel_s` of the confirmation. A worker whose lease
+//! is renewed may run its tasks for another `lease_s`. A controller that knows every cancellation
+//! confirmed before time T, but perhaps none confirmed after it, may therefore renew leases until `T +
+//! cancel_s - lease_s` and not longer.
 //!
-//! Two kinds of evidence move the moment forward:
+//! Two kinds of evidence advance T:
 //!
-//! - The records were read, in full or by a watch without a gap: every cancellation on record when
-//!   the request was sent is known.
+//! - The records were read, in full or by a watch without a gap: every cancellation on record when the
+//!   request was sent is known.
 //! - *Every* other controller has answered which cancellations it has confirmed, without a gap since
-//!   its process was first asked. What an earlier process at its address had confirmed is known
-//!   once the records were read after the first answer of the present one.
+//!   its process was first asked. Cancellations that an earlier process at its address had confirmed
+//!   are known once the records were read after the first answer of the current process.
 //!
-//! That the leadership lease was renewed proves nothing here: the news of changes may lag behind.
+//! A renewed leadership lease is no evidence, because the watch may lag behind the store.
 
 use crate::coordination::cluster::CLOCK_DRIFT;
 use crate::coordination::Time;
@@ -22,32 +22,31 @@
 use crate::storage::cancellation_log::{CancellationPage, Cursor};
 use std::collections::BTreeMap;
 
-/// The share of the time between the end of a lease and the end of a cancellation that is used; the
-/// rest is for timers that fire late.
-const RENEWAL_SHARE: f64 = 0.96;
+/// The share of the renewal window that is used; the rest allows for timers that fire late.
+const RENEWAL_WINDOW_SHARE: f64 = 0.96;
 
-/// What one other controller has answered.
+/// The evidence from one other controller.
 #[derive(Debug, Default)]
 struct PeerEvidence {
     cursor: Cursor,
-    /// When the first answer of its present process arrived.
+    /// When the first answer of the peer's current process arrived.
     first_answer_at: Time,
-    /// Every cancellation that this process confirmed before then is known.
+    /// Every cancellation that this process confirmed before this time is known.
     confirmed_until: Option<Time>,
 }
 
-/// The answer of another controller to the question which cancellations it has confirmed.
+/// Another controller's answer to a request for the cancellations that it has confirmed.
 #[derive(Debug)]
 pub struct PeerAnswer {
-    /// The other controller.
+    /// The peer that answered.
     pub peer: String,
-    /// The cursor from which its log was asked for.
-    pub asked: Cursor,
-    /// When the question was sent.
+    /// The position in the peer's log from which cancellations were requested.
+    pub requested_from: Cursor,
+    /// When the request was sent.
     pub sent: Time,
     /// When the answer was received.
     pub received: Time,
-    /// The part of its log that it has sent.
+    /// The part of the peer's log in the answer.
     pub page: CancellationPage,
 }
 
@@ -59,7 +58,7 @@
 }
 
 impl CancellationEvidence {
-    /// No evidence yet; `peers` are all other controllers.
+    /// Starts without evidence; `peers` are all other controllers.
     pub fn new<'a>(peers: impl IntoIterator<Item = &'a String>) -> CancellationEvidence {
         let peers = peers.into_iter();
         CancellationEvidence {
@@ -70,24 +69,24 @@
         }
     }
 
-    /// All changes of the records up to some revision have been applied; the request that brought
-    /// the last of them was sent at `sent`.
+    /// Notes that all changes of the records up to some revision have been applied; `sent` is when the
+    /// request that returned the last of them was sent.
     pub fn records_read(&mut self, sent: Time) {
         self.records_read = Some(self.records_read.map_or(sent, |known| known.max(sent)));
     }
 
-    /// From where on a peer is to be asked.
+    /// The position in a peer's log from which to request cancellations next.
     pub fn cursor(&self, peer: &str) -> Cursor {
         self.peers.get(peer).map_or(Cursor::default(), |p| p.cursor)
     }
 
-    /// A peer has answered. The cancellations in the answer must have been applied before.
+    /// Applies a peer's answer. The cancellations in it must have been applied before.
     pub fn peer_answered(&mut self, answer: &PeerAnswer) {
         let Some(peer) = self.peers.get_mut(&answer.peer) else {
             return;
         };
         let page = &answer.page;
-        if !page.continues || answer.asked != peer.cursor {
+        if !page.continues || answer.requested_from != peer.cursor {
             peer.first_answer_at = answer.received;
             peer.confirmed_until = None;
         } else if page.complete {
@@ -96,8 +95,8 @@
         peer.cursor = page.cursor;
     }
 
-    /// The moment before which every cancellation that any user was told of is known here. Those
-    /// of this process itself must be known at any time.
+    /// The time before which every cancellation that was confirmed to a user is known to this
+    /// controller. Its own cancellations must always be known.
     pub fn known_until(&self, now: Time) -> Option<Time> {
         let records_read = self.records_read?;
         let mut peers = self.peers.values();
@@ -112,12 +111,12 @@
     /// Whether the lease of a worker may be renewed now.
     pub fn may_renew(&self, workers: &Workers, now: Time) -> bool {
         let known_until = self.known_until(now);
-        known_until.is_some_and(|known| now < known + renewal_s(workers))
+        known_until.is_some_and(|known| now < known + renewal_window_s(workers))
     }
 }
 
-/// For how long after the moment up to which all cancellations are known a lease may be renewed.
-pub fn renewal_s(workers: &Workers) -> Time {
+/// Seconds after the time up to which all cancellations are known for which a lease may be renewed.
+pub fn renewal_window_s(workers: &Workers) -> Time {
     let left_s = workers.cancel_s / CLOCK_DRIFT - workers.lease_s * CLOCK_DRIFT;
-    (RENEWAL_SHARE * left_s).max(0.0)
+    (RENEWAL_WINDOW_SHARE * left_s).max(0.0)
 }
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to workers, and the fencing tokens that they carry.
+//! Commands to workers, and the fencing tokens that the commands carry.
 
 use super::writes::completions::is_completion_unrecorded;
 use super::{ClusterState, CommandOutcome, Effect, MAX_COMMANDS};
@@ -10,31 +10,33 @@
 use crate::protocol::worker::{Cause, Command, CommandBatch, Heartbeat};
 use tracing::{debug, info};
 
-/// Exited tasks that may stay on a machine, on average, until a new token lets them be forgotten.
+/// Average number of exited tasks per machine that may wait to be forgotten before a new token is
+/// drawn.
 const MAX_EXITED_PER_MACHINE: usize = 4;
 
 /// How commands reach a worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CommandRoute {
-    /// In the response to the heartbeat of this sequence number.
+    /// In the response to the heartbeat with this sequence number.
     Response(HeartbeatSequence),
-    /// Directly. Only what was never sent goes this way, and `forget` never does: it must not overtake
-    /// a launch.
+    /// Directly, without a heartbeat. Only commands that were never sent before go this way, and
+    /// `forget` never does, since it must not overtake a launch.
     Direct,
 }
 
-/// What commands depend on besides the allocation.
+/// The context that decides which command an allocation needs.
 struct CommandContext {
     route: CommandRoute,
     token: FencingToken,
     acknowledged_token: FencingToken,
-    /// A leader whose lease may be over keeps tasks alive, but starts none.
+    /// Whether tasks may be started. A leader whose lease may have expired keeps tasks alive, but
+    /// starts none.
     may_start: bool,
 }
 
 impl CommandContext {
-    /// The command that an allocation needs now, noted in it as sent. An exited task is forgotten
-    /// unless its completion `is_unrecorded`.
+    /// The command that an allocation needs now, marked in the allocation as sent. An exited task is
+    /// forgotten unless its completion `is_unrecorded`.
     fn command_for(
         &self,
         id: &AllocationId,
@@ -51,8 +53,8 @@
                 }
             }
             AllocationState::Exited(cause) => {
-                // A launch that was sent directly may arrive again, and after a `forget` it would
-                // start the task anew.
+                // A launch that was sent directly may arrive a second time; after a `forget` it would
+                // start the task again.
                 let token = allocation.direct_launch_token;
                 let is_safe = token.is_none_or(|token| self.acknowledged_token > token);
                 let is_kept = cause == Cause::Done && is_unrecorded(id);
@@ -97,18 +99,18 @@
     }
 }
 
-/// Launches that may still arrive and hold something up.
+/// Allocations whose directly sent launch may still arrive, which blocks releasing or forgetting them.
 #[derive(Default)]
-struct HeldLaunches {
+struct BlockingLaunches {
     exited: usize,
-    /// The most exited tasks on one machine.
+    /// The largest number of exited tasks on one machine.
     max_exited: usize,
-    /// Whether any of them is to be stopped, or its task is missing.
+    /// Whether any of these tasks has to be stopped or is missing.
     any_unwanted: bool,
 }
 
 impl ClusterState {
-    /// What a worker is to do now: in the response to its heartbeat of this sequence number, or
+    /// The commands for a worker now: in the response to its heartbeat with this sequence number, or
     /// directly.
     pub(super) fn commands(
         &mut self,
@@ -136,10 +138,10 @@
             let after_s = now - self.leadership.elected_at();
             info!(
                 after_s = format_args!("{after_s:.2}"),
-                "first launch since the records were read"
+                "first task launched in this term"
             );
         }
-        // Stops first: what they free, a launch behind them may take.
+        // Stops come first, so that a launch can take the resources that they free.
         commands.sort_by_key(|command| match command {
             Command::Stop { .. } => 0,
             Command::Forget { .. } => 1,
@@ -148,8 +150,8 @@
         commands
     }
 
-    /// Sends directly to workers what should not wait for their next heartbeat. A leader whose lease
-    /// may be over still stops tasks by this, but starts none.
+    /// Sends commands that should not wait for the next heartbeat directly to the workers. A leader
+    /// whose lease may have expired still stops tasks this way, but starts none.
     pub(crate) fn send_commands(&mut self, now: Time) {
         if self.leadership.is_deposed() {
             return;
@@ -162,8 +164,8 @@
             let is_reachable = machine.phase == MachinePhase::Up
                 && machine.endpoint.is_some()
                 && worker.last_heartbeat_at().is_some();
-            // The answer to commands in flight brings the machine back here, and the response to its
-            // next heartbeat carries what there is.
+            // The machine is notified again when the commands in flight are answered, and the response
+            // to its next heartbeat carries any remaining commands.
             if worker.commands_in_flight() || !is_reachable || !worker.takes_commands(now) {
                 continue;
             }
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Sends commands directly (perhaps none: then only the token and a heartbeat are exchanged).
+    /// Sends commands directly. An empty batch only exchanges the token and a heartbeat.
     pub(super) fn dispatch(&mut self, name: &MachineName, commands: Vec<Command>) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -194,7 +196,7 @@
         });
     }
 
-    /// Takes in what became of commands that were sent directly.
+    /// Applies the outcome of commands that were sent directly.
     pub(crate) fn commands_answered(
         &mut self,
         name: &MachineName,
@@ -211,17 +213,20 @@
         match outcome {
             CommandOutcome::Executed(heartbeat) => {
                 worker.acknowledge(true, now);
-                self.apply_answer(name, &heartbeat, now);
+                self.apply_command_heartbeat(name, &heartbeat, now);
             }
-            CommandOutcome::Rejected(Some(heartbeat)) => self.apply_answer(name, &heartbeat, now),
-            // The rest goes with the responses to its heartbeats; nothing is concluded.
+            CommandOutcome::Rejected(Some(heartbeat)) => {
+                self.apply_command_heartbeat(name, &heartbeat, now)
+            }
+            // The remaining commands go out with the responses to heartbeats; the failure proves
+            // nothing about the machine.
             CommandOutcome::Rejected(None) | CommandOutcome::NotSent | CommandOutcome::Unknown => {
                 worker.commands_unanswered(pause_s, now);
             }
         }
     }
 
-    fn apply_answer(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
+    fn apply_command_heartbeat(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
         if heartbeat.token > self.leadership.token() {
             self.leadership.depose();
         } else if heartbeat.machine == **name {
@@ -229,25 +234,29 @@
         }
     }
 
-    /// Draws a higher token when launches that may still arrive hold something up.
+    /// Draws a higher token when launches that may still arrive block something.
     pub(super) fn raise_token_if_needed(&mut self, now: Time) {
         let pause_s = self.settings.cluster.workers.lease_s / 2.0;
         if !self.leadership.may_raise_token(pause_s, now) {
             return;
         }
-        let held = self.held_launches();
-        // Every worker sends a heartbeat on a new token at once, so exited tasks must be worth it.
-        let many = MAX_COMMANDS / 4;
-        let max_exited = (MAX_EXITED_PER_MACHINE * self.machines.len()).max(many);
-        if held.any_unwanted || held.exited > max_exited || held.max_exited > many {
+        let blocking = self.blocking_launches();
+        // Every worker sends a heartbeat at once when it sees a new token, so a few exited tasks do not
+        // justify one.
+        let machine_limit = MAX_COMMANDS / 4;
+        let max_exited = (MAX_EXITED_PER_MACHINE * self.machines.len()).max(machine_limit);
+        if blocking.any_unwanted
+            || blocking.exited > max_exited
+            || blocking.max_exited > machine_limit
+        {
             let effect = self.leadership.raise_token();
             self.effects.push(effect);
         }
     }
 
-    fn held_launches(&self) -> HeldLaunches {
+    fn blocking_launches(&self) -> BlockingLaunches {
         let token = self.leadership.token();
-        let mut held = HeldLaunches::default();
+        let mut blocking = BlockingLaunches::default();
         for machine in self.machines.values() {
             let mut exited = 0;
             let allocations = machine.allocations().iter();
@@ -258,22 +267,23 @@
                     AllocationState::Launching => {
                         let job = self.jobs.get(&id.job);
                         let is_cancelled = job.is_none_or(|job| job.cancelled);
-                        held.any_unwanted |= a.pending_stop.is_some() || is_cancelled;
+                        blocking.any_unwanted |= a.pending_stop.is_some() || is_cancelled;
                     }
-                    // Its process was back at once: only a new token proves the task gone.
-                    AllocationState::Observed(_) => held.any_unwanted |= a.is_missing,
+                    // The worker may have restarted and its counters caught up, so only a new token
+                    // proves the task gone.
+                    AllocationState::Observed(_) => blocking.any_unwanted |= a.is_missing,
                 }
             }
-            held.exited += exited;
-            held.max_exited = held.max_exited.max(exited);
+            blocking.exited += exited;
+            blocking.max_exited = blocking.max_exited.max(exited);
         }
-        held
+        blocking
     }
 
-    /// A higher token was drawn; `None` if that failed.
+    /// Takes over a higher token; `None` if drawing one failed.
     pub(crate) fn token_raised(&mut self, token: Option<FencingToken>, now: Time) {
         if self.leadership.token_raised(token, now) {
-            debug!(token = %self.leadership.token(), "token raised");
+            debug!(token = %self.leadership.token(), "fencing token raised");
         }
     }
 }
--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -1,11 +1,11 @@
-//! Dependencies between jobs: when a job may begin, what cancels it with a job that it depends on, and
-//! whose deadline and priority it works towards.
+//! Dependencies between jobs: when a dependent may start, when it is cancelled, and which deadlines and
+//! priorities a job inherits from its dependents.
 //!
-//! A job that waits for others takes no part in scheduling. It may begin once the end of every job that
-//! it names is on record as `done`; whatever is not known means waiting. Ends are not listed anywhere,
-//! so a new leader, which knows those of open jobs only, has the others read, each once. Once a job is
-//! cancelled, so are all that depend on it, however far: each gets its end on record, and users are told
-//! of it then.
+//! A job with unmet dependencies takes no part in scheduling. It may start once the final state of each
+//! dependency is on record as `done`; an unknown state means waiting. Final states cannot be listed, so
+//! a new leader, which knows only open jobs, has the final state of each unknown dependency read once.
+//! When a job is cancelled, so are all its direct and indirect dependents: the final state of each is
+//! recorded, and users are notified then.
 
 use super::{ClusterState, Effect};
 use crate::coordination::state::{Deadline, Job, JobId};
@@ -15,21 +15,21 @@
 use std::collections::{BTreeSet, HashMap};
 use tracing::{debug, info};
 
-/// Ends that are read at once.
-const MAX_END_READS: usize = 32;
-/// Seconds before an end that was not on record is read again.
-const END_READ_RETRY_S: f64 = 1.0;
+/// Final states that are read at once.
+const MAX_FINAL_STATE_READS: usize = 32;
+/// Seconds before a final state that was not on record is read again.
+const FINAL_STATE_RETRY_S: f64 = 1.0;
 
-/// The graph of jobs that depend on others.
+/// The graph of jobs and their dependencies.
 #[derive(Default)]
 pub(super) struct DependencyGraph {
-    /// For each job that others depend on and that is not known to have ended: those that name it.
+    /// The dependents of each job that is not known to have finished.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// Jobs of which neither the description nor the end is known here.
+    /// Dependencies of which neither the description nor the final state is known.
     unknown: BTreeSet<JobId>,
-    /// Whether ends are being read.
-    is_reading_ends: bool,
-    next_end_read_at: Time,
+    /// Whether a read of final states is in progress.
+    is_reading_final_states: bool,
+    next_read_at: Time,
 }
 
 impl DependencyGraph {
@@ -38,8 +38,8 @@
         self.dependents.contains_key(job)
     }
 
-    /// Whether it is not known what has become of a job that this one depends on.
-    pub(super) fn has_unknown(&self, job: &Job) -> bool {
+    /// Whether the state of any of a job's dependencies is unknown.
+    pub(super) fn has_unknown_dependency(&self, job: &Job) -> bool {
         let mut dependencies = job.unmet_dependencies.iter();
         dependencies.any(|id| self.unknown.contains(id))
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Removes a job whose end is known, and returns those that wait for it.
+    /// Removes a job whose final state is known, and returns its dependents.
     fn take_dependents(&mut self, job: &JobId) -> BTreeSet<JobId> {
         self.dependents.remove(job).unwrap_or_default()
     }
@@ -67,20 +67,25 @@
         self.dependents.get(job).into_iter().flatten()
     }
 
-    /// The jobs whose ends are to be read now.
-    fn ends_to_read(&mut self, now: Time) -> Vec<JobId> {
-        if self.is_reading_ends || now < self.next_end_read_at {
+    /// The jobs whose final states should be read now.
+    fn final_states_to_read(&mut self, now: Time) -> Vec<JobId> {
+        if self.is_reading_final_states || now < self.next_read_at {
             return Vec::new();
         }
         let dependents = &self.dependents;
         self.unknown.retain(|id| dependents.contains_key(id));
-        let ids: Vec<JobId> = self.unknown.iter().take(MAX_END_READS).cloned().collect();
-        self.is_reading_ends = !ids.is_empty();
+        let ids: Vec<JobId> = self
+            .unknown
+            .iter()
+            .take(MAX_FINAL_STATE_READS)
+            .cloned()
+            .collect();
+        self.is_reading_final_states = !ids.is_empty();
         ids
     }
 }
 
-/// What a job works towards: its own priority and deadline, or those of a job that depends on it.
+/// The priority and deadline that a job is scheduled by: its own, or those inherited from a dependent.
 struct Urgency {
     priority: Priority,
     deadline: Option<Deadline>,
@@ -100,32 +105,32 @@
         }
     }
 
-    /// Takes in a job that depends on this one and takes `duration_s` itself.
+    /// Includes the urgency of a dependent, which itself takes `duration_s`.
     fn include(&mut self, dependent: &Job, duration_s: f64) {
         self.priority = self.priority.max(dependent.priority);
-        let Some(theirs) = &dependent.deadline else {
+        let Some(inherited) = &dependent.deadline else {
             return;
         };
         let earlier = Deadline {
-            remaining_path_s: theirs.remaining_path_s + duration_s,
-            ..theirs.clone()
+            remaining_path_s: inherited.remaining_path_s + duration_s,
+            ..inherited.clone()
         };
-        let ours = self.deadline.as_ref();
-        if ours.is_none_or(|ours| earlier.latest() < ours.latest()) {
+        let current = self.deadline.as_ref();
+        if current.is_none_or(|current| earlier.latest() < current.latest()) {
             self.deadline = Some(earlier);
         }
     }
 }
 
 impl ClusterState {
-    /// Registers what a new job waits for, and who waits for it.
+    /// Registers the dependencies and the dependents of a new job.
     pub(super) fn register_dependencies(&mut self, id: &JobId, now: Time) {
         self.dependencies.unknown.remove(id);
         let Some(job) = self.jobs.get(id) else {
             return;
         };
         if job.cancelled {
-            return self.dependency_ended(id, JobState::Cancelled, now);
+            return self.dependency_finished(id, JobState::Cancelled, now);
         }
         let spec = job.spec.clone();
         let mut is_cancelled = false;
@@ -153,17 +158,18 @@
         }
     }
 
-    /// Placements and completed tasks on record prove that all that a job depends on was done then.
+    /// Clears the dependencies of jobs with recorded placements or completed tasks: those prove that
+    /// the dependencies were done.
     pub(super) fn clear_met_dependencies(&mut self) {
         let jobs = self.jobs.values();
-        let begun = jobs.filter(|job| job.allocated() > 0 || job.completed() > 0);
-        let begun: Vec<JobId> = begun.map(|job| job.id.clone()).collect();
-        for id in begun {
+        let started = jobs.filter(|job| job.allocated() > 0 || job.completed() > 0);
+        let started: Vec<JobId> = started.map(|job| job.id.clone()).collect();
+        for id in started {
             self.clear_dependencies(&id);
         }
     }
 
-    /// A job waits for nothing any more, whatever it has waited for.
+    /// Removes all dependencies of a job.
     pub(super) fn clear_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -174,9 +180,9 @@
         }
     }
 
-    /// A job's end is on record, since then at the latest: what waits for it goes on, or is cancelled
-    /// with it.
-    pub(super) fn dependency_ended(&mut self, id: &JobId, state: JobState, since: Time) {
+    /// Handles a final state that has been on record since `since` at the latest: the dependents become
+    /// eligible, or are cancelled too.
+    pub(super) fn dependency_finished(&mut self, id: &JobId, state: JobState, since: Time) {
         self.dependencies.unknown.remove(id);
         for dependent in self.dependencies.take_dependents(id) {
             if state == JobState::Cancelled {
@@ -189,13 +195,14 @@
             job.unmet_dependencies.remove(id);
             job.ready_at = job.ready_at.max(since);
             if job.is_eligible() {
-                debug!(job = %dependent, "dependencies are met");
+                debug!(job = %dependent, "dependencies of the job are met");
                 self.needs_scheduling = true;
             }
         }
     }
 
-    /// A job that this one depends on is cancelled, so neither it nor what depends on it ever begins.
+    /// Cancels a job and all its dependents, because a dependency was cancelled. None of them ever
+    /// starts.
     fn cancel_dependents(&mut self, id: &JobId, now: Time) {
         let mut cancelled = vec![id.clone()];
         while let Some(id) = cancelled.pop() {
@@ -206,8 +213,8 @@
                 continue;
             }
             job.dependency_cancelled = true;
-            info!(job = %id, "job cancelled with a dependency");
-            // It has no allocations, unless something went wrong before.
+            info!(job = %id, "job cancelled because a dependency was cancelled");
+            // The job has no allocations unless an earlier step went wrong.
             self.stop_job(&id, 0.0, now);
             self.clear_dependencies(&id);
             self.mark_finished(&id);
@@ -215,8 +222,8 @@
         }
     }
 
-    /// Updates what a job works towards, and with it what those do on which it depends: the same,
-    /// earlier by the time that it takes.
+    /// Updates the urgency of a job and of its direct and indirect dependencies, whose deadlines are
+    /// earlier by the time that the job takes.
     fn propagate_urgency(&mut self, id: &JobId) {
         let mut changed = vec![id.clone()];
         while let Some(id) = changed.pop() {
@@ -226,7 +233,7 @@
         }
     }
 
-    /// Returns whether anything has changed.
+    /// Returns whether the urgency has changed.
     fn update_urgency(&mut self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -247,8 +254,8 @@
         changed
     }
 
-    /// How long a job takes from when it may begin, in seconds, with all the resources that it wants:
-    /// its image comes first.
+    /// Seconds that a job takes from when it may start, including the fetch of its image, if it gets
+    /// all the resources that it requests.
     fn duration_s(&self, job: &Job) -> f64 {
         let rate = self.machine_types.slowest_fetch_gb_per_s();
         let fetch_s = if rate.is_finite() && rate > 0.0 {
@@ -259,36 +266,43 @@
         job.predicted_s + fetch_s
     }
 
-    /// Has the ends of jobs read that others depend on and that are not known.
-    pub(crate) fn request_unknown_ends(&mut self, now: Time) {
+    /// Requests the final states of dependencies that are unknown.
+    pub(crate) fn request_unknown_final_states(&mut self, now: Time) {
         if !self.leadership.is_leader(now) {
             return;
         }
-        let ids = self.dependencies.ends_to_read(now);
+        let ids = self.dependencies.final_states_to_read(now);
         if !ids.is_empty() {
-            self.effects.push(Effect::ReadEnds(ids));
+            self.effects.push(Effect::ReadFinalStates(ids));
         }
     }
 
-    /// The ends that were read; none for a job whose end is not on record, or could not be read.
-    pub(crate) fn ends_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
-        self.dependencies.is_reading_ends = false;
-        for (id, end) in ends {
-            match end {
-                Some(end) => {
-                    let since = end.at_ms.map_or(now, |ms| self.clock.time_of(ms).min(now));
-                    self.dependency_ended(&id, end.state, since);
+    /// Applies the final states that were read; `None` for a job whose final state is not on record or
+    /// could not be read.
+    pub(crate) fn final_states_read(
+        &mut self,
+        final_states: Vec<(JobId, Option<EndRecord>)>,
+        now: Time,
+    ) {
+        self.dependencies.is_reading_final_states = false;
+        for (id, record) in final_states {
+            match record {
+                Some(record) => {
+                    let since = record
+                        .at_ms
+                        .map_or(now, |ms| self.clock.time_of(ms).min(now));
+                    self.dependency_finished(&id, record.state, since);
                 }
-                None => self.dependencies.next_end_read_at = now + END_READ_RETRY_S,
+                None => self.dependencies.next_read_at = now + FINAL_STATE_RETRY_S,
             }
         }
     }
 
-    /// A job's end is on record, as some node has read.
-    pub(crate) fn job_end_recorded(&mut self, id: &str, state: JobState, now: Time) {
+    /// Handles a job's final state that some controller has read from its record.
+    pub(crate) fn final_state_recorded(&mut self, id: &str, state: JobState, now: Time) {
         match state {
             JobState::Cancelled if self.jobs.contains_key(id) => self.cancel(id, now),
-            _ => self.dependency_ended(&id.into(), state, now),
+            _ => self.dependency_finished(&id.into(), state, now),
         }
     }
 }
--- a/src/coordination/cluster/effect.rs
+++ b/src/coordination/cluster/effect.rs
@@ -1,4 +1,4 @@
-//! What the leader has other actors do, and what became of it.
+//! Effects that the leader requests from other actors, and their outcomes.
 
 use crate::coordination::state::{JobId, MachineName};
 use crate::protocol::cloud::Rent;
@@ -6,21 +6,21 @@
 use crate::protocol::store::{Transaction, VersionedValue};
 use crate::protocol::worker::{CommandBatch, Heartbeat, HeartbeatResponse};
 
-/// What the leader has other actors do.
+/// An operation that the leader requests from another actor.
 #[derive(Debug)]
 pub enum Effect {
-    /// Commit a transaction; its outcome comes back with the same id.
+    /// Commit a transaction; its outcome is returned with the same id.
     Write {
         /// The id of the write.
         id: u64,
-        /// What to commit.
+        /// The transaction to commit.
         transaction: Transaction,
     },
     /// Send commands directly to a worker.
     SendCommands {
         /// The worker's machine.
         machine: MachineName,
-        /// Where the worker takes them.
+        /// The address at which the worker accepts commands.
         endpoint: String,
         /// The commands.
         commands: CommandBatch,
@@ -31,50 +31,51 @@
     ReturnMachines(Vec<String>),
     /// Draw a higher fencing token, so that launches that may still arrive have no effect.
     RaiseToken,
-    /// A job has ended, on record or as its user was told.
-    JobEnded {
+    /// A job has finished: its final state is on record, or its cancellation was confirmed to its user.
+    JobFinished {
         /// The job.
         id: JobId,
-        /// How it ended.
+        /// The final state of the job.
         state: JobState,
     },
-    /// Read how these jobs ended.
-    ReadEnds(Vec<JobId>),
+    /// Read the final states of these jobs.
+    ReadFinalStates(Vec<JobId>),
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Debug)]
 pub enum WriteOutcome {
     /// Applied at this revision of the store.
     Applied(u64),
     /// Certainly not applied.
     Rejected,
-    /// Not applied, and never will be: larger than the store accepts.
+    /// Not applied and never will be, since the write is larger than the store accepts.
     TooLarge,
-    /// Possibly applied: the keys of its compares, as read afterwards.
+    /// Possibly applied. Holds the keys that the write compares, with the values read afterwards.
     Indeterminate(Vec<(String, Option<VersionedValue>)>),
 }
 
-/// What became of commands that were sent directly to a worker.
+/// The outcome of commands that were sent directly to a worker.
 #[derive(Debug)]
 pub enum CommandOutcome {
-    /// The worker executed them, and sends its state.
+    /// The worker executed them and returned its state.
     Executed(Heartbeat),
-    /// The worker executed nothing, and may send its state.
+    /// The worker executed none of them, and may have returned its state.
     Rejected(Option<Heartbeat>),
-    /// They were certainly not sent.
+    /// The commands were certainly not sent.
     NotSent,
     /// The worker may have executed them.
     Unknown,
 }
 
-/// How a heartbeat is answered.
+/// How the leader handles a heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
-    /// With this response, which renews the worker's lease.
+    /// Responds, which renews the worker's lease.
     Answer(HeartbeatResponse),
-    /// Not at all: it is older than what is known, and its sender no longer waits.
+    /// Does not respond: the heartbeat is older than the newest known one, and its sender no longer
+    /// waits.
     Stale,
-    /// By nobody here: the worker has seen a higher token than this leader's.
+    /// Does not respond: the worker has seen a higher token than this leader's.
     Deposed,
 }
--- a/src/coordination/cluster/finished_jobs.rs
+++ b/src/coordination/cluster/finished_jobs.rs
@@ -1,14 +1,14 @@
-//! Jobs of which nothing is left but to record their end.
+//! Finished jobs whose final state is still to be recorded.
 
 use crate::coordination::state::JobId;
 use std::collections::BTreeSet;
 
-/// A finished job, and whether its end is to be recorded before others.
+/// A finished job, and whether its final state is recorded before those of other jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct FinishedJob {
     /// The job.
     pub(super) job: JobId,
-    /// Whether other jobs wait for its end, or it ends with a job that it depends on.
+    /// Whether the job has dependents or was cancelled with a dependency.
     pub(super) is_urgent: bool,
 }
 
@@ -36,8 +36,8 @@
         self.others.remove(job);
     }
 
-    /// The first job for which `accepts` says so, urgent ones first.
-    pub(super) fn first_that(&self, accepts: impl Fn(&JobId) -> bool) -> Option<FinishedJob> {
+    /// The first job that `accepts` matches, urgent jobs first.
+    pub(super) fn first_matching(&self, accepts: impl Fn(&JobId) -> bool) -> Option<FinishedJob> {
         let first = |queue: &BTreeSet<JobId>, is_urgent| {
             let job = queue.iter().find(|job| accepts(job)).cloned();
             job.map(|job| FinishedJob { job, is_urgent })
@@ -45,12 +45,12 @@
         first(&self.urgent, true).or_else(|| first(&self.others, false))
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub(super) fn len(&self) -> usize {
         self.urgent.len() + self.others.len()
     }
 
-    /// Whether there are none.
+    /// Whether the queue is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.urgent.is_empty() && self.others.is_empty()
     }
--- a/src/coordination/cluster/heartbeat_monitor.rs
+++ b/src/coordination/cluster/heartbeat_monitor.rs
@@ -1,36 +1,37 @@
-//! Which heartbeats arrive, over all workers: whether silence is theirs or this node's own fault.
+//! Monitors the heartbeats of all workers, to tell a fault of this controller's network from silent
+//! workers.
 
 use crate::coordination::Time;
 use crate::settings::LONGEST_REPORT_INTERVAL;
 
-/// A gap in all workers' heartbeats shows that this node is cut off when it is so many times as long
-/// as the mean time between two of them.
-const GAP_HEARTBEATS: f64 = 8.0;
-/// It never does when shorter than this share of a heartbeat interval.
-const MIN_GAP: f64 = 0.25;
-/// Heartbeat intervals without a heartbeat of any worker to this node itself after which its own
-/// network may be at fault. Before, workers may still wait for an answer of the former leader.
-const UNHEARD_INTERVALS: f64 = 1.3;
-/// For a leader that most machines know, it is at the latest after so many times as long as chance
-/// explains.
-const UNHEARD_GAPS: f64 = 2.0;
-/// The share of the machines that must have shown this leader's token for it to be known to most.
-const KNOWN_SHARE: f64 = 0.9;
-/// Machines that leave commands unanswered when many fail together: more than this share of them.
+/// A gap in all workers' heartbeats indicates that this controller is isolated if it exceeds this
+/// multiple of the mean time between two heartbeats.
+const GAP_MEAN_INTERVALS: f64 = 8.0;
+/// A gap shorter than this share of a heartbeat interval never does.
+const MIN_GAP_SHARE: f64 = 0.25;
+/// Heartbeat intervals without a direct heartbeat from any worker after which this controller's network
+/// may be at fault. Until then, workers may still wait for a response from the former leader.
+const DIRECT_HEARTBEAT_TIMEOUT_INTERVALS: f64 = 1.3;
+/// For a leader whose token most machines have seen, this multiple of the gap timeout is enough if it
+/// is shorter.
+const DIRECT_HEARTBEAT_TIMEOUT_GAPS: f64 = 2.0;
+/// The share of the machines that must have seen this leader's token to count as most of them.
+const FENCED_SHARE: f64 = 0.9;
+/// A mass failure needs more than this share of the machines to have left commands unanswered.
 const MASS_FAILURE_SHARE: f64 = 0.02;
-/// And more than so many.
+/// A mass failure also needs more than this number of machines.
 const MIN_MASS_FAILURES: usize = 2;
 
-/// What a survey of the machines that are up has counted.
+/// Counts from a survey of the machines that are up.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct MachineSurvey {
     /// Machines that are up.
     pub(super) up: usize,
-    /// Those that have shown a token of this leadership.
+    /// Machines that have acknowledged a token of this term.
     pub(super) fenced: usize,
-    /// Those that have left a command unanswered.
+    /// Machines that have left a command unanswered.
     pub(super) unanswered: usize,
-    /// Since when the first of these has.
+    /// When the first of these machines left a command unanswered.
     pub(super) first_unanswered_at: Option<Time>,
 }
 
@@ -39,17 +40,17 @@
     /// The heartbeat interval, in seconds.
     interval_s: f64,
     machines_up: usize,
-    /// Whether most machines have ever shown a token of this leadership.
-    is_known_to_most: bool,
-    /// When any worker last sent a heartbeat to this node itself, or answered a command.
+    /// Whether most machines have ever acknowledged a token of this term.
+    most_are_fenced: bool,
+    /// When any worker last sent a heartbeat directly to this controller, or answered a command.
     last_heartbeat_at: Time,
-    /// When a worker last sent a heartbeat to this node itself, in this term.
+    /// When a worker last sent a heartbeat directly to this controller in this term.
     last_direct_heartbeat_at: Option<Time>,
-    /// The end of the last gap that may be a fault of this node's own network.
+    /// The end of the last gap that may come from a fault of this controller's network.
     last_gap_ended_at: Time,
-    /// The end of the last gap that is one: machines' silence counts from then.
+    /// The end of the last gap in which every worker should have sent a heartbeat. Silence counts from then.
     silence_counts_from: Time,
-    /// Since when many machines have left commands unanswered: others may have failed with them.
+    /// Since when many machines have left commands unanswered: more machines may have failed with them.
     mass_failure_since: Option<Time>,
 }
 
@@ -59,7 +60,7 @@
         HeartbeatMonitor {
             interval_s,
             machines_up: 0,
-            is_known_to_most: false,
+            most_are_fenced: false,
             last_heartbeat_at: now,
             last_direct_heartbeat_at: None,
             last_gap_ended_at: now,
@@ -68,17 +69,17 @@
         }
     }
 
-    /// How long a gap in all workers' heartbeats is no chance any more, in seconds: they send them at
-    /// times of their own, so that many leave short gaps only.
+    /// Seconds without any heartbeat that chance no longer explains. Workers send heartbeats
+    /// independently of each other, so that a large fleet leaves only short gaps.
     fn gap_timeout_s(&self) -> f64 {
-        let gap = GAP_HEARTBEATS / self.machines_up.max(1) as f64;
-        gap.max(MIN_GAP) * self.interval_s
+        let gap = GAP_MEAN_INTERVALS / self.machines_up.max(1) as f64;
+        gap.max(MIN_GAP_SHARE) * self.interval_s
     }
 
-    /// A worker has sent a heartbeat to this node itself, or answered its command. After a gap, what
-    /// others did not answer in it says nothing of them; after one in which each should have sent a
-    /// heartbeat, their silence counts from now. A shorter one may be chance when many send theirs at
-    /// the same time, again and again.
+    /// Notes a heartbeat that a worker sent directly to this controller, or an answer to a command.
+    /// After a gap, commands that went unanswered during it prove nothing about their machines. If each
+    /// worker should have sent a heartbeat during the gap, silence counts from now. A shorter gap may
+    /// be chance, when many workers repeatedly send their heartbeats at the same time.
     pub(super) fn note_heartbeat(&mut self, now: Time) {
         let gap_s = now - self.last_heartbeat_at;
         if gap_s > self.gap_timeout_s() {
@@ -90,53 +91,53 @@
         self.last_heartbeat_at = now;
     }
 
-    /// A worker has sent a heartbeat to this node itself.
+    /// Notes a heartbeat that a worker sent directly to this controller.
     pub(super) fn note_direct_heartbeat(&mut self, now: Time) {
         self.last_direct_heartbeat_at = Some(now);
     }
 
-    /// Takes in what a survey of the machines has counted.
+    /// Applies the counts of a survey of the machines.
     pub(super) fn note_survey(&mut self, survey: MachineSurvey, now: Time) {
         let up = survey.up;
         self.machines_up = up;
-        self.is_known_to_most |= up > 0 && survey.fenced as f64 >= KNOWN_SHARE * up as f64;
-        let many = MIN_MASS_FAILURES.max((MASS_FAILURE_SHARE * up as f64) as usize);
+        self.most_are_fenced |= up > 0 && survey.fenced as f64 >= FENCED_SHARE * up as f64;
+        let threshold = MIN_MASS_FAILURES.max((MASS_FAILURE_SHARE * up as f64) as usize);
         let first = survey.first_unanswered_at.unwrap_or(now);
         let since = self.mass_failure_since.unwrap_or(first);
-        self.mass_failure_since = (survey.unanswered > many).then_some(since);
+        self.mass_failure_since = (survey.unanswered > threshold).then_some(since);
     }
 
-    /// How many machines were up at the last survey.
+    /// The number of machines that were up at the last survey.
     pub(super) fn machines_up(&self) -> usize {
         self.machines_up
     }
 
-    /// Whether no worker is heard, for longer than chance explains.
-    pub(super) fn is_cut_off(&self, now: Time) -> bool {
+    /// Whether no heartbeat has arrived from any worker for longer than chance explains.
+    pub(super) fn is_isolated(&self, now: Time) -> bool {
         now - self.last_heartbeat_at > self.gap_timeout_s()
     }
 
-    /// Since when a machine's silence counts.
+    /// The time from which a machine's silence counts.
     pub(super) fn silence_counts_from(&self) -> Time {
         self.silence_counts_from
     }
 
-    /// The end of the last gap that may be a fault of this node's own network.
+    /// The end of the last gap that may come from a fault of this controller's network.
     pub(super) fn last_gap_ended_at(&self) -> Time {
         self.last_gap_ended_at
     }
 
-    /// Since when many machines have left commands unanswered: others may have failed with them.
+    /// Since when many machines have left commands unanswered: more machines may have failed with them.
     pub(super) fn mass_failure_since(&self) -> Option<Time> {
         self.mass_failure_since
     }
 
-    /// Whether no worker sends heartbeats to this node itself, which was elected at `elected_at`: its
-    /// own network may be at fault. Many workers leave short gaps only, once they know this leader.
+    /// Whether no worker sends heartbeats directly to this controller, elected at `elected_at`, so that
+    /// its network may be at fault. Once a large fleet knows this leader, it leaves only short gaps.
     pub(super) fn receives_no_heartbeats(&self, elected_at: Time, now: Time) -> bool {
-        let interval_s = UNHEARD_INTERVALS * self.interval_s;
-        let timeout_s = if self.is_known_to_most {
-            interval_s.min(UNHEARD_GAPS * self.gap_timeout_s())
+        let interval_s = DIRECT_HEARTBEAT_TIMEOUT_INTERVALS * self.interval_s;
+        let timeout_s = if self.most_are_fenced {
+            interval_s.min(DIRECT_HEARTBEAT_TIMEOUT_GAPS * self.gap_timeout_s())
         } else {
             interval_s
         };
--- a/src/coordination/cluster/heartbeat_routing.rs
+++ b/src/coordination/cluster/heartbeat_routing.rs
@@ -1,86 +1,86 @@
-//! Where a follower sends the heartbeats of workers that come to it.
+//! How a follower routes the heartbeats that workers send to it.
 
-use crate::coordination::cluster::LOST_AT_A_NODE_S;
+use crate::coordination::cluster::UNREACHABLE_CONTROLLER_DELAY_S;
 use crate::coordination::Time;
 use crate::protocol::ids::{HeartbeatSequence, Incarnation};
 use crate::settings::{Workers, LONGEST_REPORT_INTERVAL};
 use std::collections::HashMap;
 
-/// A worker that comes back so often does not reach the leader.
+/// A worker that returns to a follower this many times cannot reach the leader.
 const MAX_REDIRECTS: u32 = 3;
-/// Heartbeat intervals after which a worker that comes back is counted anew.
+/// Heartbeat intervals without a heartbeat after which a worker's count starts again.
 const RECENT_INTERVALS: f64 = 4.0;
 
-/// How a follower treats a heartbeat.
+/// How a follower handles a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// Its worker is told who leads.
+    /// The follower redirects the worker to the leader.
     Redirect,
-    /// The follower forwards it to the leader, and the response back.
+    /// The follower forwards the heartbeat to the leader, and the response to the worker.
     Forward,
 }
 
-/// The heartbeats of one worker that have come to a follower of late.
+/// The recent heartbeats of one worker to a follower.
 #[derive(Default)]
-struct Visits {
+struct RecentHeartbeats {
     count: u32,
-    /// The incarnation and sequence number of the newest one.
+    /// The incarnation and sequence number of the newest heartbeat.
     newest: (Incarnation, HeartbeatSequence),
     last_at: Time,
 }
 
-/// The workers that have come to a follower of late.
+/// The workers that have recently sent heartbeats to a follower.
 pub struct HeartbeatRouter {
-    visits: HashMap<String, Visits>,
-    /// After this time a worker that comes back is counted anew, in seconds.
+    recent: HashMap<String, RecentHeartbeats>,
+    /// Seconds without a heartbeat after which a worker's count starts again.
     recent_s: f64,
-    /// Whether the lease of a worker outlasts two nodes in a row that do not answer.
+    /// Whether a worker's lease outlasts two unresponsive controllers in a row.
     lease_outlasts_redirect: bool,
 }
 
 impl HeartbeatRouter {
-    /// A router to which no worker has come yet.
+    /// A router that has seen no worker yet.
     pub fn new(workers: &Workers) -> HeartbeatRouter {
-        let two_nodes_s = 2.0 * LOST_AT_A_NODE_S;
-        let lost_s = two_nodes_s + LONGEST_REPORT_INTERVAL * workers.report_s;
+        let two_delays_s = 2.0 * UNREACHABLE_CONTROLLER_DELAY_S;
+        let redirect_s = two_delays_s + LONGEST_REPORT_INTERVAL * workers.report_s;
         HeartbeatRouter {
-            visits: HashMap::new(),
-            recent_s: (RECENT_INTERVALS * workers.report_s).max(two_nodes_s),
-            lease_outlasts_redirect: workers.lease_s > lost_s,
+            recent: HashMap::new(),
+            recent_s: (RECENT_INTERVALS * workers.report_s).max(two_delays_s),
+            lease_outlasts_redirect: workers.lease_s > redirect_s,
         }
     }
 
-    /// What to do with a heartbeat of this incarnation and sequence number. A worker may have come
-    /// because it does not reach the leader: one that comes back again and again surely has, and one
-    /// whose lease would not outlast another try has its first heartbeat forwarded. A late copy of a
-    /// heartbeat does not count.
+    /// Decides how to handle a heartbeat with this incarnation and sequence number. The worker may have
+    /// sent it to a follower because it cannot reach the leader. That is certain once it returns
+    /// repeatedly. If its lease would not outlast another attempt, even its first heartbeat is
+    /// forwarded. A delayed or duplicate heartbeat does not count.
     pub fn route(
         &mut self,
         machine: &str,
         heartbeat: (Incarnation, HeartbeatSequence),
         now: Time,
     ) -> Route {
-        let visits = self.visits.entry(machine.to_string()).or_default();
-        if now - visits.last_at > self.recent_s {
-            visits.count = 0;
+        let recent = self.recent.entry(machine.to_string()).or_default();
+        if now - recent.last_at > self.recent_s {
+            recent.count = 0;
         }
-        if visits.count == 0 || heartbeat > visits.newest {
-            visits.count += 1;
-            visits.newest = visits.newest.max(heartbeat);
+        if recent.count == 0 || heartbeat > recent.newest {
+            recent.count += 1;
+            recent.newest = recent.newest.max(heartbeat);
         }
-        visits.last_at = now;
-        let is_first = visits.count == 1 && !self.lease_outlasts_redirect;
-        if is_first || visits.count >= MAX_REDIRECTS {
+        recent.last_at = now;
+        let is_first = recent.count == 1 && !self.lease_outlasts_redirect;
+        if is_first || recent.count >= MAX_REDIRECTS {
             Route::Forward
         } else {
             Route::Redirect
         }
     }
 
-    /// Forgets workers that have not come for long.
+    /// Forgets workers that have sent no heartbeat recently.
     pub fn forget_old(&mut self, now: Time) {
         let recent_s = self.recent_s;
-        self.visits
-            .retain(|_, visits| now - visits.last_at < 2.0 * recent_s);
+        self.recent
+            .retain(|_, recent| now - recent.last_at < 2.0 * recent_s);
     }
 }
--- a/src/coordination/cluster/heartbeats.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -11,27 +11,28 @@
 };
 use tracing::{info, warn};
 
-/// How a worker's heartbeat came here.
+/// How a worker's heartbeat reached this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The worker sent it to this node.
+    /// The worker sent it directly to this controller.
     Worker,
-    /// The worker sent it to another controller, which forwarded it. It says nothing of the network
-    /// between this node and the worker.
+    /// The worker sent it to another controller, which forwarded it. It proves nothing about the
+    /// network between this controller and the worker.
     Peer,
-    /// It answered a direct command. It says nothing of the response to the worker's last own
+    /// It answered a direct command. It proves nothing about the response to the worker's last regular
     /// heartbeat, which may still be in flight.
-    CommandAnswer,
+    CommandResponse,
 }
 
 impl ClusterState {
-    /// Whether a heartbeat is newer than all before it.
+    /// Whether a heartbeat is newer than all earlier ones of its machine.
     fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         let machine = self.machines.get(heartbeat.machine.as_str());
         machine.is_none_or(|machine| machine.worker.is_newer(heartbeat))
     }
 
-    /// Counts the tasks that a heartbeat shows as completed: they stay so, however old it is.
+    /// Counts the tasks that a heartbeat shows as completed. Completion is final, so the age of the
+    /// heartbeat does not matter.
     fn apply_completions(&mut self, heartbeat: &Heartbeat, now: Time) {
         let completed = heartbeat.tasks.iter();
         for status in completed.filter(|status| status.cause == Some(Cause::Done)) {
@@ -46,13 +47,14 @@
         }
     }
 
-    /// Applies the heartbeat that answered a direct command; returns whether it is news.
+    /// Applies the heartbeat that answered a direct command; returns whether it was newer than all
+    /// earlier ones.
     pub(crate) fn apply_command_response(&mut self, heartbeat: &Heartbeat, now: Time) -> bool {
-        self.apply_heartbeat(heartbeat, HeartbeatSource::CommandAnswer, now)
+        self.apply_heartbeat(heartbeat, HeartbeatSource::CommandResponse, now)
     }
 
-    /// Applies a heartbeat of any source, if it is newer than all before it. A late copy proves
-    /// nothing but what has completed.
+    /// Applies a heartbeat from any source if it is newer than all earlier ones; returns whether it
+    /// was. A delayed or duplicate heartbeat only proves which tasks have completed.
     fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -70,7 +72,7 @@
         if source == HeartbeatSource::Worker {
             self.heartbeats.note_direct_heartbeat(now);
         }
-        let is_own = source != HeartbeatSource::CommandAnswer;
+        let is_own = source != HeartbeatSource::CommandResponse;
         let is_new_incarnation = self.update_machine(&name, heartbeat, is_own, now);
         if is_new_incarnation {
             self.end_incarnation(&name, now);
@@ -87,8 +89,8 @@
         true
     }
 
-    /// Takes in what a heartbeat tells of its machine; returns whether it begins another incarnation
-    /// of the worker.
+    /// Updates a machine from a heartbeat; returns whether the heartbeat starts a new incarnation of
+    /// the worker.
     fn update_machine(
         &mut self,
         name: &MachineName,
@@ -98,7 +100,7 @@
     ) -> bool {
         let lease_s = self.settings.cluster.workers.lease_s;
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
-            info!(machine = %name, "adopting an unexpected machine");
+            info!(machine = %name, "heartbeat from an unknown machine, adding it");
             let machine_type = heartbeat.kind.as_str().into();
             let zone = heartbeat.zone.as_str().into();
             Machine::new(name.clone(), machine_type, zone, heartbeat.spot, now)
@@ -125,7 +127,7 @@
         is_new_incarnation
     }
 
-    /// Applies a worker's own heartbeat, sent here or forwarded, and responds to it.
+    /// Applies a worker's regular heartbeat, direct or forwarded, and responds to it.
     pub(crate) fn heartbeat_from(
         &mut self,
         source: HeartbeatSource,
@@ -138,7 +140,7 @@
                 machine = %heartbeat.machine,
                 acknowledged_token = %heartbeat.token,
                 %token,
-                "a worker has seen a higher token"
+                "worker has seen a higher fencing token, stepping down"
             );
             self.leadership.depose();
             return HeartbeatOutcome::Deposed;
@@ -157,7 +159,7 @@
         HeartbeatOutcome::Answer(HeartbeatResponse { token, commands })
     }
 
-    /// Tasks for which no open job accounts are stopped, then forgotten.
+    /// Commands that stop, and later forget, tasks that belong to no open job.
     fn commands_for_unknown_tasks(
         &self,
         name: &MachineName,
@@ -192,8 +194,8 @@
                 grace_s: 0.0,
             });
         }
-        // Only an attempt of an earlier term can be forgotten safely: a late copy of its launch would
-        // start it anew.
+        // Only an attempt of an earlier term can be forgotten safely: a delayed duplicate of a launch
+        // from this term would start the task again.
         let is_earlier = self.leadership.is_of_earlier_term(attempt);
         let is_fenced = is_earlier || acknowledged_token > self.leadership.first_token();
         let is_recorded = id
--- a/src/coordination/cluster/inventory.rs
+++ b/src/coordination/cluster/inventory.rs
@@ -1,4 +1,4 @@
-//! Machines as the cloud tells of them.
+//! Machines that the cloud rents out and lists.
 
 use super::ClusterState;
 use crate::coordination::state::{Machine, MachineName};
@@ -20,8 +20,8 @@
         self.machines.insert(name, machine);
     }
 
-    /// Takes in the cloud's list. It lags: it shows machines that are not known here, and proves
-    /// nothing else.
+    /// Applies the cloud's list of machines. The list lags: it adds machines that are not known yet,
+    /// and proves nothing else.
     pub(crate) fn machines_listed(&mut self, list: &[ListedMachine], now: Time) {
         for listed in list {
             let name: MachineName = listed.name.as_str().into();
@@ -34,7 +34,7 @@
     fn machine_listed(&mut self, name: MachineName, listed: &ListedMachine, now: Time) {
         let rented_at = now - listed.age_s;
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
-            // Rented by a request that is still to be answered, or by an earlier leader.
+            // Rented by an earlier leader, or by a request whose response has not arrived yet.
             let machine_type = listed.kind.as_str().into();
             let zone = listed.zone.as_str().into();
             let mut machine =
@@ -43,7 +43,8 @@
             machine
         });
         machine.describe(&listed.kind, &listed.zone, listed.spot);
-        // A placement record or a heartbeat does not tell for how long an earlier leader had it.
+        // A machine that was added from a placement record or a heartbeat may have been rented long
+        // before.
         machine.rented_at = machine.rented_at.min(rented_at);
         if machine.endpoint.is_none() {
             machine.endpoint.clone_from(&listed.endpoint);
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: their acceptance, their state as users are told it, their cancellation and completion.
+//! Jobs: acceptance, status for users, cancellation and completion.
 
 use super::finished_jobs::FinishedJob;
 use super::{ClusterState, Effect};
@@ -9,14 +9,13 @@
 use std::sync::Arc;
 use tracing::{debug, info};
 
-/// Whose run times are learned together: a team's jobs of one class.
+/// The key under which run times are learned together: jobs of one team and class.
 pub(super) fn owner(spec: &JobSpec) -> String {
     format!("{}/{}", spec.team, spec.class)
 }
 
 impl ClusterState {
-    /// A job was accepted at some time of day, or its user has cancelled it, as its record of this
-    /// version tells.
+    /// Adds a job, or applies its cancellation, from this version of its record.
     pub(crate) fn job_accepted(
         &mut self,
         record: OpenRecord,
@@ -59,40 +58,42 @@
         self.needs_scheduling = true;
     }
 
-    /// Nothing is left of a job but to record its end.
+    /// Queues a finished job, so that its final state is recorded.
     pub(super) fn mark_finished(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
-        let ends_with_other = job.is_some_and(|job| job.dependency_cancelled);
+        let dependency_cancelled = job.is_some_and(|job| job.dependency_cancelled);
         self.finished_jobs.insert(FinishedJob {
             job: id.clone(),
-            is_urgent: self.dependencies.has_dependents(id) || ends_with_other,
+            is_urgent: self.dependencies.has_dependents(id) || dependency_cancelled,
         });
     }
 
-    /// A job's user has cancelled it.
+    /// Cancels a job on its user's request.
     pub(crate) fn cancel(&mut self, id: &str, now: Time) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.cancelled) else {
             return;
         };
         job.cancelled = true;
         let (id, spec) = (job.id.clone(), job.spec.clone());
-        info!(job = %id, allocations = job.allocated(), "job cancelled");
+        info!(job = %id, allocations = job.allocated(), "job cancelled by its user");
         self.stop_job(&id, 0.0, now);
         self.clear_dependencies(&id);
-        self.dependency_ended(&id, JobState::Cancelled, now);
+        self.dependency_finished(&id, JobState::Cancelled, now);
         self.mark_finished(&id);
         self.service_arrivals.departed(&spec, now);
-        self.effects.push(Effect::JobEnded {
+        self.effects.push(Effect::JobFinished {
             id,
             state: JobState::Cancelled,
         });
     }
 
-    /// What a user is told; `None` for a job that is not open here, or that may have to end with one
-    /// on which it depends: nobody may call it pending for long after that one was cancelled.
+    /// The status of a job for users; `None` for a job that is not open here, or that may have to be
+    /// cancelled with a dependency: it must not be called pending for long after that dependency was
+    /// cancelled.
     pub(crate) fn status(&self, id: &str) -> Option<JobStatus> {
         let job = self.jobs.get(id)?;
-        let may_be_cancelled = job.dependency_cancelled || self.dependencies.has_unknown(job);
+        let may_be_cancelled =
+            job.dependency_cancelled || self.dependencies.has_unknown_dependency(job);
         if !job.cancelled && may_be_cancelled {
             return None;
         }
@@ -111,7 +112,7 @@
         })
     }
 
-    /// A task has completed. The tasks of a gang complete together.
+    /// Marks a task as completed. The tasks of a gang complete together.
     pub(super) fn complete_task(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -124,7 +125,7 @@
         };
         let completed: Vec<u32> = tasks.filter(|task| job.complete_task(*task)).collect();
         job.consecutive_failures = 0;
-        // Another allocation of a task that has completed is of no use.
+        // Other allocations of a completed task are no longer needed.
         let others = match job.task(task) {
             Some(task) if !is_gang => task.allocations.clone(),
             _ => Vec::new(),
--- a/src/coordination/cluster/leadership.rs
+++ b/src/coordination/cluster/leadership.rs
@@ -1,24 +1,25 @@
-//! The leader's own term: its fencing token, its lease and its write fence.
+//! The leader's term: its fencing token, leadership lease and write fence.
 
 use super::effect::Effect;
 use crate::coordination::Time;
 use crate::protocol::ids::FencingToken;
 use stairstage_upgrade::fence::WriteFence;
 
-/// The low bits of an id number the ids of one term; the others hold the term's first token.
+/// The low bits of an id number the ids of one term; the high bits hold the term's first token.
 const ID_BITS: u32 = 20;
 
 /// One term of leadership.
 pub(crate) struct Leadership {
     /// The fencing token that commands and writes carry.
     token: FencingToken,
-    /// Tokens of this term start here: a heartbeat at or above it was sent after the election.
+    /// The first token of this term: a heartbeat with this token or a higher one was sent after the
+    /// election.
     first_token: FencingToken,
-    /// How many ids were given out.
+    /// The number of ids used so far.
     ids: u64,
     /// What may be written at the active cluster version.
     write_fence: WriteFence,
-    /// Until when the leader's lease certainly holds.
+    /// The time until which the leadership lease certainly holds.
     lease_valid_until: Time,
     elected_at: Time,
     token_raised_at: Time,
@@ -31,7 +32,7 @@
 }
 
 impl Leadership {
-    /// A term that begins with a fencing token.
+    /// A term that starts with a fencing token.
     pub(super) fn new(token: FencingToken, now: Time) -> Leadership {
         Leadership {
             token,
@@ -53,12 +54,12 @@
         self.token
     }
 
-    /// The fencing token with which the term began.
+    /// The fencing token with which the term started.
     pub(crate) fn first_token(&self) -> FencingToken {
         self.first_token
     }
 
-    /// When the term began.
+    /// When the term started.
     pub(crate) fn elected_at(&self) -> Time {
         self.elected_at
     }
@@ -68,27 +69,27 @@
         self.holds_lease(now) && !self.deposed
     }
 
-    /// Whether the leader's lease certainly holds.
+    /// Whether the leadership lease certainly holds.
     pub(crate) fn holds_lease(&self, now: Time) -> bool {
         now < self.lease_valid_until
     }
 
-    /// Until when the leader's lease certainly holds.
+    /// The time until which the leadership lease certainly holds.
     pub(crate) fn lease_valid_until(&self) -> Time {
         self.lease_valid_until
     }
 
-    /// Notes until when the leader's lease certainly holds.
+    /// Sets the time until which the leadership lease certainly holds.
     pub(crate) fn set_lease_valid_until(&mut self, until: Time) {
         self.lease_valid_until = until;
     }
 
-    /// Whether the leadership is over, whatever the lease says.
+    /// Whether the leadership has ended, even if the lease is still valid.
     pub(crate) fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// The leadership is over.
+    /// Ends the leadership.
     pub(super) fn depose(&mut self) {
         self.deposed = true;
     }
@@ -98,17 +99,17 @@
         &self.write_fence
     }
 
-    /// What may be written at the active cluster version, to be changed.
+    /// What may be written at the active cluster version, for changes.
     pub(super) fn write_fence_mut(&mut self) -> &mut WriteFence {
         &mut self.write_fence
     }
 
-    /// Replaces what may be written, as the active cluster version was read anew.
+    /// Replaces the write fence after the active cluster version was read again.
     pub(crate) fn set_write_fence(&mut self, write_fence: WriteFence) {
         self.write_fence = write_fence;
     }
 
-    /// An id that no other leader, and no other call, gives out.
+    /// Returns an id that no other leader and no other call uses.
     pub(crate) fn next_id(&mut self) -> u64 {
         self.ids += 1;
         (self.first_token.0 << ID_BITS) + self.ids
@@ -124,18 +125,20 @@
         self.is_raising_token
     }
 
-    /// Whether a higher token may be drawn: not while one is, and not often.
+    /// Whether a higher token may be drawn: not while another one is being drawn, and not within
+    /// `pause_s` of the last one.
     pub(super) fn may_raise_token(&self, pause_s: f64, now: Time) -> bool {
         !self.is_raising_token && now - self.token_raised_at >= pause_s
     }
 
-    /// Draws a higher token.
+    /// Starts to draw a higher token.
     pub(super) fn raise_token(&mut self) -> Effect {
         self.is_raising_token = true;
         Effect::RaiseToken
     }
 
-    /// A higher token was drawn; `None` if that failed. Returns whether it is taken on.
+    /// Applies the result of drawing a higher token; `None` if that failed. Returns whether the token
+    /// was replaced.
     pub(super) fn token_raised(&mut self, token: Option<FencingToken>, now: Time) -> bool {
         self.is_raising_token = false;
         self.token_raised_at = now;
@@ -146,7 +149,7 @@
         true
     }
 
-    /// Every other controller has promised to answer no heartbeat with a lower token.
+    /// Notes that every other controller has promised to answer no heartbeat with a lower token.
     pub(super) fn peers_promised(&mut self, now: Time) {
         self.peers_promised_at = Some(now);
     }
@@ -156,7 +159,7 @@
         self.peers_promised_at
     }
 
-    /// Notes that a task is launched; returns whether it is the first of this term.
+    /// Notes the launch of a task; returns whether it is the first of this term.
     pub(super) fn note_launch(&mut self) -> bool {
         let is_first = !self.has_launched;
         self.has_launched = true;
--- a/src/coordination/cluster/leases.rs
+++ b/src/coordination/cluster/leases.rs
@@ -1,4 +1,4 @@
-//! Workers' leases: when one is over by the leader's clock, its worker has killed every task.
+//! Workers' leases: a worker whose lease has expired by the leader's clock has killed all its tasks.
 
 use super::{ClusterState, CLOCK_DRIFT, WORKER_RETRY_S};
 use crate::coordination::state::{AllocationState, Machine, MachineName, MachinePhase};
@@ -6,10 +6,11 @@
 use tracing::warn;
 
 impl ClusterState {
-    /// When a worker's lease was last renewed at the latest; `None` where an earlier leader may still
-    /// renew it. A worker that has seen a token of this leadership is renewed by it alone, and so is
-    /// every worker once the other controllers have promised as much. An incarnation of which a
-    /// heartbeat told may have begun just then, and what is sent to it runs in no later one.
+    /// The latest time at which a worker's lease may have been renewed; `None` if an earlier leader may
+    /// still renew it. Only this leader renews the lease of a worker that has seen a token of this
+    /// term, or of any worker once all other controllers have made their promise. The time of the last
+    /// heartbeat counts, because its incarnation may have started just before it was sent; a command
+    /// for an incarnation has no effect in a later one.
     fn lease_renewed_at(&self, machine: &Machine) -> Option<Time> {
         let worker = &machine.worker;
         let last_response_at = worker.last_response_at();
@@ -22,8 +23,8 @@
         promised_at.map(|at| at.max(known_at))
     }
 
-    /// Releases what was on machines whose workers' leases are over: they have killed and forgotten
-    /// every task.
+    /// Releases the allocations on machines whose workers' leases have expired: those workers have
+    /// killed and forgotten all tasks.
     pub(super) fn expire_leases(&mut self, now: Time) {
         let timeout_s = self.settings.cluster.workers.lease_s * CLOCK_DRIFT + WORKER_RETRY_S;
         let is_expired = |machine: &&Machine| {
@@ -36,7 +37,7 @@
         let expired = self.machines.values().filter(is_expired);
         let expired: Vec<MachineName> = expired.map(|machine| machine.name.clone()).collect();
         for name in expired {
-            warn!(machine = %name, "lease expired without a heartbeat");
+            warn!(machine = %name, "worker's lease expired without a heartbeat");
             self.end_incarnation(&name, now);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.worker.expire();
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -1,4 +1,4 @@
-//! Machines that are silent, faulty or about to be reclaimed; jobs that fail wherever they run.
+//! Silent, faulty and soon reclaimed machines, and jobs that fail on every machine.
 
 use super::heartbeat_monitor::MachineSurvey;
 use super::{ClusterState, Effect, CLOCK_DRIFT};
@@ -9,30 +9,32 @@
 use crate::protocol::cloud::MAX_RETURNED;
 use tracing::{info, warn};
 
-/// Distinct jobs that must fail on a machine, and then complete a task elsewhere, before it is held to
-/// be faulty.
+/// Distinct jobs that must fail on a machine, and then complete a task on another one, before the
+/// machine counts as faulty.
 const FAULTY_MACHINE_JOBS: usize = 2;
-/// Distinct machines that a job must fail on before it is held to be faulty.
+/// Distinct machines that a job must fail on before the job counts as faulty.
 const FAULTY_JOB_MACHINES: usize = 3;
-/// Each further failure of a job doubles its pause, so many times at the most.
-const MAX_DOUBLINGS: u32 = 6;
-/// The longest pause, as a share of the time for which no job waits while there is room.
-const LONGEST_PAUSE_SHARE: f64 = 0.5;
+/// Each further failure of a job doubles its pause, at most this many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// The longest pause of a failing job, as a share of the longest time that a job may wait while
+/// resources are free.
+const MAX_PAUSE_SHARE: f64 = 0.5;
 
-/// Heartbeat intervals without a heartbeat after which a machine is probed. An interval may be a
-/// quarter longer by itself: few are, and probing those costs less than hearing of the others later.
+/// Heartbeat intervals without a heartbeat after which a machine is probed. A regular interval may be
+/// up to a quarter longer; few are, and probing those costs less than detecting the other machines
+/// later.
 const PROBE_INTERVALS: f64 = 1.15;
-/// Heartbeat intervals after which a machine that left a command unanswered is held to hang.
+/// Heartbeat intervals after which a machine that left a command unanswered is assumed to hang.
 const SUSPECT_INTERVALS: f64 = 1.3;
 
 /// A machine that counts as silent.
 struct SilentMachine {
     name: MachineName,
-    /// For how long it has been, in seconds.
+    /// How long it has been silent, in seconds.
     silence_s: f64,
 }
 
-/// Why a machine is of no use.
+/// Why a machine is unusable and should be returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UnusableReason {
     Failed,
@@ -42,7 +44,7 @@
 }
 
 impl ClusterState {
-    /// A task has completed on a machine.
+    /// Notes that a task has completed on a machine.
     pub(super) fn task_succeeded_on(&mut self, name: &MachineName, image: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.failures.jobs_failed_here.clear();
@@ -51,9 +53,10 @@
         }
     }
 
-    /// A task failed that had been placed at `placed_at`. The job pauses when it fails on several
-    /// machines, or again where it failed before. Tasks that fail together count once. The machine
-    /// comes last from now on; whether it is at fault shows once the job runs elsewhere.
+    /// Notes the failure on a machine of a task that was placed at `placed_at`. The job pauses if it
+    /// fails on several machines, or again on the same one. Tasks that fail together count once. From
+    /// now on, the machine is the last choice for placement; whether it is at fault becomes clear when
+    /// the job runs on another one.
     pub(super) fn task_failed_on(
         &mut self,
         id: &JobId,
@@ -68,28 +71,30 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let again = job.failed_on.get(name).is_some_and(|at| placed_at > *at);
+        let failed_again = job.failed_on.get(name).is_some_and(|at| placed_at > *at);
         job.failed_on.insert(name.clone(), now);
         let machines = job.failed_on.len();
-        if (machines >= FAULTY_JOB_MACHINES || again) && now >= job.retry_at {
+        if (machines >= FAULTY_JOB_MACHINES || failed_again) && now >= job.retry_at {
             job.consecutive_failures += 1;
-            let doublings = job.consecutive_failures.min(MAX_DOUBLINGS);
+            let doublings = job.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
             let pause_s = report_s * f64::from(1 << doublings);
-            let pause_s = pause_s.min(LONGEST_PAUSE_SHARE * MAX_WAIT_WITH_ROOM_S);
+            let pause_s = pause_s.min(MAX_PAUSE_SHARE * MAX_WAIT_WITH_ROOM_S);
             job.retry_at = now + pause_s;
-            // A pause and a reservation behind it must not add up: it counts as waiting with room.
+            // The pause counts as waiting while resources are free, so that it does not add to a wait
+            // for a reservation that follows.
             self.starvation.start(id, now);
             warn!(
                 job = %id,
                 machines,
                 pause_s = format_args!("{pause_s:.0}"),
-                "job failed on several machines, pausing"
+                "job fails repeatedly, pausing it"
             );
         }
     }
 
-    /// A task of a job has completed, so the job is sound: machines on which it failed before are
-    /// faulty, if others prove the same. A job that never completes anything proves nothing.
+    /// Handles a job's completed task, which shows that the job is sound: machines on which it failed
+    /// before count as faulty if enough other jobs show the same. A job that never completes a task
+    /// proves nothing.
     pub(super) fn attribute_failures(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -106,13 +111,13 @@
             failures.jobs_completed_elsewhere.insert(id.clone());
             let jobs = failures.jobs_completed_elsewhere.len();
             if jobs >= FAULTY_MACHINE_JOBS && !failures.quarantined {
-                warn!(machine = %name, jobs, "machine quarantined, tasks of several jobs failed");
+                warn!(machine = %name, jobs, "machine quarantined, tasks of several jobs failed on it");
                 failures.quarantined = true;
             }
         }
     }
 
-    /// A launch was refused: the next try waits for a newer heartbeat of the machine.
+    /// Handles a refused launch: the next attempt waits for a newer heartbeat of the machine.
     pub(super) fn launch_refused(&mut self, id: &JobId, now: Time) {
         let pause_s = self.settings.cluster.workers.report_s / 2.0;
         if let Some(job) = self.jobs.get_mut(id) {
@@ -120,7 +125,8 @@
         }
     }
 
-    /// The cloud reclaims a machine soon: what can write a checkpoint does, the rest moves.
+    /// Drains a machine that the cloud will reclaim soon: tasks that can write a checkpoint do so, the
+    /// others move.
     pub(super) fn drain(&mut self, name: &MachineName, now: Time) {
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -131,7 +137,7 @@
             let Some(job) = self.jobs.get(&id.job) else {
                 continue;
             };
-            // Work that ends in time, by its prediction, is left to end.
+            // A task that is predicted to end in time is left running.
             if allocation.predicted_end(now) < now + left_s {
                 continue;
             }
@@ -144,9 +150,9 @@
         }
     }
 
-    /// Stops a task so that it can write a checkpoint. The tasks of a gang do that together or not at
-    /// all: those that are not told within `gang_peer_s` of the first fail, and the checkpoint with
-    /// them.
+    /// Stops a task so that it can write a checkpoint. The tasks of a gang must do so together: those
+    /// that receive the command more than `gang_peer_s` after the first fail, and the checkpoint fails
+    /// with them.
     fn stop_gracefully(&mut self, name: &MachineName, id: &AllocationId, grace_s: f64, now: Time) {
         let job = self.jobs.get(&id.job);
         if job.is_some_and(|job| job.is_gang()) {
@@ -156,26 +162,27 @@
         }
     }
 
-    /// Looks after machines that are silent, failed or never came up.
+    /// Checks for machines that are silent, failed or never booted.
     pub(super) fn check_machine_health(&mut self, now: Time) {
-        let is_cut_off = self.heartbeats.is_cut_off(now);
+        let is_isolated = self.heartbeats.is_isolated(now);
         self.survey_machines(now);
-        self.return_silent(is_cut_off, now);
-        self.return_unusable(now);
+        self.return_silent_machines(is_isolated, now);
+        self.return_unusable_machines(now);
         self.send_returns();
         self.probe_machines(now);
     }
 
-    /// For how long a machine has been silent, in seconds. While nobody is heard, the silence of one
-    /// says nothing about it.
+    /// How long a machine has been silent, in seconds. While no worker sends heartbeats, the silence of
+    /// one machine proves nothing about it.
     fn silence_s(&self, machine: &Machine, now: Time) -> f64 {
         let worker = &machine.worker;
         let lease_s = self.settings.cluster.workers.lease_s * CLOCK_DRIFT;
         let elected_at = self.leadership.elected_at();
         let counts_from = elected_at.max(self.heartbeats.silence_counts_from());
         let mut last = worker.last_heartbeat_at().unwrap_or(machine.rented_at);
-        // One that answers commands but sends no heartbeats is as good as silent, once that has cost it
-        // its lease. So is one on which responses have no effect, though its heartbeats arrive.
+        // A machine that answers commands but sends no heartbeats counts as silent once that has cost
+        // it its lease. So does a machine on which responses have no effect, even if its heartbeats
+        // arrive.
         let last_response_at = worker.last_response_at();
         if now - last_response_at > lease_s {
             last = last.min(last_response_at);
@@ -186,20 +193,22 @@
         now - last.max(counts_from)
     }
 
-    /// Whether no worker sends heartbeats to this node itself, though there are machines.
+    /// Whether no worker sends heartbeats directly to this controller, although there are machines.
     pub(crate) fn receives_no_heartbeats(&self, now: Time) -> bool {
         let elected_at = self.leadership.elected_at();
         !self.machines.is_empty() && self.heartbeats.receives_no_heartbeats(elected_at, now)
     }
 
-    /// Since when a machine has left a command unanswered, if not for a fault of this node's network.
+    /// Since when a machine has left a command unanswered; `None` if this controller's network may be
+    /// the cause.
     fn unanswered_since(&self, machine: &Machine) -> Option<Time> {
         let gap_ended_at = self.heartbeats.last_gap_ended_at();
         let since = machine.worker.command_unanswered_since();
         since.filter(|since| *since > gap_ended_at)
     }
 
-    /// Counts machines that are up, that know this leader's token, and that left commands unanswered.
+    /// Counts the machines that are up, those that know this leader's token, and those that left
+    /// commands unanswered.
     fn survey_machines(&mut self, now: Time) {
         let first_token = self.leadership.first_token();
         let mut survey = MachineSurvey::default();
@@ -226,7 +235,8 @@
         let up = machines.filter(|machine| machine.phase == MachinePhase::Up);
         let silent = up.filter_map(|machine| {
             let silence_s = self.silence_s(machine, now);
-            // A heartbeat is missing, and a command got no answer: it hangs, or is cut off.
+            // A heartbeat is missing and a command went unanswered: the machine hangs or is
+            // unreachable.
             let is_suspect = self.unanswered_since(machine).is_some() && silence_s > suspect_s;
             (silence_s > timeout_s || is_suspect).then(|| SilentMachine {
                 name: machine.name.clone(),
@@ -236,20 +246,24 @@
         silent.collect()
     }
 
-    /// Returns machines that are silent. Many at once: it is rather this node's own network that is
-    /// cut. But not for ever: what has not been responded to for a lease has lost its tasks anyway, and
-    /// a leader that knows nothing but machines that are gone must come to an end.
-    fn return_silent(&mut self, is_cut_off: bool, now: Time) {
+    /// Returns silent machines. If many are silent at once, this controller's own network is the more
+    /// likely cause, so they are kept longer, but not for ever: after a lease without a response, a
+    /// worker has lost its tasks anyway, and a leader whose machines are all gone must not keep them
+    /// indefinitely.
+    fn return_silent_machines(&mut self, is_isolated: bool, now: Time) {
         let silent = self.silent_machines(now);
         let up = self.heartbeats.machines_up();
-        let are_many = is_cut_off || silent.len() * 2 > up.max(2);
+        let is_mass_silence = is_isolated || silent.len() * 2 > up.max(2);
         let lease_s = self.settings.cluster.workers.lease_s * CLOCK_DRIFT;
-        let lost_s = lease_s + self.heartbeat_timeout_s();
-        if are_many && !silent.is_empty() {
-            warn!(silent = silent.len(), up, "many machines are silent");
+        let max_silence_s = lease_s + self.heartbeat_timeout_s();
+        if is_mass_silence && !silent.is_empty() {
+            warn!(
+                silent = silent.len(),
+                up, "many machines are silent at once, delaying their return"
+            );
         }
         for SilentMachine { name, silence_s } in silent {
-            if !are_many || silence_s > lost_s {
+            if !is_mass_silence || silence_s > max_silence_s {
                 warn!(
                     machine = %name,
                     silence_s = format_args!("{silence_s:.0}"),
@@ -260,8 +274,8 @@
         }
     }
 
-    /// Returns machines that failed, never came up, are faulty or were to be emptied.
-    fn return_unusable(&mut self, now: Time) {
+    /// Returns machines that failed, never booted, are faulty or have been drained.
+    fn return_unusable_machines(&mut self, now: Time) {
         let machines = self.machines.values();
         let unusable = machines.filter_map(|machine| {
             let reason = self.unusable_reason(machine, now)?;
@@ -294,16 +308,17 @@
         }
     }
 
-    /// Probes machines that have not been heard, whose heartbeat is missing, or that acknowledge no
-    /// response: an answer shows that the way there is open, and that no older command reaches them
+    /// Probes machines that have sent no heartbeat yet, whose heartbeat is overdue, or that acknowledge
+    /// no response. An answer shows that the worker is reachable and that no older command can reach it
     /// any more.
     fn probe_machines(&mut self, now: Time) {
-        let late_s = self.settings.cluster.workers.report_s * PROBE_INTERVALS;
-        let is_unheard = |machine: &&Machine| {
+        let overdue_s = self.settings.cluster.workers.report_s * PROBE_INTERVALS;
+        let needs_probe = |machine: &&Machine| {
             let worker = &machine.worker;
             let last = worker.last_heartbeat_at();
-            let is_late = last.is_none_or(|at| now - at > late_s);
-            machine.phase == MachinePhase::Up && (is_late || worker.unresponsive_since().is_some())
+            let is_overdue = last.is_none_or(|at| now - at > overdue_s);
+            machine.phase == MachinePhase::Up
+                && (is_overdue || worker.unresponsive_since().is_some())
         };
         let is_ready = |machine: &&Machine| {
             let worker = &machine.worker;
@@ -311,25 +326,26 @@
             is_idle && machine.endpoint.is_some()
         };
         let machines = || self.machines.values();
-        // As many at a time as there are connections for: more would only wait for those.
+        // No more probes than there are connections for; others would only wait for a connection.
         let in_flight = machines().filter(|machine| machine.worker.commands_in_flight());
         let connections = self.settings.command_connections();
         let max_probes = connections.saturating_sub(in_flight.count());
-        let to_probe = machines().filter(is_unheard).filter(is_ready);
+        let to_probe = machines().filter(needs_probe).filter(is_ready);
         let names = to_probe.map(|machine| machine.name.clone());
         for name in names.take(max_probes).collect::<Vec<MachineName>>() {
             self.dispatch(&name, Vec::new());
         }
     }
 
-    /// Decides that a machine is to be returned; it counts until the cloud has confirmed it.
+    /// Marks a machine for return. It counts until the cloud has confirmed the return.
     pub(crate) fn begin_return(&mut self, name: &MachineName) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.phase = MachinePhase::Returning;
         }
     }
 
-    /// Stops replicas on a machine, which start elsewhere, so that it can be returned once it is empty.
+    /// Stops the replicas on a machine, which start elsewhere, so that the machine can be returned once
+    /// it is empty.
     pub(crate) fn drain_replicas(
         &mut self,
         name: &MachineName,
@@ -358,7 +374,7 @@
         }
     }
 
-    /// What the cloud answered to a return: a 200 proves that the machines are gone.
+    /// Applies the cloud's answer to a return: status 200 proves that the machines are gone.
     pub(crate) fn machines_returned(&mut self, names: &[String], confirmed: bool, now: Time) {
         for name in names {
             let name: MachineName = name.as_str().into();
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -1,19 +1,21 @@
-//! The leader's view of the cluster, and all that changes it.
+//! The leader's view of the cluster and every operation that changes it.
 //!
-//! `ClusterState` holds jobs, machines and their allocations. Heartbeats, records, answers of the cloud
-//! and cancellations change it, each in a module of its own:
+//! `ClusterState` holds jobs, machines and their allocations. Each kind of event that changes it has
+//! its own module:
 //!
-//! - [`heartbeats`], `reconciliation`, `leases`: what workers tell, and what proves a task gone;
+//! - [`heartbeats`], `reconciliation`, `leases`: the state that workers send, and the proof that a task
+//!   is gone;
 //! - `allocations`: adding, stopping and releasing allocations;
-//! - `commands`: what workers are told, and the fencing tokens;
+//! - `commands`: commands to workers, and the fencing tokens;
 //! - `jobs`, `dependencies`: acceptance, cancellation and completion of jobs;
-//! - `machine_health`, `inventory`: silent and faulty machines, and what the cloud tells of them;
-//! - `writes`, [`recovery`]: the records in the store;
-//! - [`cancellation_evidence`], [`heartbeat_routing`]: which leases may be renewed, and what followers do.
+//! - `machine_health`, `inventory`: silent and faulty machines, and the cloud's list of machines;
+//! - `writes`, [`recovery`]: the records in the key-value store;
+//! - [`cancellation_evidence`], [`heartbeat_routing`]: which leases may be renewed, and how followers
+//!   route heartbeats.
 //!
-//! What belongs together has an owner with private fields: `Leadership`, `HeartbeatMonitor`,
-//! `PlacementRecords`, `WriteQueue`, `DependencyGraph`, `Starvation`, `ServiceArrivals`. Work per event
-//! does not grow with the cluster: what an event leaves to do is kept in indices.
+//! State with invariants of its own is kept behind private fields: `Leadership`, `HeartbeatMonitor`,
+//! `PlacementRecords`, `WriteQueue`, `DependencyGraph`, `Starvation`, `ServiceArrivals`. The work per
+//! event does not grow with the cluster, because work left to do is kept in indices.
 
 mod allocations;
 pub mod cancellation_evidence;
@@ -61,15 +63,15 @@
 use wall_clock::WallClock;
 use write_queue::WriteQueue;
 
-/// Commands in one response, which must not be longer than 64 KiB.
+/// Commands per response, so that a response stays within the limit of 64 KiB.
 const MAX_COMMANDS: usize = 400;
-/// A worker gives up on a response after this time.
-const WORKER_PATIENCE_S: f64 = 4.0;
-/// It then turns to another node after this time.
+/// Seconds after which a worker stops waiting for a response.
+const WORKER_RESPONSE_TIMEOUT_S: f64 = 4.0;
+/// Seconds that a worker then waits before it tries another controller.
 pub(crate) const WORKER_RETRY_S: f64 = 1.0;
-/// What a worker loses at a node that does not answer, in seconds.
-pub(crate) const LOST_AT_A_NODE_S: f64 = WORKER_PATIENCE_S + WORKER_RETRY_S;
-/// How much steady clocks of different machines may differ, as a factor.
+/// Seconds that a worker loses on a controller that does not respond.
+pub(crate) const UNREACHABLE_CONTROLLER_DELAY_S: f64 = WORKER_RESPONSE_TIMEOUT_S + WORKER_RETRY_S;
+/// How much the monotonic clocks of different machines may drift apart, as a factor.
 pub(crate) const CLOCK_DRIFT: f64 = 1.001;
 
 /// Jobs, machines and allocations as the leader knows them.
@@ -85,23 +87,24 @@
     quota: QuotaUsageByTeam,
     machines: BTreeMap<MachineName, Machine>,
     machine_types: MachineTypes,
-    /// Machines that were returned to the cloud of late, and when: what still tells of them is old.
+    /// Machines that were returned to the cloud recently, and when: heartbeats and listings that still
+    /// show them are outdated.
     returned_machines: BTreeMap<MachineName, Time>,
-    /// Machines to which there may be commands to send that should not wait for their heartbeats.
+    /// Machines that may have commands to receive before their next heartbeats.
     machines_to_notify: BTreeSet<MachineName>,
     heartbeats: HeartbeatMonitor,
     placement_records: PlacementRecords,
-    /// How a job's tasks are divided among its records of completed tasks.
+    /// How a job's tasks are divided among its completion records.
     shards: CompletionShards,
     writes: WriteQueue,
     clock: WallClock,
-    /// Whether anything has changed that a scheduling cycle could use.
+    /// Whether anything has changed since the last scheduling cycle that could affect the next one.
     needs_scheduling: bool,
     effects: Vec<Effect>,
 }
 
 impl ClusterState {
-    /// The state of a leader that was elected with a fencing token, before it has read any record.
+    /// The state of a leader elected with a fencing token, before it has read any record.
     pub(crate) fn new(settings: Arc<Settings>, token: FencingToken, now: Time) -> ClusterState {
         let store = &settings.cluster.state;
         let report_s = settings.cluster.workers.report_s;
@@ -129,7 +132,7 @@
         }
     }
 
-    /// The settings that it keeps to.
+    /// The settings of the cluster.
     pub(crate) fn settings(&self) -> &Settings {
         &self.settings
     }
@@ -139,37 +142,37 @@
         &self.leadership
     }
 
-    /// The leader's term, to be changed.
+    /// The leader's term, for changes.
     pub(crate) fn leadership_mut(&mut self) -> &mut Leadership {
         &mut self.leadership
     }
 
-    /// All jobs that are open, or of which a machine may still hold a task, by their ids.
+    /// All jobs that are open, or of which a machine may still hold a task, ordered by id.
     pub(crate) fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// A job.
+    /// The job with an id, if it is known.
     pub(crate) fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// How many jobs there are.
+    /// The number of known jobs.
     pub(crate) fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// All machines, by their names.
+    /// All machines, ordered by name.
     pub(crate) fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.machines.values()
     }
 
-    /// A machine.
+    /// The machine with a name, if it is known.
     pub(crate) fn machine(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name)
     }
 
-    /// How many machines there are.
+    /// The number of known machines.
     pub(crate) fn machine_count(&self) -> usize {
         self.machines.len()
     }
@@ -179,38 +182,39 @@
         &self.machine_types
     }
 
-    /// Takes in the machine types that the cloud offers.
+    /// Replaces the machine types that the cloud offers.
     pub(crate) fn set_machine_types(&mut self, types: Vec<MachineType>) {
         self.machine_types = MachineTypes::new(types);
         self.needs_scheduling = true;
     }
 
-    /// The store accepts fewer changes than before: from now on the limits to come hold.
+    /// Lowers the write rate to the announced limit, which the store enforces from now on.
     pub(crate) fn lower_write_rate(&mut self) {
         let rate = self.settings.cluster.state.later_write_rps();
         self.writes.lower_rate(rate);
     }
 
-    /// Takes what other actors are to do.
+    /// Takes the effects that other actors have to carry out.
     pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Has another actor do something.
+    /// Adds an effect for another actor to carry out.
     pub(crate) fn push_effect(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// Every other controller has promised to answer no heartbeat with a lower token.
+    /// Notes that every other controller has promised to answer no heartbeat with a lower token.
     pub(crate) fn peers_promised(&mut self, now: Time) {
         self.leadership.peers_promised(now);
     }
 
-    /// How long a machine may be silent before it counts as gone, in seconds.
+    /// Seconds without a heartbeat after which a machine counts as lost. A worker gets the time to fail
+    /// over from an unresponsive controller to another one.
     pub(crate) fn heartbeat_timeout_s(&self) -> f64 {
         let report_s = self.settings.cluster.workers.report_s;
-        let patience_s = LOST_AT_A_NODE_S + report_s;
-        (self.settings.policy.silence * report_s).max(patience_s)
+        let min_timeout_s = UNREACHABLE_CONTROLLER_DELAY_S + report_s;
+        (self.settings.policy.silence * report_s).max(min_timeout_s)
     }
 
     /// Whether new tasks may be placed on a machine.
@@ -219,8 +223,8 @@
         machine.accepts_tasks(now, self.heartbeat_timeout_s(), first_token)
     }
 
-    /// What is free on a machine: all that is or may be there counts, but for what a stop in the same
-    /// message ends at once.
+    /// The free resources of a machine. Every task that is or may be on it counts, except those that a
+    /// stop in the same message ends at once.
     pub(crate) fn free_resources(&self, machine: &Machine) -> Resources {
         let Some(machine_type) = self.machine_types.get(&machine.machine_type) else {
             return Resources::default();
@@ -230,7 +234,7 @@
         free
     }
 
-    /// What each team uses of its quota.
+    /// The quota usage of each team.
     pub(crate) fn quota(&self) -> &QuotaUsageByTeam {
         &self.quota
     }
@@ -240,13 +244,13 @@
         self.settings.team(name)
     }
 
-    /// As many of so many tasks of a job as its team's quota lets run.
+    /// Limits a number of tasks of a job to those that its team's quota allows to run.
     pub(crate) fn within_quota(&self, job: &Job, tasks: u32) -> u32 {
         let team = self.team(&job.spec.team);
         team.map_or(0, |team| self.quota.cap(team, &job.request(), tasks))
     }
 
-    /// Since when many machines have left commands unanswered: others may have failed with them.
+    /// Since when many machines have left commands unanswered: more machines may have failed with them.
     pub(crate) fn mass_failure_since(&self) -> Option<Time> {
         self.heartbeats.mass_failure_since()
     }
@@ -256,19 +260,19 @@
         &self.starvation
     }
 
-    /// Takes in which jobs a scheduling cycle has kept from free resources.
+    /// Updates the starvation times with the jobs that a scheduling cycle has kept from free resources.
     pub(crate) fn update_starvation(&mut self, starved: &BTreeSet<JobId>, now: Time) {
         let jobs = &self.jobs;
-        let pauses = |id: &JobId| jobs.get(id).is_some_and(|job| now < job.retry_at);
-        self.starvation.update(starved, pauses, now);
+        let is_paused = |id: &JobId| jobs.get(id).is_some_and(|job| now < job.retry_at);
+        self.starvation.update(starved, is_paused, now);
     }
 
-    /// Takes whether anything has changed that a scheduling cycle could use.
+    /// Returns whether a scheduling cycle is needed, and clears that state.
     pub(crate) fn take_scheduling_request(&mut self) -> bool {
         std::mem::take(&mut self.needs_scheduling)
     }
 
-    /// Whether anything has changed that a scheduling cycle could use.
+    /// Whether anything has changed since the last scheduling cycle that could affect the next one.
     pub(crate) fn needs_scheduling(&self) -> bool {
         self.needs_scheduling
     }
@@ -278,8 +282,8 @@
         &self.service_arrivals
     }
 
-    /// Replicas that are expected within the time that a machine takes to boot, beyond those whose
-    /// resources come free by then.
+    /// Replicas that are expected to arrive while a machine boots, beyond those whose resources become
+    /// free in that time.
     pub(crate) fn expected_replicas(&self, now: Time) -> Vec<ExpectedReplicas> {
         let Some(boot_s) = self.machine_types.shortest_boot_s() else {
             return Vec::new();
@@ -292,7 +296,7 @@
         self.service_arrivals.expected(horizon, now)
     }
 
-    /// How long a task has to write a checkpoint when it is preempted, in seconds.
+    /// Seconds that a task gets to write a checkpoint when it is preempted.
     pub(crate) fn preemption_grace_s(&self, id: &AllocationId) -> f64 {
         match self.jobs.get(&id.job) {
             Some(job) if job.spec.checkpoint_s > 0.0 && !job.cancelled => job.spec.save_s,
@@ -300,26 +304,28 @@
         }
     }
 
-    /// Expires leases, and looks after machines and launches that hold something up.
+    /// Expires leases, checks the health of machines, and raises the fencing token if launches block
+    /// something.
     pub(crate) fn maintain(&mut self, now: Time) {
         self.expire_leases(now);
         self.check_machine_health(now);
         self.raise_token_if_needed(now);
     }
 
-    /// Forgets arrivals of services that no forecast will look back to.
+    /// Drops arrivals of services that are too old for any forecast.
     pub(crate) fn forget_old_arrivals(&mut self, now: Time) {
         if let Some(boot_s) = self.machine_types.shortest_boot_s() {
             self.service_arrivals.forget_old(boot_s, now);
         }
     }
 
-    /// Forgets machines that were returned so long ago that nothing tells of them any more.
+    /// Forgets machines that were returned so long ago that no heartbeat or listing shows them any
+    /// more.
     pub(crate) fn forget_returned_machines(&mut self, now: Time) {
         let workers = &self.settings.cluster.workers;
         let list_lag_s = self.settings.cluster.cloud.list_lag_s;
-        let kept_s = (4.0 * list_lag_s + workers.cancel_s).max(4.0 * workers.lease_s);
+        let retention_s = (4.0 * list_lag_s + workers.cancel_s).max(4.0 * workers.lease_s);
         self.returned_machines
-            .retain(|_, returned_at| now - *returned_at < kept_s);
+            .retain(|_, returned_at| now - *returned_at < retention_s);
     }
 }
--- a/src/coordination/cluster/placement_records.rs
+++ b/src/coordination/cluster/placement_records.rs
@@ -1,4 +1,4 @@
-//! All placement records: which one a new placement goes into, and which is written next.
+//! All placement records: which record a new placement goes into, and which record is written next.
 
 use crate::coordination::state::{JobId, Placement, PlacementRecord, WriteUrgency};
 use crate::coordination::Time;
@@ -12,42 +12,42 @@
 pub(super) struct SentPlacements {
     /// The number of the record.
     pub(super) record: usize,
-    /// The pending placements in it.
+    /// The pending placements in the record.
     pub(super) pending: Vec<Placement>,
 }
 
-/// All placement records of the cluster, by their numbers.
+/// All placement records of the cluster, by number.
 pub(super) struct PlacementRecords {
     records: Vec<PlacementRecord>,
-    /// Those that launches wait for.
+    /// Records that launches wait for.
     awaiting_write: BTreeSet<usize>,
     /// The record that new placements go into.
-    open: usize,
-    /// Records that wait for others to take over some of their placements.
+    current: usize,
+    /// Records that wait until other records have stored the placements moved to them.
     shrinking: BTreeSet<usize>,
     /// The largest size of a stored record, in bytes.
     max_bytes: usize,
 }
 
 impl PlacementRecords {
-    /// No records yet; none will be larger than so many bytes.
+    /// Starts without records; none will exceed `max_bytes`.
     pub(super) fn new(max_bytes: usize) -> PlacementRecords {
         PlacementRecords {
             records: Vec::new(),
             awaiting_write: BTreeSet::new(),
-            open: 0,
+            current: 0,
             shrinking: BTreeSet::new(),
             max_bytes,
         }
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub(super) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// How many records launches wait for.
-    pub(super) fn awaiting_write(&self) -> usize {
+    /// The number of records that launches wait for.
+    pub(super) fn awaiting_write_count(&self) -> usize {
         self.awaiting_write.len()
     }
 
@@ -66,12 +66,12 @@
         self.records[record].bytes()
     }
 
-    /// The version that the store last told of a record.
+    /// The last known version of a record in the store.
     pub(super) fn version(&self, record: usize) -> u64 {
         self.records[record].version
     }
 
-    /// Sets the version that the store tells of a record, if there is such a record.
+    /// Sets the version of a record in the store, if there is such a record.
     pub(super) fn set_version(&mut self, record: usize, version: u64) {
         if let Some(record) = self.records.get_mut(record) {
             record.version = version;
@@ -87,39 +87,39 @@
         self.records[record].version = version;
     }
 
-    /// The placements of a stored record are restored. What it holds of jobs that are over, or what
-    /// another record holds too, goes with its next write.
+    /// Completes the restoration of a record's placements. Stored placements that were not restored, of
+    /// finished jobs or duplicates of another record's, are dropped by the next write.
     pub(super) fn restored(&mut self, record: usize, stored_placements: usize, now: Time) {
         let record = &mut self.records[record];
         let holds_more = record.placements().len() < stored_placements;
         record.dirty_since = holds_more.then_some(now);
     }
 
-    /// The record that a new placement goes into: the open one, until it is full or in flight; then
-    /// one that is half empty, or a new one. Small gaps are left: placements that fill them would each
-    /// cost a change of a record of their own.
+    /// The record that a new placement goes into: the current one until it is full or in flight, then
+    /// one that is at most half full, or a new one. Small gaps stay unused, because each placement that
+    /// fills one would cost a separate write.
     pub(super) fn choose(&mut self, placement: &Placement) -> usize {
         let max_bytes = self.max_bytes;
         let accepts = |record: &PlacementRecord| {
             record.is_idle() && record.bytes() + record.bytes_for(placement) <= max_bytes
         };
-        if !self.records.get(self.open).is_some_and(accepts) {
+        if !self.records.get(self.current).is_some_and(accepts) {
             let is_half_empty =
                 |record: &PlacementRecord| accepts(record) && record.bytes() <= max_bytes / 2;
             let half_empty = self.records.iter().enumerate();
             let half_empty = half_empty.filter(|(_, record)| is_half_empty(record));
             let emptiest =
                 half_empty.min_by_key(|(_, record)| (!record.has_pending(), record.bytes()));
-            self.open = emptiest.map_or(self.records.len(), |(number, _)| number);
-            if self.open == self.records.len() {
+            self.current = emptiest.map_or(self.records.len(), |(number, _)| number);
+            if self.current == self.records.len() {
                 self.records.push(PlacementRecord::default());
             }
         }
-        self.open
+        self.current
     }
 
-    /// Enters a placement into a record; a launch waits for it where a priority is given.
-    pub(super) fn enter(
+    /// Inserts a placement into a record. A launch waits for its write if `pending` holds a priority.
+    pub(super) fn insert(
         &mut self,
         record: usize,
         placement: Placement,
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Takes the last placement out of a record that is too large, as after a leader whose records
-    /// may be larger.
+    /// Takes the last placement out of a record that is too large. A record can be too large if an
+    /// earlier leader had a higher limit.
     pub(super) fn take_excess(&mut self, record: usize) -> Option<Placement> {
         let record = &mut self.records[record];
         if record.bytes() <= self.max_bytes || record.placements().len() <= 1 {
@@ -156,17 +156,17 @@
         Some(last)
     }
 
-    /// Notes that a placement went from one record to another. Until that is written, the old record
-    /// stays as it is: what it told must not be forgotten in between.
+    /// Notes that a placement has moved from one record to another. The old record is not rewritten
+    /// until the new one is stored, so that the placement is always on record.
     pub(super) fn moved(&mut self, from: usize, to: usize, now: Time) {
         self.records[from].shrinks_after.insert(to);
         self.shrinking.insert(from);
         self.records[from].dirty_since.get_or_insert(now);
     }
 
-    /// The record to write next: of those that launches wait for, the most urgent; else one that has
-    /// been out of date for `max_age_s`, if any age is given. Not in any fixed order: what comes last in
-    /// it would wait for ever while the write rate is short.
+    /// The record to write next: the most urgent of those that launches wait for, or else one that has
+    /// been outdated for `max_age_s`, if that is given. A fixed order would starve the last records
+    /// while the write rate is scarce.
     pub(super) fn next_to_write(&mut self, max_age_s: Option<f64>, now: Time) -> Option<usize> {
         let records = &self.records;
         self.awaiting_write
@@ -184,8 +184,9 @@
         })
     }
 
-    /// What a record holds when it is written, with the pending placements that it stores: those of as
-    /// many jobs as a transaction has compares for; the others wait for the next write.
+    /// The value to store for a record, and the pending placements in it. These are limited to
+    /// `max_jobs` jobs, the number of compares that a transaction has for them; the others wait for the
+    /// next write.
     pub(super) fn stored_value(
         &self,
         record: usize,
@@ -212,22 +213,22 @@
         (stored, SentPlacements { record, pending })
     }
 
-    /// A write of a record is in flight.
+    /// Notes that a write of a record is in flight.
     pub(super) fn write_started(&mut self, record: usize) {
         self.records[record].in_flight = true;
         self.records[record].dirty_since = None;
         self.awaiting_write.remove(&record);
     }
 
-    /// A write of a record was not applied, or nobody knows: it is to be written again.
+    /// Notes that a write of a record failed or is indeterminate: the record is written again.
     pub(super) fn write_failed(&mut self, record: usize, now: Time) {
         self.records[record].in_flight = false;
         self.records[record].dirty_since.get_or_insert(now);
         self.awaiting_write.insert(record);
     }
 
-    /// A write of a record was applied: records that waited for it to take over placements may
-    /// shrink.
+    /// Notes that a write of a record was applied. Records that waited for it to store moved placements
+    /// may shrink.
     pub(super) fn write_applied(&mut self, sent: &SentPlacements, version: u64) {
         let record = sent.record;
         self.records[record].in_flight = false;
@@ -240,7 +241,7 @@
         for placement in &sent.pending {
             self.records[record].mark_stored(placement);
         }
-        // Those for which the last write had no compares.
+        // Placements for which the last write had no compares left.
         if self.records[record].has_pending() {
             self.awaiting_write.insert(record);
         }
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciling the leader's allocations with the tasks that a heartbeat shows.
+//! Reconciles the leader's allocations with the tasks in a heartbeat.
 
 use super::ClusterState;
 use crate::coordination::state::{
@@ -18,16 +18,16 @@
     has_run: bool,
 }
 
-/// A task that has exited, as its allocation was before.
+/// A task that has exited, with the state of its allocation before the exit.
 struct ExitedTask<'a> {
     id: &'a AllocationId,
     machine: &'a MachineName,
     spec: Arc<JobSpec>,
     cause: Cause,
     planned_at: Time,
-    /// For how long it ran, if it did.
+    /// How long the task ran, in seconds; `None` if it never ran.
     ran_s: Option<f64>,
-    /// Whether it was to be stopped.
+    /// Whether a stop was pending for the task.
     was_stopped: bool,
 }
 
@@ -40,7 +40,7 @@
                 continue;
             };
             let id = AllocationId::new(job.into(), task, status.attempt);
-            // Most tasks are as they were: a large fleet shows tens of thousands a second.
+            // Most tasks are unchanged, and a large fleet reports tens of thousands of tasks a second.
             let machine = self.machines.get(name);
             if !machine.is_some_and(|machine| machine.is_unchanged(&id, status.state)) {
                 self.reconcile_task(name, &id, status, now);
@@ -50,7 +50,7 @@
         self.reconcile_missing_tasks(name, &shown, heartbeat.token, now);
     }
 
-    /// Takes in a task that a heartbeat shows otherwise than it was known.
+    /// Applies a task's status from a heartbeat that differs from the known state.
     fn reconcile_task(
         &mut self,
         name: &MachineName,
@@ -68,7 +68,8 @@
         let machine = self.machines.get(name);
         if !machine.is_some_and(|machine| machine.allocations().contains_key(id)) {
             if status.state == TaskState::Exited {
-                // Nothing is known of it and it is over: it is forgotten once that is recorded.
+                // A task without an allocation that has exited is forgotten once its completion is
+                // recorded.
                 if status.cause == Some(Cause::Done) {
                     self.complete_task(&id.job, id.task, now);
                 }
@@ -89,15 +90,15 @@
         }
     }
 
-    /// Adds an allocation for a task that was not expected on a machine; it is stopped where the job
-    /// has no use for it.
+    /// Adds an allocation for an unexpected task on a machine, and stops it if the job does not need
+    /// the task.
     fn adopt_task(&mut self, name: &MachineName, id: &AllocationId, state: TaskState, now: Time) {
         let job = self.jobs.get(&id.job);
         let is_unwanted = job.is_some_and(|job| {
             let is_taken = job.task(id.task).is_some_and(|task| !task.is_unplaced());
             is_taken || job.cancelled
         });
-        warn!(machine = %name, task = %id, "adopting an unexpected task");
+        warn!(machine = %name, task = %id, "unexpected task on the machine, adding an allocation for it");
         self.add_allocation(id.clone(), name, AllocationState::Launching, now);
         if is_unwanted {
             let machine = self.machines.get_mut(name);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A heartbeat shows that a task is on its machine.
+    /// Applies a heartbeat that shows a task on its machine.
     fn task_observed(
         &mut self,
         name: &MachineName,
@@ -147,14 +148,14 @@
             machine.worker.acknowledge(true, now);
         }
         if has_started {
-            debug!(task = %id, machine = %name, "task runs");
+            debug!(task = %id, machine = %name, "task started");
             if let Some(job) = self.jobs.get_mut(&id.job) {
                 job.task_started(now);
             }
         }
     }
 
-    /// A heartbeat shows that a task has exited.
+    /// Applies a heartbeat that shows that a task has exited.
     fn task_exited(
         &mut self,
         name: &MachineName,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Learns from a task that ended by itself.
+    /// Learns the run time of a task that ran to its end without being stopped.
     fn learn_run_time(&mut self, exited: &ExitedTask) {
         let spec = &exited.spec;
         let is_service = spec.kind == crate::protocol::job::JobKind::Service;
@@ -214,8 +215,8 @@
             .learn(&owner, spec.estimate_s, spec.cpus, ran_s);
     }
 
-    /// Releases the allocations that a heartbeat, sent under an acknowledged token, no longer shows,
-    /// where no launch of them may still arrive.
+    /// Releases allocations that are missing from a heartbeat sent under an acknowledged token, if no
+    /// launch of them may still arrive.
     fn reconcile_missing_tasks(
         &mut self,
         name: &MachineName,
@@ -229,7 +230,7 @@
             return;
         };
         let reported_sequence = machine.worker.reported_sequence();
-        // A response carried a launch, and a heartbeat after it shows nothing of that.
+        // A response carried a launch, but a later heartbeat does not show the task.
         let is_unacknowledged = machine.allocations().iter().any(|(id, a)| {
             let sequence = a.launch_response_sequence;
             let is_answered = sequence.is_some_and(|s| s < reported_sequence);
@@ -246,14 +247,14 @@
             }
             let launches_are_over = allocation.launches_are_over(token, reported_sequence);
             if matches!(allocation.state, AllocationState::Exited(_)) {
-                // The worker forgot it as it was told.
+                // The worker has executed the `forget`.
                 return !launches_are_over;
             }
             let is_fenced = token >= first_token;
             let is_gone = match allocation.state {
                 AllocationState::Pending | AllocationState::Exited(_) => false,
-                // Launched by an earlier leader: nothing of it arrives once the worker has seen a
-                // token of this leadership.
+                // Launched by an earlier leader: that launch cannot arrive once the worker has seen a
+                // token of this term.
                 AllocationState::Launching if allocation.is_recovered => is_fenced,
                 AllocationState::Launching => {
                     launches_are_over && is_unwanted(jobs, id, allocation)
@@ -271,20 +272,20 @@
             !is_gone
         });
         for LostAllocation { id, has_run } in lost {
-            debug!(task = %id, machine = %name, "task is not on the machine");
+            debug!(task = %id, machine = %name, "task is no longer on the machine");
             self.release_allocation(&id, name, has_run, now);
             self.task_lost(&id.job, now);
         }
     }
 
-    /// Releases what was on a machine whose worker's incarnation is over.
+    /// Releases the allocations on a machine whose worker's incarnation has ended.
     pub(super) fn end_incarnation(&mut self, name: &MachineName, now: Time) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         let mut lost = Vec::new();
         machine.retain_allocations(|id, allocation| {
-            // What was not sent can still be sent to the next incarnation.
+            // A launch that was not sent can still be sent to the next incarnation.
             if allocation.state == AllocationState::Pending {
                 return true;
             }
@@ -297,7 +298,7 @@
             false
         });
         if !lost.is_empty() {
-            warn!(machine = %name, tasks = lost.len(), "incarnation ended, tasks lost");
+            warn!(machine = %name, tasks = lost.len(), "incarnation ended, its tasks are lost");
         }
         for LostAllocation { id, has_run } in lost {
             self.release_allocation(&id, name, has_run, now);
@@ -306,7 +307,7 @@
     }
 }
 
-/// Whether a task that may still be launched is to be stopped.
+/// Whether a task that may still be launched should be stopped.
 fn is_unwanted(jobs: &BTreeMap<JobId, Job>, id: &AllocationId, allocation: &Allocation) -> bool {
     allocation.pending_stop.is_some() || jobs.get(&id.job).is_none_or(|job| job.cancelled)
 }
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -1,4 +1,4 @@
-//! How a new leader rebuilds its state: from the records, then from heartbeats of the workers.
+//! Rebuilds the state of a new leader from the records; workers' heartbeats then complete it.
 
 use super::wall_clock::WallClock;
 use super::ClusterState;
@@ -16,27 +16,27 @@
 #[derive(Debug, Default)]
 pub struct Records {
     /// Open jobs.
-    pub open: Vec<VersionedValue>,
-    /// Records of completed tasks.
-    pub run: Vec<VersionedValue>,
+    pub open_jobs: Vec<VersionedValue>,
+    /// Completion records.
+    pub completions: Vec<VersionedValue>,
     /// Placement records.
-    pub places: Vec<VersionedValue>,
+    pub placements: Vec<VersionedValue>,
 }
 
-/// The value of a record, if it can be read.
+/// Decodes the value of a record; logs a warning if it cannot be decoded.
 fn decode<T: DeserializeOwned>(item: VersionedValue) -> Option<T> {
     serde_json::from_value(item.value)
-        .map_err(|error| warn!(key = %item.key, %error, "the record cannot be read"))
+        .map_err(|error| warn!(key = %item.key, %error, "record cannot be decoded"))
         .ok()
 }
 
 impl ClusterState {
-    /// Loads what earlier leaders recorded. Once a worker has seen this leader's token, no older
-    /// command reaches it, and its heartbeat is the truth.
+    /// Loads the records of earlier leaders. Once a worker has seen this leader's token, no older
+    /// command can reach it, and its heartbeat is authoritative.
     pub(crate) fn recover(&mut self, records: Records, wall_ms: u64, now: Time) {
         self.clock = WallClock::new(wall_ms, now);
         let mut open: BTreeMap<u64, OpenRecord> = BTreeMap::new();
-        for item in records.open {
+        for item in records.open_jobs {
             let version = item.version;
             if let Some(record) = decode::<OpenRecord>(item) {
                 open.insert(version, record);
@@ -45,10 +45,10 @@
         for (version, record) in open {
             self.job_accepted(record, version, wall_ms, now);
         }
-        for item in records.run {
+        for item in records.completions {
             self.recover_completions(item);
         }
-        for item in records.places {
+        for item in records.placements {
             self.recover_placements(item, now);
         }
         self.clear_met_dependencies();
@@ -59,7 +59,7 @@
             token = %self.leadership.token(),
             open_jobs = self.jobs.len(),
             machines = self.machines.len(),
-            "leadership begins, records are read"
+            "records read, leadership term starts"
         );
     }
 
@@ -69,7 +69,7 @@
         };
         let id: JobId = id.into();
         let Some(job) = self.jobs.get_mut(&id) else {
-            // Left over by the end of a job with more records than one transaction removes.
+            // Left over from a finished job with more records than one transaction removes.
             self.writes.add_stale_keys([item.key]);
             return;
         };
@@ -88,8 +88,8 @@
                     record.version = version;
                 }
             }
-            // Never written here, as it may tell of tasks that this leader's record of such a number
-            // does not.
+            // This leader never writes such a record, because it may cover tasks that this leader's own
+            // record with the same number does not.
             None => job.foreign_shards.push(number),
         }
     }
--- a/src/coordination/cluster/service_arrivals.rs
+++ b/src/coordination/cluster/service_arrivals.rs
@@ -1,4 +1,4 @@
-//! How many replicas of each class of services come and go, and how many are expected.
+//! Counts the arrivals and departures of services' replicas by class, and forecasts arrivals.
 
 use crate::coordination::state::Resources;
 use crate::coordination::Time;
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Boot times over which arrivals and departures of services are counted.
-const WINDOW_BOOTS: f64 = 4.0;
+/// The length of the window over which arrivals and departures are counted, in boot times of a machine.
+const WINDOW_BOOT_TIMES: f64 = 4.0;
 
-/// Replicas by the second in which they came or went.
+/// Numbers of replicas by the second in which they arrived or departed.
 #[derive(Default)]
 struct CountsBySecond(BTreeMap<i64, u32>);
 
@@ -28,18 +28,19 @@
     }
 }
 
-/// Replicas that come and go in the time that a machine takes to boot, on average.
+/// The average numbers of replicas that arrive and depart during the boot time of a machine.
 struct ReplicaRates {
     arrivals: f64,
     departures: f64,
 }
 
-/// The replicas of one class that came and went of late.
+/// The recent arrivals and departures of one class.
 struct ClassArrivals {
-    /// The class's latest job.
+    /// The latest job of the class.
     spec: Arc<JobSpec>,
-    /// What was there at first is no sign of what comes.
-    first: Time,
+    /// The first arrival of the class. Replicas that were there from the start do not indicate future
+    /// arrivals.
+    first_arrived_at: Time,
     arrivals: CountsBySecond,
     departures: CountsBySecond,
 }
@@ -48,7 +49,7 @@
     fn new(spec: Arc<JobSpec>, now: Time) -> ClassArrivals {
         ClassArrivals {
             spec,
-            first: now,
+            first_arrived_at: now,
             arrivals: CountsBySecond::default(),
             departures: CountsBySecond::default(),
         }
@@ -56,14 +57,14 @@
 
     fn arrived(&mut self, spec: &Arc<JobSpec>, now: Time) {
         self.spec = spec.clone();
-        self.first = self.first.min(now);
+        self.first_arrived_at = self.first_arrived_at.min(now);
         self.arrivals.add(spec.tasks, now);
     }
 
-    /// By the last few boot times; what was there in the first `skipped_s` does not count.
+    /// The rates over the last few boot times, without the first `skipped_s` of the class.
     fn rates(&self, boot_s: f64, skipped_s: f64, now: Time) -> ReplicaRates {
-        let window_s = WINDOW_BOOTS * boot_s;
-        let from = (now - window_s).max(self.first + skipped_s);
+        let window_s = WINDOW_BOOT_TIMES * boot_s;
+        let from = (now - window_s).max(self.first_arrived_at + skipped_s);
         ReplicaRates {
             arrivals: self.arrivals.since(from) * boot_s / window_s,
             departures: self.departures.since(from) * boot_s / window_s,
@@ -71,29 +72,29 @@
     }
 
     fn forget_old(&mut self, boot_s: f64, now: Time) {
-        let from = now - WINDOW_BOOTS * boot_s;
+        let from = now - WINDOW_BOOT_TIMES * boot_s;
         self.arrivals.forget_before(from);
         self.departures.forget_before(from);
     }
 }
 
-/// Replicas that are expected before a machine could be rented for them.
+/// Replicas that are expected to arrive before a machine rented for them could boot.
 #[derive(Clone, Debug)]
 pub(crate) struct ExpectedReplicas {
-    /// What each requests.
+    /// The resources that each replica requests.
     pub request: Resources,
-    /// How many are expected.
+    /// The expected number of replicas.
     pub count: u32,
-    /// Their image.
+    /// The image of the replicas.
     pub image: String,
 }
 
-/// How far ahead replicas are expected, and how many more than the mean.
+/// How far the forecast looks ahead, and by how much it exceeds the mean.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ForecastHorizon {
-    /// How long the machine type that boots soonest takes, in seconds.
+    /// The boot time of the machine type that boots fastest, in seconds.
     pub boot_s: f64,
-    /// Standard deviations above the mean.
+    /// The margin above the mean, in standard deviations.
     pub deviations: f64,
     /// Seconds after a class's first arrival that do not count.
     pub skipped_s: f64,
@@ -106,7 +107,7 @@
 }
 
 impl ServiceArrivals {
-    /// Counts a job that has arrived, if it is a service.
+    /// Counts the arrival of a job, if it is a service.
     pub(super) fn arrived(&mut self, spec: &Arc<JobSpec>, now: Time) {
         if spec.kind == JobKind::Service {
             let entry = self.by_class.entry(spec.class.clone());
@@ -115,15 +116,15 @@
         }
     }
 
-    /// Counts a job that has ended, if it is a service.
+    /// Counts the departure of a finished job, if it is a service.
     pub(super) fn departed(&mut self, spec: &JobSpec, now: Time) {
         if let Some(class) = self.by_class.get_mut(&spec.class) {
             class.departures.add(spec.tasks, now);
         }
     }
 
-    /// Replicas of each class that are expected within the horizon, beyond those whose resources come
-    /// free by then.
+    /// The replicas of each class that are expected within the horizon, beyond those whose resources
+    /// become free in that time.
     pub(super) fn expected(&self, horizon: ForecastHorizon, now: Time) -> Vec<ExpectedReplicas> {
         let of_class = |class: &ClassArrivals| {
             let rates = class.rates(horizon.boot_s, horizon.skipped_s, now);
@@ -138,13 +139,13 @@
         self.by_class.values().map(of_class).collect()
     }
 
-    /// The latest job of the first class whose replicas make a request.
+    /// The latest job of the first class whose replicas have this request.
     pub(crate) fn spec_with_request(&self, request: &Resources) -> Option<&Arc<JobSpec>> {
         let mut specs = self.by_class.values().map(|class| &class.spec);
         specs.find(|spec| Resources::of(spec) == *request)
     }
 
-    /// Drops what no decision will look back to.
+    /// Drops counts that are too old for any forecast.
     pub(super) fn forget_old(&mut self, boot_s: f64, now: Time) {
         for class in self.by_class.values_mut() {
             class.forget_old(boot_s, now);
--- a/src/coordination/cluster/summary.rs
+++ b/src/coordination/cluster/summary.rs
@@ -1,4 +1,4 @@
-//! What the machines are used for, and why jobs wait: for people who read the log.
+//! Log summaries of what the machines are used for and why jobs wait.
 
 use super::ClusterState;
 use crate::coordination::state::{AllocationState, Job, MachinePhase};
@@ -6,7 +6,7 @@
 use crate::protocol::worker::TaskState;
 use tracing::info;
 
-/// Machines and tasks by what they do.
+/// Numbers of machines and tasks by state.
 #[derive(Default)]
 struct UsageCounts {
     accepting: usize,
@@ -16,7 +16,7 @@
     pending: usize,
     launching: usize,
     running: usize,
-    /// Tasks that fetch their image, wait for their gang or end.
+    /// Tasks that fetch their image, wait for their gang or are exiting.
     other: usize,
 }
 
@@ -44,26 +44,26 @@
             launching = usage.launching,
             running = usage.running,
             other = usage.other,
-            "usage of machines, tasks by state"
+            "machine usage and tasks by state"
         );
         let stats = self.writes.take_stats();
         info!(
             available = format_args!("{:.0}", self.writes.available(now)),
             burst = format_args!("{:.0}", self.writes.burst()),
-            in_flight = self.writes.in_flight(),
-            ends = self.finished_jobs.len(),
-            placements = self.placement_records.awaiting_write(),
-            removals = self.writes.stale_keys(),
+            in_flight = self.writes.in_flight_count(),
+            final_states = self.finished_jobs.len(),
+            placements = self.placement_records.awaiting_write_count(),
+            removals = self.writes.stale_key_count(),
             machines_to_notify = self.machines_to_notify.len(),
-            "writes that wait"
+            "waiting writes"
         );
         info!(
-            ends = stats.ends,
+            final_states = stats.final_states,
             placements = stats.placements,
             launches = stats.launches,
             completions = stats.completions,
             removals = stats.removals,
-            "changes written since the last summary"
+            "write operations since the last summary"
         );
         self.log_waiting(usage.accepting, now);
     }
@@ -101,7 +101,7 @@
             team,
             team_cpus = self.quota.of(team).cpus,
             team_cpus_max = self.team(team).map_or(0.0, |team| team.cpus_max),
-            "tasks wait"
+            "tasks waiting to be placed"
         );
     }
 }
--- a/src/coordination/cluster/write_queue.rs
+++ b/src/coordination/cluster/write_queue.rs
@@ -1,4 +1,4 @@
-//! Writes to the store: what is in flight, what waits, and the rate limit that they keep to.
+//! Writes to the key-value store: those in flight, those that wait, and their rate limit.
 
 use super::placement_records::SentPlacements;
 use crate::coordination::state::JobId;
@@ -8,56 +8,56 @@
 
 /// Writes that may be in flight at once.
 const MAX_WRITES_IN_FLIGHT: usize = 3;
-/// The share of the store's write rate for records; the rest is for users and leases.
+/// The share of the store's write rate for records; the rest is for users' requests and leases.
 const RECORD_SHARE: f64 = 0.6;
-/// Seconds before the next write after one that was rejected.
+/// Seconds before the next write after a rejected one.
 const REJECTED_PAUSE_S: f64 = 0.25;
-/// The share of the burst that removals of stale records leave to other writes.
-const REMOVAL_LEVEL: f64 = 0.75;
-/// How many removals may be put off.
+/// Removals of stale records wait while less than this share of the burst is available.
+const REMOVAL_MIN_BURST_SHARE: f64 = 0.75;
+/// Removals no longer wait for other writes once there are this many.
 const MAX_STALE_KEYS: usize = 1000;
 
-/// What a write in flight holds.
+/// The contents of a write in flight.
 #[derive(Default)]
 pub(super) struct WriteInFlight {
     /// A placement record.
     pub(super) placements: Option<SentPlacements>,
-    /// Records of completed tasks.
+    /// Completion records.
     pub(super) completions: Vec<CompletionRecordId>,
-    /// The job whose end it records.
-    pub(super) end: Option<JobId>,
-    /// Keys that it removes.
+    /// The job whose final state is recorded.
+    pub(super) final_state: Option<JobId>,
+    /// Keys to remove.
     pub(super) removals: Vec<String>,
 }
 
-/// Identifies a record of completed tasks.
+/// Identifies a completion record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct CompletionRecordId {
     /// The job.
     pub(super) job: JobId,
-    /// Which of its shards.
+    /// The index of the shard in the job.
     pub(super) shard: usize,
 }
 
-/// A record of completed tasks that is out of date.
+/// A completion record that is outdated.
 #[derive(Clone, Debug)]
 pub(super) struct OutdatedCompletions {
-    /// Since when it is.
+    /// Since when it has been outdated.
     pub(super) since: Time,
     /// The record.
     pub(super) record: CompletionRecordId,
 }
 
-/// Changes of the store by what they were for, and the launches that they allowed.
+/// Write operations since the last summary by purpose, and the launches that they allowed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WriteStats {
-    /// Changes that recorded ends of jobs.
-    pub ends: usize,
-    /// Changes of placement records.
+    /// Operations that recorded final states of jobs.
+    pub final_states: usize,
+    /// Writes of placement records.
     pub placements: usize,
-    /// Launches that these allowed.
+    /// Launches that these writes allowed.
     pub launches: usize,
-    /// Changes of records of completed tasks.
+    /// Writes of completion records.
     pub completions: usize,
     /// Removals of stale records.
     pub removals: usize,
@@ -66,19 +66,19 @@
 /// The queue of writes to the store.
 pub(super) struct WriteQueue {
     in_flight: BTreeMap<u64, WriteInFlight>,
-    /// Records of completed tasks that are out of date, the oldest first.
+    /// Outdated completion records, the oldest first.
     outdated_completions: VecDeque<OutdatedCompletions>,
-    /// Records that are of no use any more.
+    /// Keys of records that are no longer needed.
     stale_keys: BTreeSet<String>,
     limit: TokenBucket,
     paused_until: Time,
-    /// How many operations a transaction may have.
+    /// The most operations that a transaction may have.
     max_operations: usize,
     stats: WriteStats,
 }
 
 impl WriteQueue {
-    /// An empty queue for a store with this write rate, whose transactions may have so many operations.
+    /// An empty queue for a store with this write rate and this limit of operations per transaction.
     pub(super) fn new(write_rps: f64, max_operations: usize) -> WriteQueue {
         let rate = write_rps * RECORD_SHARE;
         WriteQueue {
@@ -92,78 +92,78 @@
         }
     }
 
-    /// The store accepts fewer writes from now on.
+    /// Lowers the write rate, as the store accepts fewer writes from now on.
     pub(super) fn lower_rate(&mut self, write_rps: f64) {
         let rate = write_rps * RECORD_SHARE;
         self.limit.lower(rate, rate);
     }
 
-    /// Whether another write may be sent now, as far as those in flight are concerned.
+    /// Whether the limit of writes in flight allows another one.
     pub(super) fn has_capacity(&self) -> bool {
         self.in_flight.len() < MAX_WRITES_IN_FLIGHT
     }
 
-    /// Whether writes are paused, after one that was rejected.
+    /// Whether writes are paused after a rejected one.
     pub(super) fn is_paused(&self, now: Time) -> bool {
         now < self.paused_until
     }
 
-    /// Pauses writes, as one was rejected.
+    /// Pauses writes after a rejected one.
     pub(super) fn pause(&mut self, now: Time) {
         self.paused_until = now + REJECTED_PAUSE_S;
     }
 
-    /// How many writes are in flight.
-    pub(super) fn in_flight(&self) -> usize {
+    /// The number of writes in flight.
+    pub(super) fn in_flight_count(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// A write is sent.
+    /// Adds a write that was sent.
     pub(super) fn sent(&mut self, id: u64, write: WriteInFlight) {
         self.in_flight.insert(id, write);
     }
 
-    /// A write is over.
+    /// Removes a write that has finished.
     pub(super) fn finished(&mut self, id: u64) -> Option<WriteInFlight> {
         self.in_flight.remove(&id)
     }
 
-    /// How many changes the rate limit allows now.
+    /// The number of write operations that the rate limit allows now.
     pub(super) fn available(&mut self, now: Time) -> f64 {
         self.limit.level(now)
     }
 
-    /// How many changes the rate limit allows at once at the most.
+    /// The largest number of write operations that the rate limit allows at once.
     pub(super) fn burst(&self) -> f64 {
         self.limit.burst()
     }
 
-    /// Whether the rate limit is needed for what is urgent.
+    /// Whether the remaining rate should be kept for urgent writes.
     pub(super) fn is_scarce(&mut self, now: Time) -> bool {
         self.limit.level(now) < self.limit.burst() / 2.0
     }
 
-    /// Spends changes if the rate limit allows them all.
+    /// Takes write operations from the rate limit; returns whether it allowed them all.
     pub(super) fn spend(&mut self, changes: usize, now: Time) -> bool {
         self.limit.take(now, changes as f64)
     }
 
-    /// How many operations a transaction may have.
+    /// The most operations that a transaction may have.
     pub(super) fn max_operations(&self) -> usize {
         self.max_operations
     }
 
-    /// Halves how many operations a transaction may have, as one was too large.
+    /// Halves the limit of operations per transaction, after a write that was too large.
     pub(super) fn halve_operations(&mut self) {
         self.max_operations = (self.max_operations / 2).max(1);
     }
 
-    /// A record of completed tasks is out of date.
+    /// Adds an outdated completion record.
     pub(super) fn push_outdated(&mut self, outdated: OutdatedCompletions) {
         self.outdated_completions.push_back(outdated);
     }
 
-    /// Takes the oldest record of completed tasks that has been out of date for `max_age_s`.
+    /// Takes the oldest completion record if it has been outdated for `max_age_s`.
     pub(super) fn pop_outdated(
         &mut self,
         max_age_s: f64,
@@ -183,23 +183,23 @@
         }
     }
 
-    /// Records are of no use any more.
+    /// Adds keys of records that are no longer needed.
     pub(super) fn add_stale_keys(&mut self, keys: impl IntoIterator<Item = String>) {
         self.stale_keys.extend(keys);
     }
 
-    /// How many records are to be removed.
-    pub(super) fn stale_keys(&self) -> usize {
+    /// The number of keys to remove.
+    pub(super) fn stale_key_count(&self) -> usize {
         self.stale_keys.len()
     }
 
-    /// Takes as many stale keys as one transaction removes, and spends their changes. Nothing hurries
-    /// them: they leave room for what does, until they are too many.
+    /// Takes as many stale keys as one transaction removes, and their operations from the rate limit.
+    /// Removals are not urgent: they leave the rate to other writes until too many accumulate.
     pub(super) fn take_stale_keys(&mut self, now: Time) -> Vec<String> {
         let keys = self.stale_keys.iter().take(self.max_operations);
         let keys: Vec<String> = keys.cloned().collect();
         let available = self.limit.level(now);
-        let is_scarce = available < self.limit.burst() * REMOVAL_LEVEL;
+        let is_scarce = available < self.limit.burst() * REMOVAL_MIN_BURST_SHARE;
         let must_wait = is_scarce && self.stale_keys.len() < MAX_STALE_KEYS;
         if keys.is_empty() || available < keys.len() as f64 || must_wait {
             return Vec::new();
@@ -212,12 +212,12 @@
         keys
     }
 
-    /// The changes since the last summary, to be counted.
+    /// The statistics since the last summary, for counting.
     pub(super) fn stats_mut(&mut self) -> &mut WriteStats {
         &mut self.stats
     }
 
-    /// Takes the changes since the last summary.
+    /// Takes the statistics since the last summary.
     pub(super) fn take_stats(&mut self) -> WriteStats {
         std::mem::take(&mut self.stats)
     }
--- a/src/coordination/cluster/writes/completions.rs
+++ b/src/coordination/cluster/writes/completions.rs
@@ -1,4 +1,4 @@
-//! Recording which tasks have completed.
+//! Records which tasks have completed.
 
 use super::ClusterState;
 use crate::coordination::cluster::write_queue::{
@@ -10,12 +10,12 @@
 use crate::storage::records::{completion_key, CompletionShards, StoredCompletions};
 use std::collections::BTreeMap;
 
-/// How many times longer a record may be out of date while the rate limit is scarce.
+/// How many times longer a record may be outdated while the rate limit is scarce.
 const SCARCE_AGE_FACTOR: f64 = 2.0;
 /// Bytes of a transaction that may be filled, of the 64 KiB allowed.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
-/// A transaction that is being filled with records of completed tasks.
+/// A transaction that is being filled with completion records.
 struct CompletionBatch {
     transaction: Transaction,
     records: Vec<CompletionRecordId>,
@@ -30,7 +30,7 @@
 }
 
 impl ClusterState {
-    /// Records which tasks have completed, once that has been out of date for long enough.
+    /// Writes completion records that have been outdated for long enough.
     pub(super) fn write_completions(&mut self, now: Time) -> bool {
         let batch = self.fill_completion_batch(now);
         if batch.records.is_empty() {
@@ -98,7 +98,8 @@
         let last = (first + self.shards.tasks_per_shard).min(job.tasks().len());
         for task in (first..last).filter(|task| job.tasks()[*task].done) {
             stored.push_done(task as u32);
-            // What it does not tell is done again, at worst: a worker keeps the result.
+            // A completion that does not fit costs at worst another run of the task: its worker keeps
+            // the result.
             if stored.bytes() > self.placement_records.max_bytes() {
                 stored.done.pop();
                 break;
@@ -107,7 +108,7 @@
         stored
     }
 
-    /// The record of which tasks have completed is out of date.
+    /// Marks the completion record that holds a task as outdated.
     pub(crate) fn mark_completion_outdated(&mut self, id: &JobId, task: u32, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Takes in what became of the write of a record of completed tasks.
+    /// Applies the outcome of the write of a completion record.
     pub(super) fn completions_written(
         &mut self,
         id: &CompletionRecordId,
@@ -147,13 +148,14 @@
     }
 }
 
-/// Whether a record is to be written at all; a job that is finished is closed instead.
+/// Whether a completion record should still be written; a finished job gets its final state recorded
+/// instead.
 fn is_due(job: &Job, outdated: &OutdatedCompletions) -> bool {
     let is_open = !job.cancelled && !job.end_in_flight && !job.end_recorded && !job.is_finished();
     is_open && job.completion_records[outdated.record.shard].dirty_since == Some(outdated.since)
 }
 
-/// Whether a task's completion is known here only: its worker must not forget it yet.
+/// Whether a task's completion is not on record yet, so that its worker must not forget it.
 pub(in crate::coordination::cluster) fn is_completion_unrecorded(
     jobs: &BTreeMap<JobId, Job>,
     shards: CompletionShards,
--- a/src/coordination/cluster/writes/ends.rs
+++ b/src/coordination/cluster/writes/final_states.rs
@@ -1,4 +1,4 @@
-//! Recording the ends of jobs.
+//! Records the final states of jobs.
 
 use crate::coordination::cluster::write_queue::WriteInFlight;
 use crate::coordination::cluster::{ClusterState, Effect};
@@ -9,13 +9,14 @@
 use crate::storage::records::{completion_key, end_key, open_key, EndRecord};
 use tracing::info;
 
-/// Operations of a transaction that records an end: the end itself, and the removal of the open job.
-pub(super) const MAX_END_OPERATIONS: usize = 2;
-/// That of a job whose end its user's cancellation has recorded.
-const CANCELLED_END_OPERATIONS: usize = 1;
+/// Operations of a transaction that records a final state: the record itself, and the removal of the
+/// open job.
+pub(super) const MAX_FINAL_STATE_OPERATIONS: usize = 2;
+/// Operations for a cancelled job, whose final state was recorded by the user's cancellation.
+const CANCELLED_JOB_OPERATIONS: usize = 1;
 
-/// How a job ends.
-fn end_state(job: &Job) -> JobState {
+/// The final state of a finished job.
+fn final_state(job: &Job) -> JobState {
     if job.will_be_cancelled() {
         JobState::Cancelled
     } else {
@@ -24,12 +25,13 @@
 }
 
 impl ClusterState {
-    /// Ends a job: a write-once key, and its description closes. Its other records are of no use
-    /// from then on; they are removed when there is time. Returns whether another may be tried.
-    pub(super) fn write_end(&mut self, now: Time) -> bool {
+    /// Records the final state of a job under a write-once key and removes the open job. The job's
+    /// other records are no longer needed then, and are removed when the rate limit allows. Returns
+    /// whether another write may be tried.
+    pub(super) fn write_final_state(&mut self, now: Time) -> bool {
         let jobs = &self.jobs;
         let is_idle = |id: &JobId| jobs.get(id).is_none_or(|job| !has_write_in_flight(job));
-        let Some(finished) = self.finished_jobs.first_that(is_idle) else {
+        let Some(finished) = self.finished_jobs.first_matching(is_idle) else {
             return false;
         };
         let at_ms = self.clock.wall_ms(now);
@@ -39,68 +41,68 @@
             return true;
         };
         let operations = if job.cancelled {
-            CANCELLED_END_OPERATIONS
+            CANCELLED_JOB_OPERATIONS
         } else {
-            MAX_END_OPERATIONS
+            MAX_FINAL_STATE_OPERATIONS
         };
         if !self.writes.spend(operations, now) {
             return false;
         }
         job.end_in_flight = true;
-        let end = (!job.cancelled).then(|| EndRecord {
-            state: end_state(job),
+        let record = (!job.cancelled).then(|| EndRecord {
+            state: final_state(job),
             at_ms: Some(at_ms),
         });
         self.finished_jobs.remove(&finished);
-        self.writes.stats_mut().ends += operations;
-        let transaction = self.end_transaction(&finished.job, end);
+        self.writes.stats_mut().final_states += operations;
+        let transaction = self.final_state_transaction(&finished.job, record);
         let write = WriteInFlight {
-            end: Some(finished.job),
+            final_state: Some(finished.job),
             ..WriteInFlight::default()
         };
         self.submit_write(transaction, write);
         true
     }
 
-    fn end_transaction(&self, id: &JobId, end: Option<EndRecord>) -> Transaction {
+    fn final_state_transaction(&self, id: &JobId, record: Option<EndRecord>) -> Transaction {
         let transaction = self.begin_transaction().delete(open_key(id));
-        match end {
-            Some(end) => transaction
+        match record {
+            Some(record) => transaction
                 .absent(end_key(id))
-                .put(end_key(id), end.to_value()),
+                .put(end_key(id), record.to_value()),
             None => transaction,
         }
     }
 
-    /// Takes in what became of the write of an end.
-    pub(super) fn end_written(&mut self, id: &JobId, applied: Option<u64>, now: Time) {
+    /// Applies the outcome of the write of a final state.
+    pub(super) fn final_state_written(&mut self, id: &JobId, applied: Option<u64>, now: Time) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.end_in_flight = false;
             self.mark_finished(id);
         }
         if applied.is_some() {
-            self.job_ended(id, now);
+            self.finish_job(id, now);
         }
     }
 
-    /// A job's end is recorded. What may still be of it on a machine, such as a copy of a task that
-    /// completed elsewhere, counts until it is proven gone.
-    pub(super) fn job_ended(&mut self, id: &JobId, now: Time) {
+    /// Handles a job whose final state is on record. Allocations that may still exist, such as a
+    /// duplicate of a task that completed elsewhere, count until they are proven gone.
+    pub(super) fn finish_job(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.end_recorded) else {
             return;
         };
         job.end_recorded = true;
-        let was_announced = job.cancelled;
+        let user_was_notified = job.cancelled;
         job.cancelled |= job.dependency_cancelled;
-        let state = end_state(job);
-        if job.dependency_cancelled && !was_announced {
+        let state = final_state(job);
+        if job.dependency_cancelled && !user_was_notified {
             self.service_arrivals.departed(&job.spec, now);
         }
         if state == JobState::Done {
             log_completion(job, now);
         }
-        if !was_announced {
-            self.effects.push(Effect::JobEnded {
+        if !user_was_notified {
+            self.effects.push(Effect::JobFinished {
                 id: id.clone(),
                 state,
             });
@@ -113,12 +115,12 @@
         let keys = numbers.map(|number| completion_key(id, number));
         self.writes.add_stale_keys(keys);
         self.stop_job(id, 0.0, now);
-        self.dependency_ended(id, state, now);
-        self.drop_ended_job(id);
+        self.dependency_finished(id, state, now);
+        self.drop_finished_job(id);
     }
 
-    /// Drops a job whose end is recorded, once no machine may hold anything of it.
-    pub(crate) fn drop_ended_job(&mut self, id: &JobId) {
+    /// Drops a job whose final state is recorded once no machine may hold any of its tasks.
+    pub(crate) fn drop_finished_job(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
         if job.is_some_and(|job| job.end_recorded && job.allocated() == 0) {
             self.jobs.remove(id);
--- a/src/coordination/cluster/writes/mod.rs
+++ b/src/coordination/cluster/writes/mod.rs
@@ -1,10 +1,10 @@
-//! What the leader writes to the store, within its rate limit, and what became of it.
+//! The leader's writes to the key-value store, within its rate limit, and their outcomes.
 //!
-//! Ends of jobs come first, then placements that launches wait for, then completed tasks, then removals
-//! of stale records. Every write depends on the version of the leader's own record.
+//! Final states of jobs come first, then placements that launches wait for, then completed tasks, then
+//! removals of stale records. Every write compares the version of the leader's own record.
 
 pub(super) mod completions;
-mod ends;
+mod final_states;
 mod placements;
 mod reread;
 
@@ -15,23 +15,26 @@
 use crate::storage::records::LEADER_KEY;
 use tracing::warn;
 
-/// How long a record that no launch waits for may be out of date, in leases. What a worker has not been
-/// told to forget is not lost.
-const MAX_RECORD_AGE: f64 = 0.5;
+/// How long a record that no launch waits for may be outdated, as a share of a worker's lease. A
+/// completion that is not recorded is not lost, since the worker has not been told to forget its task.
+const MAX_RECORD_AGE_LEASES: f64 = 0.5;
 
 impl ClusterState {
-    /// Writes what is out of date, as far as the rate limit allows.
+    /// Writes outdated records, as far as the rate limit allows.
     pub(crate) fn flush_writes(&mut self, now: Time) {
         if self.writes.is_paused(now) || !self.leadership.is_leader(now) {
             return;
         }
         while self.writes.has_capacity() {
-            // Ends come first, and are waited for: users are told of them, and they cost little.
-            let is_ending = !self.finished_jobs.is_empty();
-            if self.write_end(now) {
+            // Final states come first, and the other writes wait for them: users are notified of them,
+            // and they cost little.
+            let has_finished_jobs = !self.finished_jobs.is_empty();
+            if self.write_final_state(now) {
                 continue;
             }
-            if is_ending && self.writes.available(now) < ends::MAX_END_OPERATIONS as f64 {
+            if has_finished_jobs
+                && self.writes.available(now) < final_states::MAX_FINAL_STATE_OPERATIONS as f64
+            {
                 break;
             }
             let wrote = self.write_placements(now)
@@ -49,16 +52,16 @@
         self.effects.push(Effect::Write { id, transaction });
     }
 
-    /// A transaction that holds only while this leader's token is the latest, at the cluster version
-    /// that it knows.
+    /// Starts a transaction that fails unless this leader's token is still the latest and the cluster
+    /// version is the one that the leader knows.
     fn begin_transaction(&self) -> Transaction {
         let fenced = Transaction::at_version(self.leadership.write_fence());
         fenced.version(LEADER_KEY, self.leadership.token().0)
     }
 
-    /// For how long a record that no launch waits for may be out of date, in seconds.
+    /// How long a record that no launch waits for may be outdated, in seconds.
     fn max_record_age_s(&self) -> f64 {
-        self.settings.cluster.workers.lease_s * MAX_RECORD_AGE
+        self.settings.cluster.workers.lease_s * MAX_RECORD_AGE_LEASES
     }
 
     fn write_removals(&mut self, now: Time) -> bool {
@@ -77,13 +80,13 @@
         true
     }
 
-    /// Takes in what became of a write.
+    /// Applies the outcome of a write.
     pub(crate) fn write_finished(&mut self, id: u64, outcome: WriteOutcome, now: Time) {
         let Some(write) = self.writes.finished(id) else {
             return;
         };
         if matches!(outcome, WriteOutcome::TooLarge) {
-            self.write_smaller(&write, now);
+            self.reduce_write_size(&write, now);
         }
         let applied = match &outcome {
             WriteOutcome::Applied(revision) => Some(*revision),
@@ -98,8 +101,8 @@
         if applied.is_none() {
             self.writes.add_stale_keys(write.removals);
         }
-        if let Some(job) = write.end {
-            self.end_written(&job, applied, now);
+        if let Some(job) = write.final_state {
+            self.final_state_written(&job, applied, now);
         }
         match outcome {
             WriteOutcome::Applied(_) => {}
@@ -108,9 +111,9 @@
         }
     }
 
-    /// The store accepts less than its limits, as they are known here, allow. What was too large is cut
-    /// smaller, since it would be refused for ever; so is what comes after it.
-    fn write_smaller(&mut self, write: &WriteInFlight, now: Time) {
+    /// Reduces the size of writes after the store rejected one as too large, although it was within the
+    /// known limits. Without that, the write would be rejected for ever.
+    fn reduce_write_size(&mut self, write: &WriteInFlight, now: Time) {
         self.writes.halve_operations();
         let max_bytes = self.placement_records.max_bytes();
         let sent = write.placements.as_ref();
@@ -124,7 +127,7 @@
         warn!(
             max_operations = self.writes.max_operations(),
             max_record_bytes = self.placement_records.max_bytes(),
-            "a write is too large for the store, writing less at once"
+            "the state service rejected a write as too large, reducing the size of writes"
         );
         if let Some(sent) = sent {
             self.split_placement_record(sent.record, now);
--- a/src/coordination/cluster/writes/placements.rs
+++ b/src/coordination/cluster/writes/placements.rs
@@ -1,4 +1,4 @@
-//! Recording placements, which launches wait for.
+//! Records placements, which launches wait for.
 
 use crate::coordination::cluster::placement_records::SentPlacements;
 use crate::coordination::cluster::write_queue::WriteInFlight;
@@ -9,11 +9,11 @@
 use crate::storage::records::{end_key, placement_key};
 use std::collections::BTreeSet;
 
-/// Compares of every such write: the leader's record and the placement record itself.
+/// Compares of every write of placements: the leader's record and the placement record itself.
 const OWN_COMPARES: usize = 2;
 
 impl ClusterState {
-    /// Records placements: first those that launches wait for, then what is long out of date.
+    /// Writes a placement record: one that launches wait for, or else one that has long been outdated.
     pub(super) fn write_placements(&mut self, now: Time) -> bool {
         if self.writes.available(now) < 1.0 {
             return false;
@@ -49,14 +49,14 @@
         true
     }
 
-    /// Of how many jobs a transaction can compare that they have not ended.
+    /// The number of jobs that a transaction can compare to have no final state.
     fn max_jobs_in_transaction(&self) -> usize {
         let version = usize::from(self.leadership.write_fence().stamp().is_some());
         CONDITIONS_A_CHANGE * self.writes.max_operations() - OWN_COMPARES - version
     }
 
-    /// Takes in what became of the write of a placement record: its pending placements may be launched
-    /// now.
+    /// Applies the outcome of the write of a placement record. If it was applied, its pending
+    /// placements may be launched.
     pub(super) fn placements_written(
         &mut self,
         sent: SentPlacements,
--- a/src/coordination/cluster/writes/reread.rs
+++ b/src/coordination/cluster/writes/reread.rs
@@ -1,4 +1,4 @@
-//! Reading again what a write may have changed.
+//! Rereads the keys that an indeterminate write may have changed.
 
 use super::ClusterState;
 use crate::coordination::state::JobId;
@@ -13,8 +13,9 @@
 use tracing::warn;
 
 impl ClusterState {
-    /// A write failed or went unanswered: takes the versions from what the keys hold now. A copy of
-    /// that write which is applied later fails by the version that the next write changes.
+    /// Takes the versions from the current values of the keys after an indeterminate write. A copy of
+    /// that write that is applied later fails, because the next write changes the version that it
+    /// compares.
     pub(super) fn apply_reread(&mut self, items: Vec<(String, Option<VersionedValue>)>, now: Time) {
         for (key, item) in items {
             let version = item.as_ref().map_or(0, |item| item.version);
@@ -27,7 +28,7 @@
             } else if let Some((job, number)) = parse_completion_key(&key) {
                 self.completion_record_reread(job, number, version);
             } else if let (Some(job), Some(item)) = (key.strip_prefix(END_PREFIX), item) {
-                self.end_record_reread(job, item, now);
+                self.final_state_reread(job, item, now);
             }
         }
     }
@@ -36,16 +37,13 @@
         // A lower version was read before the token was raised.
         let is_other = version > self.leadership.token().0 || version == 0;
         if is_other && !self.leadership.is_raising_token() {
-            warn!(
-                version,
-                "leadership is lost: the leader's record has changed"
-            );
+            warn!(version, "leadership lost: the leader's record has changed");
             self.leadership.depose();
         }
     }
 
-    /// The cluster version has risen, or an upgrade was called off: what is written from now on is
-    /// written for that, or no more.
+    /// Applies a cluster version that has been raised, or an upgrade that has been called off. Later
+    /// writes compare the new version, or are refused.
     fn cluster_version_reread(&mut self, item: Option<VersionedValue>) {
         let Some(item) = item else {
             return;
@@ -57,12 +55,12 @@
                 write_fence.read(range, &record, item.version);
             }
             Err(error) => {
-                warn!(key = VERSION, %error, "the record cannot be read");
+                warn!(key = VERSION, %error, "record cannot be decoded");
                 self.leadership.depose();
             }
         }
         if let Some(reason) = self.leadership.write_fence().refusal() {
-            warn!(%reason, "resigning leadership");
+            warn!(%reason, "stepping down");
             self.leadership.depose();
         }
     }
@@ -77,13 +75,13 @@
         }
     }
 
-    fn end_record_reread(&mut self, job: &str, item: VersionedValue, now: Time) {
+    fn final_state_reread(&mut self, job: &str, item: VersionedValue, now: Time) {
         let id: JobId = job.into();
         match serde_json::from_value::<EndRecord>(item.value) {
-            Ok(end) if end.state == JobState::Cancelled => self.cancel(&id, now),
-            // This leader's own end, whose answer was lost.
-            Ok(_) => self.job_ended(&id, now),
-            Err(error) => warn!(key = %item.key, %error, "the record cannot be read"),
+            Ok(record) if record.state == JobState::Cancelled => self.cancel(&id, now),
+            // This leader's own final state, whose confirmation was lost.
+            Ok(_) => self.finish_job(&id, now),
+            Err(error) => warn!(key = %item.key, %error, "record cannot be decoded"),
         }
     }
 }
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -104,7 +104,7 @@
                 self.schedule(now);
             }
         }
-        self.cluster.request_unknown_ends(now);
+        self.cluster.request_unknown_final_states(now);
         self.cluster.flush_writes(now);
         self.cluster.send_commands(now);
         has_run
@@ -303,12 +303,12 @@
 
     /// A job's end is on record, as some node has read.
     pub fn job_end_recorded(&mut self, id: &str, state: JobState, now: Time) {
-        self.cluster.job_end_recorded(id, state, now);
+        self.cluster.final_state_recorded(id, state, now);
     }
 
     /// The ends that were read; none for a job whose end is not on record, or could not be read.
     pub fn ends_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
-        self.cluster.ends_found(ends, now);
+        self.cluster.final_states_read(ends, now);
     }
 
     /// What a user is told of a job; `None` where this leader cannot be sure.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,14 +1,14 @@
-//! Leadership, scheduling and users' requests, without clocks, threads or sockets.
+//! Leadership, scheduling and users' requests, free of clocks, threads and sockets.
 //!
-//! Everything here takes events with their time and returns effects for other actors to carry out.
+//! These modules take events with their times and return effects, which other actors carry out.
 //!
 //! - [`election`] decides which controller leads;
 //! - [`state`] holds the types for jobs, machines and allocations;
 //! - [`manager`] drives the leader's work;
 //! - [`cluster`] is the leader's view of the cluster: heartbeats, reconciliation, records;
-//! - [`scheduling`] decides which task runs on which machine, by [`prediction`] of run times;
+//! - [`scheduling`] decides which task runs on which machine, using [`prediction`] of run times;
 //! - `autoscaling` decides which machines to rent and which to return;
-//! - [`requests`] answers users, on any controller.
+//! - [`requests`] handles users' requests on any controller.
 
 mod autoscaling;
 pub mod cluster;
@@ -19,5 +19,5 @@
 pub mod scheduling;
 pub mod state;
 
-/// Seconds of the monotonic clock since the process began.
+/// Seconds on the monotonic clock since the process started.
 pub type Time = f64;
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -24,8 +24,8 @@
                 let term = FencingToken(self.term.load(Ordering::Relaxed));
                 self.request_election(ElectionRequest::RaiseToken { term });
             }
-            Effect::JobEnded { id, state } => self.recorded_ends.insert(&id, state),
-            Effect::ReadEnds(ids) => self.read_ends(ids),
+            Effect::JobFinished { id, state } => self.recorded_ends.insert(&id, state),
+            Effect::ReadFinalStates(ids) => self.read_ends(ids),
         }
     }
 
--- a/src/service/peer_queries/cancellation_queries.rs
+++ b/src/service/peer_queries/cancellation_queries.rs
@@ -77,7 +77,7 @@
         let page = self.peers.cancellations(&self.name, cursor, self.timeout)?;
         Some(PeerAnswer {
             peer: self.name.clone(),
-            asked: cursor,
+            requested_from: cursor,
             sent,
             received: self.now(),
             page,
--- a/src/service/record_reader.rs
+++ b/src/service/record_reader.rs
@@ -77,9 +77,9 @@
     fn read_all(&self) -> Result<(Records, u64), Unavailable> {
         let (open, revision) = self.store.list(OPEN_PREFIX)?;
         let records = Records {
-            open,
-            run: self.store.list(COMPLETION_PREFIX)?.0,
-            places: self.store.list(PLACEMENT_PREFIX)?.0,
+            open_jobs: open,
+            completions: self.store.list(COMPLETION_PREFIX)?.0,
+            placements: self.store.list(PLACEMENT_PREFIX)?.0,
         };
         Ok((records, revision))
     }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stairstage::coordination::cluster::cancellation_evidence::{
-    renewal_s, CancellationEvidence, PeerAnswer,
+    renewal_window_s, CancellationEvidence, PeerAnswer,
 };
 use stairstage::settings::Workers;
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
@@ -187,7 +187,7 @@
                 .extend(page.jobs.iter().map(|job| job.to_string()));
             self.evidence.peer_answered(&PeerAnswer {
                 peer: name(peer),
-                asked,
+                requested_from: asked,
                 sent,
                 received: self.now,
                 page,
@@ -243,8 +243,8 @@
         let workers = Workers { report_s: 1.0, lease_s, gang_wait_s: 1.0, gang_peer_s: 1.0, cancel_s };
         let mut evidence = CancellationEvidence::new(&[name(0)]);
         evidence.records_read(0.0);
-        let renewed_at = renewal_s(&workers) * share;
-        prop_assert!(!evidence.may_renew(&workers, renewal_s(&workers)));
+        let renewed_at = renewal_window_s(&workers) * share;
+        prop_assert!(!evidence.may_renew(&workers, renewal_window_s(&workers)));
         if evidence.may_renew(&workers, renewed_at) {
             let renewed_after = renewed_at / (1.0 + leader_drift);
             let over_after = renewed_after + lease_s / (1.0 + worker_drift);
@@ -268,7 +268,7 @@
     let jobs = page.jobs.iter().map(|job| job.to_string()).collect();
     evidence.peer_answered(&PeerAnswer {
         peer: name(0),
-        asked,
+        requested_from: asked,
         sent: now,
         received: now,
         page,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -367,9 +367,9 @@
     /// What a new leader reads.
     pub(crate) fn records(&self) -> Records {
         Records {
-            open: self.under(OPEN_PREFIX),
-            run: self.under(COMPLETION_PREFIX),
-            places: self.under(PLACEMENT_PREFIX),
+            open_jobs: self.under(OPEN_PREFIX),
+            completions: self.under(COMPLETION_PREFIX),
+            placements: self.under(PLACEMENT_PREFIX),
         }
     }
 
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -90,8 +90,8 @@
                     manager.token_raised(token.map(FencingToken), now);
                 });
             }
-            Effect::JobEnded { id, state } => self.check_told_end(&id, state),
-            Effect::ReadEnds(ids) => {
+            Effect::JobFinished { id, state } => self.check_told_end(&id, state),
+            Effect::ReadFinalStates(ids) => {
                 let ends = self.store.ends(&ids);
                 self.with_controller(from, |manager| manager.ends_found(ends, now));
             }
--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -59,7 +59,7 @@
         let peer = self.peers.iter().find(|p| p.name == name)?;
         Some(PeerAnswer {
             peer: peer.name.clone(),
-            asked,
+            requested_from: asked,
             sent: now,
             received: now,
             page: peer.log.page(asked),
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -191,9 +191,9 @@
     });
     let places = fleet.places.iter();
     Records {
-        open: open.collect(),
-        run: Vec::new(),
-        places: places
+        open_jobs: open.collect(),
+        completions: Vec::new(),
+        placements: places
             .map(|(key, (value, version))| item(key.clone(), value.clone(), *version))
             .collect(),
     }
@@ -273,7 +273,7 @@
     for message in &messages {
         match message {
             Message::RecordsLoaded { records, .. } => {
-                assert_eq!(records.open.len(), LARGEST as usize);
+                assert_eq!(records.open_jobs.len(), LARGEST as usize);
             }
             Message::JobsAccepted { jobs } => opened = Some(jobs),
             Message::RecordsRead { .. } => break,
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -98,7 +98,7 @@
                 };
                 manager.write_finished(id, written, now);
             }
-            Effect::ReadEnds(ids) => {
+            Effect::ReadFinalStates(ids) => {
                 sought.extend(ids.iter().map(|id| id.to_string()));
                 let unread = || ids.iter().map(|id| (id.clone(), None)).collect();
                 let ends = if *reads { store.ends(&ids) } else { unread() };
@@ -107,7 +107,7 @@
             Effect::SendCommands {
                 commands: batch, ..
             } => launched.extend(starts(&batch.commands)),
-            Effect::JobEnded { id, state } => {
+            Effect::JobFinished { id, state } => {
                 ended.insert(id.to_string(), state);
             }
             _ => {}
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -190,7 +190,7 @@
                     self.now,
                 );
             }
-            Effect::ReadEnds(_) => {}
+            Effect::ReadFinalStates(_) => {}
             // The fleet stays as it is.
             Effect::ReturnMachines(names) => {
                 self.manager.machines_returned(&names, false, self.now);
@@ -203,7 +203,7 @@
                 let token = FencingToken(self.manager.token().0 + 1);
                 self.manager.token_raised(Some(token), self.now);
             }
-            Effect::JobEnded { id, .. } => {
+            Effect::JobFinished { id, .. } => {
                 self.fates
                     .get_mut(&*id)
                     .unwrap()
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -116,7 +116,7 @@
                 let result = self.deliver(&machine, &batch);
                 self.manager().commands_answered(&machine, result, now);
             }
-            Effect::ReadEnds(ids) => {
+            Effect::ReadFinalStates(ids) => {
                 let ends = self.store.ends(&ids);
                 self.manager().ends_found(ends, now);
             }
@@ -137,7 +137,7 @@
                 self.manager().token_raised(token.map(FencingToken), now);
             }
             // Users are told by the record, which any node may read.
-            Effect::JobEnded { .. } => {}
+            Effect::JobFinished { .. } => {}
         }
     }
 
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// As `ClusterManager::write_end` has it.
+    /// As `ClusterManager::write_final_state` has it.
     fn end_of(
         &self,
         leader: &Leader,
