--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -179,9 +179,9 @@
         };
         let mut allocations = Vec::new();
         for (task, state) in job.tasks().iter().enumerate() {
-            for held in &state.allocations {
-                let allocation = AllocationId::new(id.clone(), task as u32, held.attempt);
-                allocations.push((held.machine.clone(), allocation));
+            for reference in &state.allocations {
+                let allocation = AllocationId::new(id.clone(), task as u32, reference.attempt);
+                allocations.push((reference.machine.clone(), allocation));
             }
         }
         for (machine, allocation) in allocations {
--- a/src/coordination/cluster/cancellation_evidence.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -3,8 +3,8 @@
 //!
 //! A task of a cancelled job must be gone within `cancel_s` of the confirmation. A worker whose lease
 //! is renewed may run its tasks for another `lease_s`. A controller that knows every cancellation
-//! confirmed before time T, but perhaps none confirmed after it, may therefore renew leases until `T +
-//! cancel_s - lease_s` and not longer.
+//! confirmed before time T, but perhaps none confirmed after it, may therefore renew leases until
+//! `T + cancel_s - lease_s` and not longer.
 //!
 //! Two kinds of evidence advance T:
 //!
@@ -117,6 +117,6 @@
 
 /// Seconds after the time up to which all cancellations are known for which a lease may be renewed.
 pub fn renewal_window_s(workers: &Workers) -> Time {
-    let left_s = workers.cancel_s / CLOCK_DRIFT - workers.lease_s * CLOCK_DRIFT;
-    (RENEWAL_WINDOW_SHARE * left_s).max(0.0)
+    let remaining_s = workers.cancel_s / CLOCK_DRIFT - workers.lease_s * CLOCK_DRIFT;
+    (RENEWAL_WINDOW_SHARE * remaining_s).max(0.0)
 }
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Draws a higher token when launches that may still arrive block something.
+    /// Draws a higher token when launches that may still arrive block releasing or forgetting tasks.
     pub(super) fn raise_token_if_needed(&mut self, now: Time) {
         let pause_s = self.settings.cluster.workers.lease_s / 2.0;
         if !self.leadership.may_raise_token(pause_s, now) {
--- a/src/coordination/cluster/heartbeat_monitor.rs
+++ b/src/coordination/cluster/heartbeat_monitor.rs
@@ -15,7 +15,7 @@
 /// For a leader whose token most machines have seen, this multiple of the gap timeout is enough if it
 /// is shorter.
 const DIRECT_HEARTBEAT_TIMEOUT_GAPS: f64 = 2.0;
-/// The share of the machines that must have seen this leader's token to count as most of them.
+/// The share of the machines that must have acknowledged this leader's token for `most_are_fenced`.
 const FENCED_SHARE: f64 = 0.9;
 /// A mass failure needs more than this share of the machines to have left commands unanswered.
 const MASS_FAILURE_SHARE: f64 = 0.02;
--- a/src/coordination/cluster/leadership.rs
+++ b/src/coordination/cluster/leadership.rs
@@ -16,7 +16,7 @@
     /// election.
     first_token: FencingToken,
     /// The number of ids used so far.
-    ids: u64,
+    ids_issued: u64,
     /// What may be written at the active cluster version.
     write_fence: WriteFence,
     /// The time until which the leadership lease certainly holds.
@@ -37,7 +37,7 @@
         Leadership {
             token,
             first_token: token,
-            ids: 0,
+            ids_issued: 0,
             write_fence: WriteFence::Unstaged,
             lease_valid_until: now,
             elected_at: now,
@@ -99,7 +99,7 @@
         &self.write_fence
     }
 
-    /// What may be written at the active cluster version, for changes.
+    /// Mutable access to the write fence.
     pub(super) fn write_fence_mut(&mut self) -> &mut WriteFence {
         &mut self.write_fence
     }
@@ -111,8 +111,8 @@
 
     /// Returns an id that no other leader and no other call uses.
     pub(crate) fn next_id(&mut self) -> u64 {
-        self.ids += 1;
-        (self.first_token.0 << ID_BITS) + self.ids
+        self.ids_issued += 1;
+        (self.first_token.0 << ID_BITS) + self.ids_issued
     }
 
     /// Whether an attempt was numbered before this term.
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -1,4 +1,4 @@
-//! Silent, faulty and soon reclaimed machines, and jobs that fail on every machine.
+//! Machines that are silent, faulty or about to be reclaimed, and jobs that fail on every machine.
 
 use super::heartbeat_monitor::MachineSurvey;
 use super::{ClusterState, Effect, CLOCK_DRIFT};
@@ -131,17 +131,17 @@
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        let left_s = machine.reclaim_at.map_or(0.0, |at| at - now);
+        let remaining_s = machine.reclaim_at.map_or(0.0, |at| at - now);
         let mut stops = Vec::new();
         for (id, allocation) in machine.live_allocations() {
             let Some(job) = self.jobs.get(&id.job) else {
                 continue;
             };
             // A task that is predicted to end in time is left running.
-            if allocation.predicted_end(now) < now + left_s {
+            if allocation.predicted_end(now) < now + remaining_s {
                 continue;
             }
-            let may_save = job.spec.checkpoint_s > 0.0 && job.spec.save_s < left_s;
+            let may_save = job.spec.checkpoint_s > 0.0 && job.spec.save_s < remaining_s;
             let grace_s = if may_save { job.spec.save_s } else { 0.0 };
             stops.push((id.clone(), grace_s));
         }
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Marks a machine for return. It counts until the cloud has confirmed the return.
+    /// Marks a machine for return. It still counts until the cloud has confirmed the return.
     pub(crate) fn begin_return(&mut self, name: &MachineName) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.phase = MachinePhase::Returning;
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -142,7 +142,7 @@
         &self.leadership
     }
 
-    /// The leader's term, for changes.
+    /// Mutable access to the leader's term.
     pub(crate) fn leadership_mut(&mut self) -> &mut Leadership {
         &mut self.leadership
     }
@@ -244,7 +244,7 @@
         self.settings.team(name)
     }
 
-    /// Limits a number of tasks of a job to those that its team's quota allows to run.
+    /// How many of `tasks` tasks of a job may run within its team's quota.
     pub(crate) fn within_quota(&self, job: &Job, tasks: u32) -> u32 {
         let team = self.team(&job.spec.team);
         team.map_or(0, |team| self.quota.cap(team, &job.request(), tasks))
@@ -304,8 +304,8 @@
         }
     }
 
-    /// Expires leases, checks the health of machines, and raises the fencing token if launches block
-    /// something.
+    /// Expires leases, checks the health of machines, and raises the fencing token if launches that may
+    /// still arrive block other work.
     pub(crate) fn maintain(&mut self, now: Time) {
         self.expire_leases(now);
         self.check_machine_health(now);
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -50,7 +50,7 @@
         self.reconcile_missing_tasks(name, &shown, heartbeat.token, now);
     }
 
-    /// Applies a task's status from a heartbeat that differs from the known state.
+    /// Applies the status of a task in a heartbeat where it differs from the known state.
     fn reconcile_task(
         &mut self,
         name: &MachineName,
--- a/src/coordination/cluster/service_arrivals.rs
+++ b/src/coordination/cluster/service_arrivals.rs
@@ -38,7 +38,7 @@
 struct ClassArrivals {
     /// The latest job of the class.
     spec: Arc<JobSpec>,
-    /// The first arrival of the class. Replicas that were there from the start do not indicate future
+    /// The first arrival of the class. Replicas that arrived at the start do not indicate future
     /// arrivals.
     first_arrived_at: Time,
     arrivals: CountsBySecond,
--- a/src/coordination/cluster/writes/mod.rs
+++ b/src/coordination/cluster/writes/mod.rs
@@ -16,7 +16,7 @@
 use tracing::warn;
 
 /// How long a record that no launch waits for may be outdated, as a share of a worker's lease. A
-/// completion that is not recorded is not lost, since the worker has not been told to forget its task.
+/// completion that is not recorded is not lost, since its worker keeps the task until a `forget`.
 const MAX_RECORD_AGE_LEASES: f64 = 0.5;
 
 impl ClusterState {
--- a/src/coordination/cluster/writes/reread.rs
+++ b/src/coordination/cluster/writes/reread.rs
@@ -79,7 +79,7 @@
         let id: JobId = job.into();
         match serde_json::from_value::<EndRecord>(item.value) {
             Ok(record) if record.state == JobState::Cancelled => self.cancel(&id, now),
-            // This leader's own final state, whose confirmation was lost.
+            // Written by this leader, which did not receive the confirmation.
             Ok(_) => self.finish_job(&id, now),
             Err(error) => warn!(key = %item.key, %error, "record cannot be decoded"),
         }
