--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -213,11 +213,9 @@
         match outcome {
             CommandOutcome::Executed(heartbeat) => {
                 worker.acknowledge(true, now);
-                self.apply_command_heartbeat(name, &heartbeat, now);
-            }
-            CommandOutcome::Rejected(Some(heartbeat)) => {
-                self.apply_command_heartbeat(name, &heartbeat, now)
+                self.apply_answer(name, &heartbeat, now);
             }
+            CommandOutcome::Rejected(Some(heartbeat)) => self.apply_answer(name, &heartbeat, now),
             // The remaining commands go out with the responses to heartbeats; the failure proves
             // nothing about the machine.
             CommandOutcome::Rejected(None) | CommandOutcome::NotSent | CommandOutcome::Unknown => {
@@ -226,7 +224,7 @@
         }
     }
 
-    fn apply_command_heartbeat(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
+    fn apply_answer(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
         if heartbeat.token > self.leadership.token() {
             self.leadership.depose();
         } else if heartbeat.machine == **name {
