--- a/src/coordination/cluster/heartbeat_monitor.rs
+++ b/src/coordination/cluster/heartbeat_monitor.rs
@@ -133,7 +133,8 @@
     }
 
     /// Whether no worker sends heartbeats directly to this controller, elected at `elected_at`, so that
-    /// its network may be at fault. Once a large fleet knows this leader, it leaves only short gaps.
+    /// its network may be at fault. Once most workers of a large fleet know this leader, the gaps
+    /// between their heartbeats are short.
     pub(super) fn receives_no_heartbeats(&self, elected_at: Time, now: Time) -> bool {
         let interval_s = DIRECT_HEARTBEAT_TIMEOUT_INTERVALS * self.interval_s;
         let timeout_s = if self.most_are_fenced {
--- a/src/coordination/cluster/starvation.rs
+++ b/src/coordination/cluster/starvation.rs
@@ -5,8 +5,8 @@
 use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The share of the longest wait allowed while resources are free after which a job ignores the
-/// reservation.
+/// A job ignores the reservation after this share of the longest wait that is allowed while resources
+/// are free.
 const STARVED_SHARE: f64 = 0.6;
 
 /// Since when jobs have been kept from free resources.
