--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -24,8 +24,8 @@
                 let term = FencingToken(self.term.load(Ordering::Relaxed));
                 self.send_election_request(ElectionRequest::RaiseToken { term });
             }
-            Effect::JobEnded { id, state } => self.final_states.insert(&id, state),
-            Effect::ReadEnds(ids) => self.read_final_states(ids),
+            Effect::JobFinished { id, state } => self.final_states.insert(&id, state),
+            Effect::ReadFinalStates(ids) => self.read_final_states(ids),
         }
     }
 
