--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -11,7 +11,7 @@
 use crate::coordination::state::{Deadline, Job, JobId};
 use crate::coordination::Time;
 use crate::protocol::job::{JobState, Priority};
-use crate::storage::records::EndRecord;
+use crate::storage::records::FinalStateRecord;
 use std::collections::{BTreeSet, HashMap};
 use tracing::{debug, info};
 
@@ -271,7 +271,7 @@
     }
 
     /// The ends that were read; none for a job whose end is not on record, or could not be read.
-    pub(crate) fn ends_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
+    pub(crate) fn ends_found(&mut self, ends: Vec<(JobId, Option<FinalStateRecord>)>, now: Time) {
         self.dependencies.is_reading_ends = false;
         for (id, end) in ends {
             match end {
--- a/src/coordination/cluster/writes/ends.rs
+++ b/src/coordination/cluster/writes/ends.rs
@@ -6,7 +6,7 @@
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::protocol::store::Transaction;
-use crate::storage::records::{completion_key, end_key, open_key, EndRecord};
+use crate::storage::records::{completion_key, final_state_key, open_key, FinalStateRecord};
 use tracing::info;
 
 /// Operations of a transaction that records an end: the end itself, and the removal of the open job.
@@ -47,7 +47,7 @@
             return false;
         }
         job.end_in_flight = true;
-        let end = (!job.cancelled).then(|| EndRecord {
+        let end = (!job.cancelled).then(|| FinalStateRecord {
             state: end_state(job),
             at_ms: Some(at_ms),
         });
@@ -62,12 +62,12 @@
         true
     }
 
-    fn end_transaction(&self, id: &JobId, end: Option<EndRecord>) -> Transaction {
+    fn end_transaction(&self, id: &JobId, end: Option<FinalStateRecord>) -> Transaction {
         let transaction = self.begin_transaction().delete(open_key(id));
         match end {
             Some(end) => transaction
-                .absent(end_key(id))
-                .put(end_key(id), end.to_value()),
+                .absent(final_state_key(id))
+                .put(final_state_key(id), end.to_value()),
             None => transaction,
         }
     }
--- a/src/coordination/cluster/writes/placements.rs
+++ b/src/coordination/cluster/writes/placements.rs
@@ -6,7 +6,7 @@
 use crate::coordination::state::{AllocationState, JobId, Placement};
 use crate::coordination::Time;
 use crate::settings::CONDITIONS_A_CHANGE;
-use crate::storage::records::{end_key, placement_key};
+use crate::storage::records::{final_state_key, placement_key};
 use std::collections::BTreeSet;
 
 /// Compares of every such write: the leader's record and the placement record itself.
@@ -34,7 +34,7 @@
             .put(key, value);
         let jobs: BTreeSet<&JobId> = sent.pending.iter().map(|p| &p.allocation.job).collect();
         for id in jobs {
-            transaction = transaction.absent(end_key(id));
+            transaction = transaction.absent(final_state_key(id));
         }
         self.writes.spend(1, now);
         let stats = self.writes.stats_mut();
--- a/src/coordination/cluster/writes/reread.rs
+++ b/src/coordination/cluster/writes/reread.rs
@@ -6,7 +6,7 @@
 use crate::protocol::job::JobState;
 use crate::protocol::store::VersionedValue;
 use crate::storage::records::{
-    parse_completion_key, parse_placement_key, EndRecord, END_PREFIX, LEADER_KEY,
+    parse_completion_key, parse_placement_key, FinalStateRecord, FINAL_STATE_PREFIX, LEADER_KEY,
 };
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{VersionRange, VersionRecord};
@@ -26,7 +26,7 @@
                 self.placement_records.set_version(record, version);
             } else if let Some((job, number)) = parse_completion_key(&key) {
                 self.completion_record_reread(job, number, version);
-            } else if let (Some(job), Some(item)) = (key.strip_prefix(END_PREFIX), item) {
+            } else if let (Some(job), Some(item)) = (key.strip_prefix(FINAL_STATE_PREFIX), item) {
                 self.end_record_reread(job, item, now);
             }
         }
@@ -79,7 +79,7 @@
 
     fn end_record_reread(&mut self, job: &str, item: VersionedValue, now: Time) {
         let id: JobId = job.into();
-        match serde_json::from_value::<EndRecord>(item.value) {
+        match serde_json::from_value::<FinalStateRecord>(item.value) {
             Ok(end) if end.state == JobState::Cancelled => self.cancel(&id, now),
             // This leader's own end, whose answer was lost.
             Ok(_) => self.job_ended(&id, now),
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -17,7 +17,7 @@
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::worker::Heartbeat;
 use crate::settings::Settings;
-use crate::storage::records::{EndRecord, OpenRecord};
+use crate::storage::records::{FinalStateRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -307,7 +307,7 @@
     }
 
     /// The ends that were read; none for a job whose end is not on record, or could not be read.
-    pub fn ends_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
+    pub fn ends_found(&mut self, ends: Vec<(JobId, Option<FinalStateRecord>)>, now: Time) {
         self.cluster.ends_found(ends, now);
     }
 
--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -7,7 +7,7 @@
 use crate::protocol::job::JobStatus;
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
-use crate::storage::records::{end_key, open_key};
+use crate::storage::records::{final_state_key, open_key};
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
 
@@ -43,7 +43,7 @@
     ) -> (Acceptance, StoreCall) {
         let transaction = Transaction::at_version(write_fence)
             .absent(open_key(job))
-            .absent(end_key(job))
+            .absent(final_state_key(job))
             .put(key, value);
         let acceptance = Acceptance {
             job: job.to_string(),
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -9,7 +9,7 @@
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
-use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+use crate::storage::records::{final_state_key, open_key, FinalStateRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
 /// Records that a job is cancelled, unless it has ended.
@@ -85,11 +85,14 @@
         let cancelled_record = open.record.into_cancelled(self.max_record_bytes);
         let value =
             serde_json::to_value(&cancelled_record).expect("serializing plain data cannot fail");
-        let (open_key, end_key) = (open_key(&self.job), end_key(&self.job));
+        let (open_key, final_state_key) = (open_key(&self.job), final_state_key(&self.job));
         let transaction = Transaction::at_version(&self.write_fence)
-            .absent(end_key.clone())
+            .absent(final_state_key.clone())
             .version(open_key.clone(), open.version)
-            .put(end_key, EndRecord::cancelled(self.now_ms).to_value())
+            .put(
+                final_state_key,
+                FinalStateRecord::cancelled(self.now_ms).to_value(),
+            )
             .put(open_key, value);
         self.state = State::Committing;
         StoreCall::Commit(transaction)
--- a/src/coordination/requests/dependency_check.rs
+++ b/src/coordination/requests/dependency_check.rs
@@ -7,7 +7,7 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
-use crate::storage::records::{end_key, open_key};
+use crate::storage::records::{final_state_key, open_key};
 use std::collections::VecDeque;
 
 /// Checks that all jobs that a submission depends on were accepted. One transaction compares the
@@ -91,7 +91,7 @@
     /// Evaluates the compared dependencies up to the next one that needs a call.
     fn evaluate_next(&mut self) -> Step<DependencyStatus> {
         while let Some(job) = self.compared.pop_front() {
-            let end = end_key(&job);
+            let end = final_state_key(&job);
             if self.present_keys.contains(&end) {
                 self.state = State::ReadingEnd;
                 return Step::Call(StoreCall::Read(end));
@@ -116,7 +116,9 @@
         let transaction = jobs
             .iter()
             .fold(Transaction::default(), |transaction, job| {
-                transaction.absent(open_key(job)).absent(end_key(job))
+                transaction
+                    .absent(open_key(job))
+                    .absent(final_state_key(job))
             });
         self.compared = jobs.into();
         self.state = State::Comparing;
--- a/src/coordination/requests/dependency_search.rs
+++ b/src/coordination/requests/dependency_search.rs
@@ -4,7 +4,7 @@
 use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::JobState;
 use crate::storage::key_value_store::Unavailable;
-use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+use crate::storage::records::{final_state_key, open_key, FinalStateRecord, OpenRecord};
 
 /// The maximum number of jobs that one search reads.
 const MAX_JOBS_READ: usize = 24;
@@ -58,8 +58,8 @@
     pub(super) fn on_answer(&mut self, answer: StoreAnswer) -> StepResult<bool> {
         match &self.state {
             State::ReadingOpen { job } => {
-                let end_key = end_key(job);
-                self.on_open_record(answer, end_key)
+                let final_state_key = final_state_key(job);
+                self.on_open_record(answer, final_state_key)
             }
             State::ReadingEnd => {
                 if is_end_cancelled(answer)? {
@@ -71,7 +71,7 @@
         }
     }
 
-    fn on_open_record(&mut self, answer: StoreAnswer, end_key: String) -> StepResult<bool> {
+    fn on_open_record(&mut self, answer: StoreAnswer, final_state_key: String) -> StepResult<bool> {
         match answer.decode::<OpenRecord>()? {
             Some(found) if found.record.cancelled => Ok(Step::Finished(true)),
             Some(found) => {
@@ -80,7 +80,7 @@
             }
             None => {
                 self.state = State::ReadingEnd;
-                Ok(Step::Call(StoreCall::Read(end_key)))
+                Ok(Step::Call(StoreCall::Read(final_state_key)))
             }
         }
     }
@@ -92,6 +92,6 @@
 ///
 /// [`Unavailable`] if it could not be read.
 pub(super) fn is_end_cancelled(answer: StoreAnswer) -> Result<bool, Unavailable> {
-    let end = answer.decode::<EndRecord>()?;
+    let end = answer.decode::<FinalStateRecord>()?;
     Ok(end.is_some_and(|end| end.record.state == JobState::Cancelled))
 }
--- a/src/coordination/requests/job_lookup.rs
+++ b/src/coordination/requests/job_lookup.rs
@@ -5,7 +5,7 @@
 use super::step::{Step, StepError, StepResult};
 use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::{JobState, JobStatus};
-use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+use crate::storage::records::{final_state_key, open_key, FinalStateRecord, OpenRecord};
 
 /// Reads a job's state; finishes with `None` if the job was never accepted. The open record is read
 /// first: it is deleted by the transaction that writes the end record, or later.
@@ -39,7 +39,7 @@
                 self.on_search_step(step)
             }
             State::ReadingEnd => {
-                let end = answer.decode::<EndRecord>()?;
+                let end = answer.decode::<FinalStateRecord>()?;
                 let status = end.map(|end| status_without_counts(&self.job, end.record.state));
                 Ok(Step::Finished(status))
             }
@@ -56,7 +56,7 @@
             }
             None => {
                 self.state = State::ReadingEnd;
-                Ok(Step::Call(StoreCall::Read(end_key(&self.job))))
+                Ok(Step::Call(StoreCall::Read(final_state_key(&self.job))))
             }
         }
     }
--- a/src/coordination/requests/polls/comparison.rs
+++ b/src/coordination/requests/polls/comparison.rs
@@ -6,7 +6,7 @@
 use crate::coordination::requests::answers::status_without_counts;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
-use crate::storage::records::{end_key, open_key};
+use crate::storage::records::{final_state_key, open_key};
 use std::collections::{BTreeSet, HashSet};
 
 /// How a poll can be decided with what is known.
@@ -49,7 +49,7 @@
     /// The plan for a poll; at most `max_dependencies` are compared.
     pub(super) fn of(poll: &Poll, known: &KnownJobs, max_dependencies: usize) -> DecisionPlan {
         let mut keys = ComparedKeys {
-            end: end_key(&poll.job),
+            end: final_state_key(&poll.job),
             open: None,
             dependencies: Vec::new(),
             awaits_end: false,
@@ -74,7 +74,7 @@
 
 impl ComparedKeys {
     fn iter(&self) -> impl Iterator<Item = String> + '_ {
-        let dependencies = self.dependencies.iter().map(|job| end_key(job));
+        let dependencies = self.dependencies.iter().map(|job| final_state_key(job));
         let own = self.open.iter().cloned().chain([self.end.clone()]);
         own.chain(dependencies)
     }
@@ -93,7 +93,7 @@
             return Verdict::Undecided;
         }
         let mut dependencies = self.dependencies.iter();
-        if let Some(ended) = dependencies.find(|job| is_present(&end_key(job))) {
+        if let Some(ended) = dependencies.find(|job| is_present(&final_state_key(job))) {
             return Verdict::Read(RecordKey::end(ended));
         }
         let status = poll.leader_status.clone();
--- a/src/coordination/requests/polls/decoded_records.rs
+++ b/src/coordination/requests/polls/decoded_records.rs
@@ -5,7 +5,7 @@
 use crate::protocol::job::JobState;
 use crate::protocol::store::VersionedValue;
 use crate::storage::key_value_store::Unavailable;
-use crate::storage::records::{EndRecord, OpenRecord};
+use crate::storage::records::{FinalStateRecord, OpenRecord};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
@@ -88,7 +88,7 @@
     serde_json::from_value(value).ok()
 }
 
-fn end_content(record: &EndRecord) -> Option<RecordContent> {
+fn end_content(record: &FinalStateRecord) -> Option<RecordContent> {
     let is_end = record.state.is_end();
     is_end.then_some(RecordContent::Ended(record.state))
 }
--- a/src/coordination/requests/polls/record_keys.rs
+++ b/src/coordination/requests/polls/record_keys.rs
@@ -1,6 +1,6 @@
 //! Which records of jobs are read, by key or by a range of keys.
 
-use crate::storage::records::{END_PREFIX, OPEN_PREFIX};
+use crate::storage::records::{FINAL_STATE_PREFIX, OPEN_PREFIX};
 
 /// The kinds of a job's records.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,7 +15,7 @@
     /// The prefix of all keys of the kind.
     pub(super) fn prefix(self) -> &'static str {
         match self {
-            RecordKind::End => END_PREFIX,
+            RecordKind::End => FINAL_STATE_PREFIX,
             RecordKind::Open => OPEN_PREFIX,
         }
     }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -10,7 +10,7 @@
 use super::step::{Step, StepResult};
 use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::{JobSpec, JobState};
-use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+use crate::storage::records::{final_state_key, open_key, FinalStateRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
 /// Accepts a job, unless it was accepted before or is rejected.
@@ -103,8 +103,9 @@
 
     fn accept_cancelled(&mut self) -> StoreCall {
         let id = &self.record.spec.id;
-        let value = EndRecord::cancelled(self.record.at_ms).to_value();
-        let (acceptance, call) = Acceptance::begin(id, end_key(id), value, &self.write_fence);
+        let value = FinalStateRecord::cancelled(self.record.at_ms).to_value();
+        let (acceptance, call) =
+            Acceptance::begin(id, final_state_key(id), value, &self.write_fence);
         self.state = State::AcceptingCancelled(acceptance);
         call
     }
--- a/src/service/end_watch.rs
+++ b/src/service/end_watch.rs
@@ -8,7 +8,7 @@
 use crate::protocol::store::{Event, Events};
 use crate::settings::Settings;
 use crate::storage::key_value_store::{KeyValueStore, Unavailable};
-use crate::storage::records::{EndRecord, END_PREFIX, LEADER_KEY};
+use crate::storage::records::{FinalStateRecord, FINAL_STATE_PREFIX, LEADER_KEY};
 use crossbeam::channel::Sender;
 use std::time::Duration;
 
@@ -70,7 +70,7 @@
     /// Publishes the ends recorded after a revision. Returns the revision to go on from, unless the
     /// given one has left the state service's history.
     fn follow(&self, after: u64) -> Result<Option<u64>, Unavailable> {
-        let Some(events) = self.store.watch(END_PREFIX, after, self.hold)? else {
+        let Some(events) = self.store.watch(FINAL_STATE_PREFIX, after, self.hold)? else {
             return Ok(None);
         };
         let revision = after.max(events.revision);
@@ -90,7 +90,7 @@
 
 /// The job and its final state, if the event writes a readable end record.
 fn end_of(event: Event) -> Option<(String, JobState)> {
-    let job = event.put?.strip_prefix(END_PREFIX)?.to_string();
-    let end: EndRecord = serde_json::from_value(event.value).ok()?;
+    let job = event.put?.strip_prefix(FINAL_STATE_PREFIX)?.to_string();
+    let end: FinalStateRecord = serde_json::from_value(event.value).ok()?;
     Some((job, end.state))
 }
--- a/src/service/io_thread_pool/end_reader.rs
+++ b/src/service/io_thread_pool/end_reader.rs
@@ -5,7 +5,7 @@
 use crate::service::threads::spawn;
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::storage::records::{end_key, EndRecord};
+use crate::storage::records::{final_state_key, FinalStateRecord};
 use crossbeam::channel::{bounded, Receiver, Sender};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     for ids in batches {
         let mut ends = Vec::new();
         for id in ids {
-            let end = store.read::<EndRecord>(&end_key(&id));
+            let end = store.read::<FinalStateRecord>(&final_state_key(&id));
             ends.push((id, end.ok().flatten().map(|(end, _)| end)));
             std::thread::sleep(pause);
         }
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -12,7 +12,7 @@
 use crate::protocol::ids::FencingToken;
 use crate::protocol::job::JobState;
 use crate::protocol::worker::Heartbeat;
-use crate::storage::records::{EndRecord, OpenRecord};
+use crate::storage::records::{FinalStateRecord, OpenRecord};
 use crate::transport::Responder;
 use crossbeam::channel::Sender;
 use stairstage_upgrade::fence::WriteFence;
@@ -126,7 +126,7 @@
     /// The end records of jobs that were looked up.
     EndsRead {
         /// Each job's id and its end record, if there is one and it could be read.
-        ends: Vec<(JobId, Option<EndRecord>)>,
+        ends: Vec<(JobId, Option<FinalStateRecord>)>,
     },
     /// The outcome of a rental.
     MachinesRented {
--- a/src/storage/records/end.rs
+++ b/src/storage/records/final_state.rs
@@ -5,7 +5,7 @@
 
 /// How a job ended. The record is write-once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EndRecord {
+pub struct FinalStateRecord {
     /// The final state.
     pub state: JobState,
     /// When the record was written, in milliseconds of the time of day. Earlier versions did not
@@ -14,10 +14,10 @@
     pub at_ms: Option<u64>,
 }
 
-impl EndRecord {
+impl FinalStateRecord {
     /// The end of a job that is cancelled at a time of day.
-    pub fn cancelled(at_ms: u64) -> EndRecord {
-        EndRecord {
+    pub fn cancelled(at_ms: u64) -> FinalStateRecord {
+        FinalStateRecord {
             state: JobState::Cancelled,
             at_ms: Some(at_ms),
         }
--- a/src/storage/records/keys.rs
+++ b/src/storage/records/keys.rs
@@ -5,7 +5,7 @@
 /// The prefix of accepted jobs that have not ended.
 pub const OPEN_PREFIX: &str = "open/";
 /// The prefix of the ends of jobs.
-pub const END_PREFIX: &str = "end/";
+pub const FINAL_STATE_PREFIX: &str = "end/";
 /// The prefix of the allocations of tasks.
 pub const PLACEMENT_PREFIX: &str = "place/";
 /// The prefix of the completed tasks.
@@ -19,8 +19,8 @@
 }
 
 /// The key of a job's end record, `end/ID`.
-pub fn end_key(id: &str) -> String {
-    format!("{END_PREFIX}{id}")
+pub fn final_state_key(id: &str) -> String {
+    format!("{FINAL_STATE_PREFIX}{id}")
 }
 
 /// The key of a record of a job's completed tasks, `run/ID/N`. The number comes from
--- a/src/storage/records/mod.rs
+++ b/src/storage/records/mod.rs
@@ -4,7 +4,7 @@
 //! | --- | --- | --- |
 //! | `leader` | [`LeaderRecord`]: the leader, on its lease; the key's version is the fencing token | [`leader`] |
 //! | `open/ID` | [`OpenRecord`]: an accepted job and its description, until the job ends | [`open`] |
-//! | `end/ID` | [`EndRecord`]: how the job ended; write-once, kept for ever | [`end`] |
+//! | `end/ID` | [`FinalStateRecord`]: how the job ended; write-once, kept for ever | [`final_state`] |
 //! | `place/N` | [`StoredPlacements`]: allocations of tasks, of many jobs together | [`placements`] |
 //! | `run/ID/N` | [`StoredCompletions`]: which of a range of tasks have completed | [`completions`] |
 //! | `types` | the machine types that the cloud last listed | |
@@ -16,17 +16,18 @@
 //! Records only gain optional fields, so that every version reads what an earlier one has written.
 
 pub mod completions;
-pub mod end;
+pub mod final_state;
 pub mod keys;
 pub mod leader;
 pub mod open;
 pub mod placements;
 
 pub use completions::{CompletionShards, StoredCompletions};
-pub use end::EndRecord;
+pub use final_state::FinalStateRecord;
 pub use keys::{
-    completion_key, end_key, open_key, parse_completion_key, parse_placement_key, placement_key,
-    COMPLETION_PREFIX, END_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY, OPEN_PREFIX, PLACEMENT_PREFIX,
+    completion_key, final_state_key, open_key, parse_completion_key, parse_placement_key,
+    placement_key, COMPLETION_PREFIX, FINAL_STATE_PREFIX, LEADER_KEY, MACHINE_TYPES_KEY,
+    OPEN_PREFIX, PLACEMENT_PREFIX,
 };
 pub use leader::LeaderRecord;
 pub use open::OpenRecord;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -19,8 +19,9 @@
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::CommitOutcome;
 use stairstage::storage::records::{
-    completion_key, end_key, parse_completion_key, placement_key, EndRecord, OpenRecord,
-    StoredCompletions, StoredPlacements, COMPLETION_PREFIX, OPEN_PREFIX, PLACEMENT_PREFIX,
+    completion_key, final_state_key, parse_completion_key, placement_key, FinalStateRecord,
+    OpenRecord, StoredCompletions, StoredPlacements, COMPLETION_PREFIX, OPEN_PREFIX,
+    PLACEMENT_PREFIX,
 };
 use stairstage_upgrade::fence::WriteFence;
 use std::collections::BTreeMap;
@@ -380,9 +381,9 @@
     }
 
     /// The recorded ends of jobs.
-    pub(crate) fn ends(&self, ids: &[JobId]) -> Vec<(JobId, Option<EndRecord>)> {
+    pub(crate) fn ends(&self, ids: &[JobId]) -> Vec<(JobId, Option<FinalStateRecord>)> {
         let end = |id: &JobId| {
-            let (value, _) = self.values.get(&end_key(id))?;
+            let (value, _) = self.values.get(&final_state_key(id))?;
             Some(serde_json::from_value(value.clone()).unwrap())
         };
         ids.iter().map(|id| (id.clone(), end(id))).collect()
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -15,7 +15,7 @@
 use stairstage::protocol::store::{Transaction, VersionedValue};
 use stairstage::settings::{Settings, CONDITIONS_A_CHANGE};
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::{end_key, open_key, LEADER_KEY};
+use stairstage::storage::records::{final_state_key, open_key, LEADER_KEY};
 use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{ClusterVersion, Fence, VersionRange, VersionRecord};
@@ -216,8 +216,8 @@
     request.on_event(RequestEvent::Store(StoreAnswer::Read(Ok(None))));
     let mut store = Store::default();
     let end = json!({"state": "done"});
-    store.values.insert(end_key("req-2"), (end, 3));
-    let read = StoreAnswer::Read(Ok(store.item(&end_key("req-2"))));
+    store.values.insert(final_state_key("req-2"), (end, 3));
+    let read = StoreAnswer::Read(Ok(store.item(&final_state_key("req-2"))));
     let effects = request.on_event(RequestEvent::Store(read));
     let known =
         matches!(effects.last(), Some(RequestEffect::Answer(answer)) if answer.status() == 200);
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use stairstage::coordination::state::JobId;
 use stairstage::protocol::job::{JobSpec, JobState};
-use stairstage::storage::records::end_key;
+use stairstage::storage::records::final_state_key;
 use std::collections::BTreeMap;
 
 /// Seconds that a job may be left waiting though it could run, once all faults are over.
@@ -41,7 +41,11 @@
         let job = &self.jobs[id];
         for needed in &job.spec.waits_on {
             assert!(self.is_complete(needed), "too_early: {task}");
-            let end = &self.store.item(&end_key(needed)).expect("recorded").value;
+            let end = &self
+                .store
+                .item(&final_state_key(needed))
+                .expect("recorded")
+                .value;
             assert_eq!(end["state"], "done", "{task} starts after {needed}");
         }
         self.check_cancelled(task, job, self.now);
@@ -178,7 +182,11 @@
             JobState::Done => assert!(self.is_complete(id), "not_done: {id}"),
             _ => assert!(self.is_cancelled_by_user(id), "nobody has cancelled {id}"),
         }
-        let recorded = &self.store.item(&end_key(id)).expect("recorded").value;
+        let recorded = &self
+            .store
+            .item(&final_state_key(id))
+            .expect("recorded")
+            .value;
         assert_eq!(recorded["state"], json!(state), "{id} is told first");
     }
 }
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -16,7 +16,9 @@
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::{CommandBatch, Heartbeat};
 use stairstage::settings::Settings;
-use stairstage::storage::records::{end_key, open_key, OpenRecord, LEADER_KEY, OPEN_PREFIX};
+use stairstage::storage::records::{
+    final_state_key, open_key, OpenRecord, LEADER_KEY, OPEN_PREFIX,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -216,9 +218,9 @@
         let record = OpenRecord::accepted(spec.clone(), 0);
         let txn = Transaction::default()
             .absent(open_key(id))
-            .absent(end_key(id))
+            .absent(final_state_key(id))
             .put(open_key(id), serde_json::to_value(&record).unwrap());
-        let ended = |id: &String| self.store.item(&end_key(id)).map(|i| i.value);
+        let ended = |id: &String| self.store.item(&final_state_key(id)).map(|i| i.value);
         if looks
             && names
                 .iter()
@@ -226,8 +228,8 @@
         {
             let txn = Transaction::default()
                 .absent(open_key(id))
-                .absent(end_key(id))
-                .put(end_key(id), json!({"state": "cancelled"}));
+                .absent(final_state_key(id))
+                .put(final_state_key(id), json!({"state": "cancelled"}));
             if self.store.commit(&txn).is_ok() {
                 self.jobs.insert(id.to_string(), Job::new(spec, run_times));
                 self.announce_end(id);
@@ -248,9 +250,9 @@
         let mut record: OpenRecord = serde_json::from_value(item.value).unwrap();
         record.cancelled = true;
         let txn = Transaction::default()
-            .absent(end_key(id))
+            .absent(final_state_key(id))
             .version(open_key(id), item.version)
-            .put(end_key(id), json!({"state":"cancelled"}))
+            .put(final_state_key(id), json!({"state":"cancelled"}))
             .put(open_key(id), serde_json::to_value(&record).unwrap());
         if self.commit_of_a_node(&txn).is_ok() {
             self.peers.confirm(id);
@@ -297,7 +299,11 @@
         let open: Vec<String> = open.iter().map(|i| self.describe(&id(&i.key))).collect();
         assert!(open.is_empty(), "never ended: {open:#?}");
         for id in self.jobs.keys() {
-            let end = self.store.item(&end_key(id)).expect("recorded").value;
+            let end = self
+                .store
+                .item(&final_state_key(id))
+                .expect("recorded")
+                .value;
             let expected = if self.is_cancelled_by_user(id) {
                 "cancelled"
             } else {
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -13,7 +13,9 @@
 use stairstage::protocol::job::{JobSpec, JobState};
 use stairstage::protocol::store::{Transaction, WriteOperation};
 use stairstage::protocol::worker::{Cause, TaskState};
-use stairstage::storage::records::{end_key, open_key, OpenRecord, LEADER_KEY, OPEN_PREFIX};
+use stairstage::storage::records::{
+    final_state_key, open_key, OpenRecord, LEADER_KEY, OPEN_PREFIX,
+};
 use std::collections::BTreeMap;
 
 /// A manager with the records that it writes, and the ends that it has looked up.
@@ -73,7 +75,7 @@
         let record: OpenRecord = serde_json::from_value(item.value).unwrap();
         let record = serde_json::to_value(record.into_cancelled(2000)).unwrap();
         let txn = Transaction::default()
-            .put(end_key(id), json!({"state": "cancelled"}))
+            .put(final_state_key(id), json!({"state": "cancelled"}))
             .put(open_key(id), record);
         self.store.commit(&txn).unwrap();
         self.manager.job_end_recorded(id, JobState::Cancelled, now);
@@ -148,7 +150,7 @@
 
     /// The end of a job on record.
     fn end(&self, id: &str) -> Option<Value> {
-        Some(self.store.item(&end_key(id))?.value["state"].clone())
+        Some(self.store.item(&final_state_key(id))?.value["state"].clone())
     }
 }
 
@@ -198,7 +200,7 @@
     leader
         .store
         .values
-        .insert(end_key("req-1"), (json!({"state": "done"}), 1));
+        .insert(final_state_key("req-1"), (json!({"state": "done"}), 1));
     leader.submit("req-2", &["req-1"], plain, 0.0);
     leader.submit("req-3", &["req-1", "req-2"], plain, 0.0);
     leader.reads = false;
@@ -244,7 +246,7 @@
     leader
         .store
         .values
-        .insert(end_key("req-2"), (json!({"state": "cancelled"}), 9));
+        .insert(final_state_key("req-2"), (json!({"state": "cancelled"}), 9));
     leader.ends_held = false;
     let mut leader = leader.elected(2.0);
     leader.act(2.0);
@@ -270,7 +272,7 @@
     leader
         .store
         .values
-        .insert(end_key("req-1"), (json!({"state": "done"}), 1));
+        .insert(final_state_key("req-1"), (json!({"state": "done"}), 1));
     leader.heartbeat(1, &[], 0.0);
     leader.act(0.0);
     leader
@@ -290,7 +292,7 @@
     leader
         .store
         .values
-        .insert(end_key("req-2"), (json!({"state": "cancelled"}), 7));
+        .insert(final_state_key("req-2"), (json!({"state": "cancelled"}), 7));
     leader.act(0.0);
     leader.act(1.0);
     assert!(leader.store.under(OPEN_PREFIX).is_empty());
@@ -385,7 +387,10 @@
     leader.submit("req-2", &["req-1"], wide, 0.0);
     leader.submit("req-3", &[], wide, 100.0);
     let end = json!({"state": "done", "at_ms": 140_000});
-    leader.store.values.insert(end_key("req-1"), (end, 1));
+    leader
+        .store
+        .values
+        .insert(final_state_key("req-1"), (end, 1));
     let mut leader = leader.elected(150.0);
     leader.act(150.0);
     leader.heartbeat(1, &[], 150.0);
--- a/tests/play/simulation/users.rs
+++ b/tests/play/simulation/users.rs
@@ -6,7 +6,7 @@
 use crate::workload::JobPlan;
 use stairstage::protocol::job::{parse_task, JobState};
 use stairstage::protocol::store::Transaction;
-use stairstage::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+use stairstage::storage::records::{final_state_key, open_key, FinalStateRecord, OpenRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of a job.
@@ -43,7 +43,7 @@
             let record = OpenRecord::accepted(parsed(&plan.body(&id)), self.wall_ms());
             let txn = Transaction::default()
                 .absent(open_key(&id))
-                .absent(end_key(&id))
+                .absent(final_state_key(&id))
                 .put(open_key(&id), serde_json::to_value(&record).unwrap());
             let version = self.store.commit(&txn).expect("a new job");
             let (wall_ms, now) = (self.wall_ms(), self.now);
@@ -95,14 +95,14 @@
         }
         let mut record: OpenRecord = serde_json::from_value(item.value).unwrap();
         record.cancelled = true;
-        let end = EndRecord {
+        let end = FinalStateRecord {
             state: JobState::Cancelled,
             at_ms: None,
         };
         let txn = Transaction::default()
-            .absent(end_key(id))
+            .absent(final_state_key(id))
             .version(open_key(id), item.version)
-            .put(end_key(id), serde_json::to_value(end).unwrap())
+            .put(final_state_key(id), serde_json::to_value(end).unwrap())
             .put(open_key(id), serde_json::to_value(&record).unwrap());
         if self.store.commit(&txn).is_err() {
             return;
@@ -116,7 +116,7 @@
     /// Users are told of the ends that are on record.
     pub(super) fn note_ends(&mut self) {
         for (id, outcome) in self.outcomes.iter_mut().filter(|(_, o)| o.is_open()) {
-            let Some((end, _)) = self.store.values.get(&end_key(id)) else {
+            let Some((end, _)) = self.store.values.get(&final_state_key(id)) else {
                 continue;
             };
             assert_eq!(end["state"], "done", "{id}: nobody has cancelled it");
@@ -128,7 +128,7 @@
     pub(super) fn watch_users(&mut self) {
         let waiting = self.waiting_with_room();
         for (id, outcome) in &mut self.outcomes {
-            let ended = self.store.values.contains_key(&end_key(id));
+            let ended = self.store.values.contains_key(&final_state_key(id));
             let known = self.leader.as_ref().is_none_or(|c| c.status(id).is_some());
             let answered = ended || known;
             outcome.silence_s = if answered {
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -11,7 +11,7 @@
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::{end_key, open_key, OpenRecord};
+use stairstage::storage::records::{final_state_key, open_key, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
 /// The settings of most tests.
@@ -84,7 +84,7 @@
         None => open("req-1", &[]),
         Some(state) => {
             let end = json!({ "state": state });
-            store.values.insert(end_key("req-1"), (end, 2));
+            store.values.insert(final_state_key("req-1"), (end, 2));
         }
     }
     store
@@ -115,7 +115,7 @@
     // Once its own end is on record, that is reported.
     store.values.remove(&open_key("req-2"));
     let end = json!({"state": "cancelled"});
-    store.values.insert(end_key("req-2"), (end, 3));
+    store.values.insert(final_state_key("req-2"), (end, 3));
     let first = batcher.enqueue(2, poll("req-2"), 10.0);
     assert_eq!(answers(&mut batcher, &store, first), [(2, 200)]);
 }
@@ -146,13 +146,13 @@
     let mut store = Store::default();
     for job in ["req-1", "req-2", "req-3"] {
         let end = json!({"state": "done"});
-        store.values.insert(end_key(job), (end, 1));
+        store.values.insert(final_state_key(job), (end, 1));
     }
     let mut batcher = batcher();
     batcher.enqueue(1, poll("req-1"), 0.0);
     batcher.enqueue(2, poll("req-2"), 0.0);
     batcher.tick(0.0);
-    let present = CommitOutcome::Conflict(vec![end_key("req-1"), end_key("req-2")]);
+    let present = CommitOutcome::Conflict(vec![final_state_key("req-1"), final_state_key("req-2")]);
     assert!(batcher
         .on_answer(StoreAnswer::Committed(present), 0.0)
         .is_empty());
--- a/tests/polls/jobs.rs
+++ b/tests/polls/jobs.rs
@@ -4,7 +4,7 @@
 use crate::common::{parsed, submission};
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobState;
-use stairstage::storage::records::{EndRecord, OpenRecord};
+use stairstage::storage::records::{FinalStateRecord, OpenRecord};
 
 /// One of so many jobs waits for the one before it.
 const WAITS_EVERY: usize = 10;
@@ -44,5 +44,5 @@
         _ => JobState::Done,
     };
     let at_ms = None;
-    (state, EndRecord { state, at_ms }.to_value())
+    (state, FinalStateRecord { state, at_ms }.to_value())
 }
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -7,7 +7,7 @@
 use stairstage::coordination::requests::{StoreAnswer, StoreCall};
 use stairstage::protocol::job::JobState;
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
-use stairstage::storage::records::{end_key, open_key};
+use stairstage::storage::records::{final_state_key, open_key};
 use stairstage::storage::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 
@@ -96,7 +96,7 @@
     fn record_end(&mut self, number: usize, state: JobState, value: &Value) {
         self.open.retain(|open| *open != number);
         self.store.values.remove(&open_key(&jobs::id_of(number)));
-        self.write(end_key(&jobs::id_of(number)), value.clone());
+        self.write(final_state_key(&jobs::id_of(number)), value.clone());
         self.ends.insert(number, state);
     }
 
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -28,7 +28,7 @@
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::WriteOperation;
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
-use stairstage::storage::records::{end_key, EndRecord};
+use stairstage::storage::records::{final_state_key, FinalStateRecord};
 use stairstage_upgrade::fence::WriteFence;
 
 /// What a combination has to come about for, over all schedules.
@@ -201,8 +201,8 @@
 /// The state service answers that the job is cancelled.
 fn cancellation_read(job: &str) -> RequestEvent {
     let mut store = common::Store::default();
-    let key = end_key(job);
-    let end = EndRecord::cancelled(0).to_value();
+    let key = final_state_key(job);
+    let end = FinalStateRecord::cancelled(0).to_value();
     store.values.insert(key.clone(), (end, 1));
     RequestEvent::Store(StoreAnswer::Read(Ok(store.item(&key))))
 }
@@ -334,12 +334,12 @@
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
     assert!(compares(&batcher.tick(0.0)));
-    let present = CommitOutcome::Conflict(vec![end_key(&job)]);
+    let present = CommitOutcome::Conflict(vec![final_state_key(&job)]);
     let nothing_yet = batcher.on_answer(StoreAnswer::Committed(present), 0.0);
     assert!(nothing_yet.is_empty(), "{nothing_yet:?}");
     let reads = batcher.tick(0.0);
     assert!(matches!(&reads[..],
-        [PollEffect::Store(StoreCall::Read(key))] if *key == end_key(&job)));
+        [PollEffect::Store(StoreCall::Read(key))] if *key == final_state_key(&job)));
     let RequestEvent::Store(answer) = cancellation_read(&job) else {
         unreachable!();
     };
@@ -380,13 +380,15 @@
     let (waiting, needed) = waiting_job();
     let needed = jobs::id_of(needed);
     let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
-    let reads = request.on_event(committed(CommitOutcome::Conflict(vec![end_key(&needed)])));
+    let reads = request.on_event(committed(CommitOutcome::Conflict(vec![final_state_key(
+        &needed,
+    )])));
     assert!(reads_store(&reads), "{reads:?}");
     let commits = request.on_event(cancellation_read(&needed));
     let [RequestEffect::Store(StoreCall::Commit(transaction))] = &commits[..] else {
         panic!("{commits:?}");
     };
-    let own_end = end_key(&jobs::id_of(waiting));
+    let own_end = final_state_key(&jobs::id_of(waiting));
     let writes_end = matches!(&transaction.operations[..],
         [WriteOperation::Put { key, .. }] if *key == own_end);
     assert!(writes_end, "{transaction:?}");
--- a/tests/requests/jobs.rs
+++ b/tests/requests/jobs.rs
@@ -3,7 +3,7 @@
 use crate::common::submission;
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobState;
-use stairstage::storage::records::{end_key, EndRecord};
+use stairstage::storage::records::{final_state_key, FinalStateRecord};
 
 /// Jobs bear the numbers below this.
 pub(crate) const JOBS: u8 = 8;
@@ -55,7 +55,7 @@
 
 /// How a job has ended, as the state service says.
 pub(crate) fn recorded_end(store: &crate::common::Store, job: u8) -> Option<JobState> {
-    let item = store.item(&end_key(&id_of(job)))?;
-    let end: EndRecord = serde_json::from_value(item.value).unwrap();
+    let item = store.item(&final_state_key(&id_of(job)))?;
+    let end: FinalStateRecord = serde_json::from_value(item.value).unwrap();
     Some(end.state)
 }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -10,7 +10,9 @@
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::protocol::store::Transaction;
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::{end_key, open_key, EndRecord, OpenRecord, LEADER_KEY};
+use stairstage::storage::records::{
+    final_state_key, open_key, FinalStateRecord, OpenRecord, LEADER_KEY,
+};
 
 impl Simulation {
     /// The decisions of a node, if it leads.
@@ -146,9 +148,9 @@
             .delete(open_key(&id));
         let transaction = match end {
             None => closing,
-            Some(state) => closing.absent(end_key(&id)).put(
-                end_key(&id),
-                EndRecord {
+            Some(state) => closing.absent(final_state_key(&id)).put(
+                final_state_key(&id),
+                FinalStateRecord {
                     state,
                     at_ms: Some(0),
                 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -19,8 +19,8 @@
 use stairstage::protocol::worker::{Cause, TaskState};
 use stairstage::settings::Settings;
 use stairstage::storage::records::{
-    end_key, open_key, parse_completion_key, CompletionShards, EndRecord, OpenRecord,
-    StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_BYTES, LEADER_KEY,
+    final_state_key, open_key, parse_completion_key, CompletionShards, FinalStateRecord,
+    OpenRecord, StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_BYTES, LEADER_KEY,
     PLACEMENT_PREFIX,
 };
 use std::collections::BTreeSet;
@@ -159,7 +159,7 @@
         work(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
         work(&mut manager, &mut store, now, usize::MAX);
-        prop_assert!(store.item(&end_key("req-1")).is_some(), "it ends");
+        prop_assert!(store.item(&final_state_key("req-1")).is_some(), "it ends");
         let left = store.under(COMPLETION_PREFIX);
         prop_assert!(left.is_empty(), "no record of it is left: {left:?}");
     }
@@ -261,7 +261,7 @@
     // Where nothing is new, nothing changes: production reads what is written now.
     let written = serde_json::to_value(&open).unwrap();
     assert_eq!(written, serde_json::from_str::<Value>(OPEN_RECORD).unwrap());
-    let end: EndRecord = serde_json::from_str(END_RECORD).unwrap();
+    let end: FinalStateRecord = serde_json::from_str(END_RECORD).unwrap();
     assert_eq!((end.state, end.at_ms), (JobState::Done, None));
     let run: StoredCompletions = serde_json::from_str(RUN_RECORD).unwrap();
     assert_eq!(run.done, [(0, 3), (7, 7)]);
