--- a/src/service/call_router.rs
+++ b/src/service/call_router.rs
@@ -6,7 +6,7 @@
 use super::request_queue::{RequestQueue, RequestTask};
 use crate::coordination::cluster::heartbeats::HeartbeatSource;
 use crate::protocol::worker::Heartbeat;
-use crate::transport::front::ApiRequest;
+use crate::transport::api_server::ApiRequest;
 use crate::transport::peers::{Kind, PeerRequest};
 use crate::transport::{Reply, Responder};
 use crossbeam::channel::{Sender, TrySendError};
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -18,7 +18,7 @@
 };
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::ApiRequest;
+use crate::transport::api_server::ApiRequest;
 use crate::transport::peers::{ForwardedRequest, Kind, Peers};
 use crate::transport::{Reply, Responder};
 use crossbeam::channel::{bounded, Receiver, Sender};
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -5,7 +5,7 @@
 
 use super::threads::spawn;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::Health;
+use crate::transport::api_server::Health;
 use crate::transport::peers::Peers;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -33,7 +33,7 @@
 use crate::settings::Settings;
 use crate::storage::cancellation_log::CancellationLog;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::{self, Bounds};
+use crate::transport::api_server::{self, Bounds};
 use crate::transport::peers::Peers;
 use crate::transport::runtime::Runtime;
 use anyhow::Context;
@@ -214,7 +214,7 @@
         let is_connected = isolation::watch(self.store.clone(), self.peers.clone(), self.epoch)?;
         let write_fence = self.write_fence.clone();
         let is_healthy = move || is_connected() && write_fence.get().refusal().is_none();
-        front::serve(
+        api_server::serve(
             &self.runtime,
             self.settings.front,
             bounds(&self.settings),
--- a/src/service/request_queue.rs
+++ b/src/service/request_queue.rs
@@ -1,7 +1,7 @@
 //! The bounded queue of requests that the gateways' threads serve.
 
 use super::replies::busy;
-use crate::transport::front::ApiRequest;
+use crate::transport::api_server::ApiRequest;
 use crate::transport::Responder;
 use crossbeam::channel::{bounded, Receiver, Sender, TrySendError};
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,9 +1,9 @@
 //! Network connections: the HTTP server for users and workers, HTTP clients for the state service, the
 //! cloud and the workers, and gRPC between the controllers.
 
+pub mod api_server;
 pub mod client;
 pub mod direct_commands;
-pub mod front;
 pub mod peers;
 pub mod runtime;
 
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -24,7 +24,7 @@
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::KeyValueStore as StoreClient;
 use stairstage::storage::records::OPEN_PREFIX;
-use stairstage::transport::front::{self, ApiRequest, Bounds};
+use stairstage::transport::api_server::{self, ApiRequest, Bounds};
 use stairstage::transport::runtime::Runtime;
 use stairstage::transport::Reply;
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -339,7 +339,7 @@
     };
     let any = "127.0.0.1:0".parse().unwrap();
     let healthy = Arc::new(|| true);
-    let address = front::serve(&runtime, any, bounds, Arc::new(handler), healthy).unwrap();
+    let address = api_server::serve(&runtime, any, bounds, Arc::new(handler), healthy).unwrap();
     // The first workers keep their connections open, so that their share is used up.
     let connect = move || TcpStream::connect(address).unwrap();
     let mut open: Vec<TcpStream> = (0..16).map(|_| connect()).collect();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -13,7 +13,7 @@
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
 use stairstage::settings::Settings;
 use stairstage::storage::records::OpenRecord;
-use stairstage::transport::front::{self, Bounds};
+use stairstage::transport::api_server::{self, Bounds};
 use stairstage::transport::runtime::Runtime;
 use stairstage::transport::Reply;
 use std::io::Write;
@@ -184,7 +184,7 @@
     let runtime = Runtime::start().unwrap();
     let handler = |_call, respond: stairstage::transport::Responder| respond(Reply::json(200, &()));
     let any = "127.0.0.1:0".parse().unwrap();
-    front::serve(&runtime, any, bounds, Arc::new(handler), Arc::new(|| true)).unwrap()
+    api_server::serve(&runtime, any, bounds, Arc::new(handler), Arc::new(|| true)).unwrap()
 }
 
 /// Room for four workers and three users, of six connections.
