--- a/src/coordination/autoscaling/mod.rs
+++ b/src/coordination/autoscaling/mod.rs
@@ -11,7 +11,7 @@
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::{MachinePhase, MachineTypeName, ZoneName};
 use crate::coordination::Time;
-use crate::protocol::cloud::Rent;
+use crate::protocol::cloud::RentalRequest;
 use demand::{merge, DemandEstimator};
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
         }
     }
 
-    fn of(rent: &Rent) -> Offer {
+    fn of(rent: &RentalRequest) -> Offer {
         Offer::new(&rent.kind, &rent.zone, rent.spot)
     }
 }
@@ -48,7 +48,7 @@
     /// Offers that the cloud refused, and until when that is remembered.
     unavailable_offers: BTreeMap<Offer, Time>,
     /// Rentals that are not answered yet, by their requests.
-    pending_rentals: BTreeMap<String, Rent>,
+    pending_rentals: BTreeMap<String, RentalRequest>,
     /// Whether a rental was answered, so that the next one need not wait for the next tick.
     retry_now: bool,
     last_run_at: Time,
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -107,7 +107,7 @@
 
 /// Machines that have stood idle for long enough.
 fn idle_machines(cluster: &ClusterState, now: Time) -> Vec<IdleMachine<'_>> {
-    let idle_share = cluster.settings().policy.idle;
+    let idle_share = cluster.settings().policy.idle_timeout;
     let machines = cluster.machines();
     let empty =
         machines.filter(|machine| cluster.accepts_tasks(machine, now) && machine.is_empty());
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -5,7 +5,7 @@
 use crate::coordination::cluster::{ClusterState, Effect};
 use crate::coordination::state::{MachineTypes, Resources};
 use crate::coordination::Time;
-use crate::protocol::cloud::{Rent, MAX_RENTED};
+use crate::protocol::cloud::{RentalRequest, MAX_RENTED};
 use tracing::{debug, info};
 
 /// An offer that suits a demand.
@@ -38,7 +38,7 @@
 
     fn rent(&mut self, cluster: &mut ClusterState, demand: &Demand, offer: &Offer, count: u32) {
         let request = format!("r-{}", cluster.leadership_mut().next_id());
-        let rent = Rent {
+        let rent = RentalRequest {
             request: request.clone(),
             kind: offer.machine_type.to_string(),
             zone: offer.zone.to_string(),
--- a/src/coordination/cluster/effect.rs
+++ b/src/coordination/cluster/effect.rs
@@ -1,7 +1,7 @@
 //! What the leader has other actors do, and what became of it.
 
 use crate::coordination::state::{JobId, MachineName};
-use crate::protocol::cloud::Rent;
+use crate::protocol::cloud::RentalRequest;
 use crate::protocol::job::JobState;
 use crate::protocol::store::{Transaction, VersionedValue};
 use crate::protocol::worker::{CommandBatch, Heartbeat, HeartbeatResponse};
@@ -26,7 +26,7 @@
         commands: CommandBatch,
     },
     /// Rent machines.
-    RentMachines(Rent),
+    RentMachines(RentalRequest),
     /// Return machines to the cloud.
     ReturnMachines(Vec<String>),
     /// Draw a higher fencing token, so that launches that may still arrive have no effect.
--- a/src/coordination/cluster/heartbeat_monitor.rs
+++ b/src/coordination/cluster/heartbeat_monitor.rs
@@ -1,7 +1,7 @@
 //! Which heartbeats arrive, over all workers: whether silence is theirs or this node's own fault.
 
 use crate::coordination::Time;
-use crate::settings::LONGEST_REPORT_INTERVAL;
+use crate::settings::LONGEST_HEARTBEAT_INTERVAL;
 
 /// A gap in all workers' heartbeats shows that this node is cut off when it is so many times as long
 /// as the mean time between two of them.
@@ -84,7 +84,7 @@
         if gap_s > self.gap_timeout_s() {
             self.last_gap_ended_at = now;
         }
-        if gap_s > LONGEST_REPORT_INTERVAL * self.interval_s {
+        if gap_s > LONGEST_HEARTBEAT_INTERVAL * self.interval_s {
             self.silence_counts_from = now;
         }
         self.last_heartbeat_at = now;
--- a/src/coordination/cluster/inventory.rs
+++ b/src/coordination/cluster/inventory.rs
@@ -3,12 +3,12 @@
 use super::ClusterState;
 use crate::coordination::state::{Machine, MachineName};
 use crate::coordination::Time;
-use crate::protocol::cloud::{ListedMachine, MachineState, Rent};
+use crate::protocol::cloud::{ListedMachine, MachineState, RentalRequest};
 use tracing::warn;
 
 impl ClusterState {
     /// Adds a machine that the cloud has rented out on this leader's request.
-    pub(crate) fn add_rented_machine(&mut self, name: &str, rent: &Rent, now: Time) {
+    pub(crate) fn add_rented_machine(&mut self, name: &str, rent: &RentalRequest, now: Time) {
         let name: MachineName = name.into();
         if self.machines.contains_key(&name) || self.returned_machines.contains_key(&name) {
             return;
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -277,7 +277,7 @@
         if machine.phase == MachinePhase::Returning {
             return None;
         }
-        let patience = self.settings.policy.boot_patience;
+        let patience = self.settings.policy.boot_timeout;
         let boot_s = self.machine_types.get(&machine.machine_type)?.boot_s;
         if machine.listed_failed {
             Some(UnusableReason::Failed)
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -119,9 +119,9 @@
             returned_machines: BTreeMap::new(),
             machines_to_notify: BTreeSet::new(),
             heartbeats: HeartbeatMonitor::new(report_s, now),
-            placement_records: PlacementRecords::new(store.record_bytes()),
-            shards: CompletionShards::within(store.record_bytes()),
-            writes: WriteQueue::new(store.write_rps, store.changes()),
+            placement_records: PlacementRecords::new(store.max_record_bytes()),
+            shards: CompletionShards::within(store.max_record_bytes()),
+            writes: WriteQueue::new(store.write_rps, store.max_operations()),
             clock: WallClock::default(),
             needs_scheduling: true,
             effects: Vec::new(),
@@ -187,7 +187,7 @@
 
     /// The store accepts fewer changes than before: from now on the limits to come hold.
     pub(crate) fn lower_write_rate(&mut self) {
-        let rate = self.settings.cluster.state.later_write_rps();
+        let rate = self.settings.cluster.state.lowest_write_rps();
         self.writes.lower_rate(rate);
     }
 
@@ -210,7 +210,7 @@
     pub(crate) fn heartbeat_timeout_s(&self) -> f64 {
         let report_s = self.settings.cluster.workers.report_s;
         let patience_s = LOST_AT_A_NODE_S + report_s;
-        (self.settings.policy.silence * report_s).max(patience_s)
+        (self.settings.policy.heartbeat_timeout * report_s).max(patience_s)
     }
 
     /// Whether new tasks may be placed on a machine.
@@ -286,7 +286,7 @@
         };
         let horizon = ForecastHorizon {
             boot_s,
-            deviations: self.settings.policy.warm,
+            deviations: self.settings.policy.spare_deviations,
             skipped_s: self.settings.cluster.workers.report_s,
         };
         self.service_arrivals.expected(horizon, now)
--- a/src/coordination/cluster/placement_records.rs
+++ b/src/coordination/cluster/placement_records.rs
@@ -205,7 +205,7 @@
                 pending.push(placement.clone());
             }
             let job = allocation.job.to_string();
-            let machines = stored.places.entry(job).or_default();
+            let machines = stored.allocations.entry(job).or_default();
             let tasks = machines.entry(placement.machine.to_string()).or_default();
             tasks.push((allocation.task, allocation.attempt));
         }
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -194,11 +194,13 @@
                 self.learn_run_time(exited);
             }
             Cause::Error => self.task_failed_on(job, machine, exited.planned_at, now),
-            Cause::NoRoom | Cause::Busy | Cause::Unknown => {
+            Cause::InsufficientResources | Cause::Busy | Cause::Unknown => {
                 warn!(machine = %machine, task = %exited.id, cause = ?exited.cause, "launch refused");
                 self.launch_refused(job, now);
             }
-            Cause::Stopped | Cause::Peers | Cause::Alone => self.task_lost(job, now),
+            Cause::Stopped | Cause::GangTaskLost | Cause::GangIncomplete => {
+                self.task_lost(job, now)
+            }
         }
     }
 
--- a/src/coordination/cluster/recovery.rs
+++ b/src/coordination/cluster/recovery.rs
@@ -103,7 +103,7 @@
             return;
         };
         let mut count = 0;
-        for (job, machines) in stored.places {
+        for (job, machines) in stored.allocations {
             let job: JobId = job.as_str().into();
             count += machines.values().map(Vec::len).sum::<usize>();
             if !self.jobs.contains_key(&job) {
--- a/src/coordination/cluster/writes/placements.rs
+++ b/src/coordination/cluster/writes/placements.rs
@@ -5,7 +5,7 @@
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::{AllocationState, JobId, Placement};
 use crate::coordination::Time;
-use crate::settings::CONDITIONS_A_CHANGE;
+use crate::settings::COMPARES_PER_OPERATION;
 use crate::storage::records::{final_state_key, placement_key};
 use std::collections::BTreeSet;
 
@@ -52,7 +52,7 @@
     /// Of how many jobs a transaction can compare that they have not ended.
     fn max_jobs_in_transaction(&self) -> usize {
         let version = usize::from(self.leadership.write_fence().stamp().is_some());
-        CONDITIONS_A_CHANGE * self.writes.max_operations() - OWN_COMPARES - version
+        COMPARES_PER_OPERATION * self.writes.max_operations() - OWN_COMPARES - version
     }
 
     /// Takes in what became of the write of a placement record: its pending placements may be launched
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -232,7 +232,7 @@
                 self.state = State::Leading(term);
                 operation
             }
-            CommitOutcome::Unknown
+            CommitOutcome::Indeterminate
             | CommitOutcome::Refused
             | CommitOutcome::Limited
             | CommitOutcome::TooLarge => self.retry(AfterPause::Read, now),
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -204,7 +204,7 @@
         let is_indeterminate = self.raise.is_some_and(|raise| raise.is_indeterminate);
         match outcome {
             CommitOutcome::Applied(version) => self.raised(FencingToken(version), events),
-            CommitOutcome::Unknown => self.continue_raise(RaiseStep::ReadBack, now),
+            CommitOutcome::Indeterminate => self.continue_raise(RaiseStep::ReadBack, now),
             // An earlier copy was applied, or leadership is lost.
             CommitOutcome::Conflict(_) if is_indeterminate => {
                 self.continue_raise(RaiseStep::ReadBack, now);
--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -75,12 +75,12 @@
                 self.lookup = Some(lookup);
                 Ok(Step::Call(call))
             }
-            CommitOutcome::Unknown if self.attempts < MAX_ATTEMPTS => {
+            CommitOutcome::Indeterminate if self.attempts < MAX_ATTEMPTS => {
                 self.attempts += 1;
                 Ok(Step::Call(self.commit()))
             }
             CommitOutcome::Limited => Err(StepError::RateLimited),
-            CommitOutcome::Unknown
+            CommitOutcome::Indeterminate
             | CommitOutcome::Refused
             | CommitOutcome::TooLarge
             | CommitOutcome::NoLease => Err(StepError::Unavailable),
--- a/src/coordination/requests/admission.rs
+++ b/src/coordination/requests/admission.rs
@@ -25,7 +25,7 @@
         return Some(Answer::CannotRun(reason));
     }
     let bytes = record.bytes();
-    let max_bytes = context.settings.cluster.state.record_bytes();
+    let max_bytes = context.settings.cluster.state.max_record_bytes();
     (bytes > max_bytes).then(|| {
         let reason =
             format!("the description takes {bytes} bytes in the records, of at most {max_bytes}");
--- a/src/coordination/requests/answers.rs
+++ b/src/coordination/requests/answers.rs
@@ -134,7 +134,7 @@
             Answer::Cancelled { .. } => Some(JobState::Cancelled),
             _ => None,
         }
-        .filter(|state| state.is_end())
+        .filter(|state| state.is_final())
     }
 }
 
@@ -163,7 +163,7 @@
     /// The end of the job that the answer reports.
     pub(super) fn reported_end(&self) -> Option<JobState> {
         let status: JobStatus = serde_json::from_slice(&self.body).ok()?;
-        Some(status.state).filter(|state| self.status == 200 && state.is_end())
+        Some(status.state).filter(|state| self.status == 200 && state.is_final())
     }
 }
 
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -35,7 +35,7 @@
         let cancellation = Cancellation {
             job: job.to_string(),
             now_ms: context.now_ms,
-            max_record_bytes: context.settings.cluster.state.record_bytes(),
+            max_record_bytes: context.settings.cluster.state.max_record_bytes(),
             write_fence: context.write_fence,
             attempts: 1,
             state: State::ReadingOpen,
@@ -105,7 +105,7 @@
                 Err(StepError::VersionChanged)
             }
             // Ended in the meantime, or cancelled by an attempt without a response.
-            CommitOutcome::Conflict(_) | CommitOutcome::Unknown => self.retry(),
+            CommitOutcome::Conflict(_) | CommitOutcome::Indeterminate => self.retry(),
             CommitOutcome::Limited => Err(StepError::RateLimited),
             CommitOutcome::Refused | CommitOutcome::TooLarge | CommitOutcome::NoLease => {
                 Err(StepError::Unavailable)
--- a/src/coordination/requests/dependency_check.rs
+++ b/src/coordination/requests/dependency_check.rs
@@ -132,7 +132,7 @@
         CommitOutcome::Conflict(present) => Ok(present),
         CommitOutcome::Applied(_) => Ok(Vec::new()),
         CommitOutcome::Limited => Err(StepError::RateLimited),
-        CommitOutcome::Unknown
+        CommitOutcome::Indeterminate
         | CommitOutcome::Refused
         | CommitOutcome::TooLarge
         | CommitOutcome::NoLease => Err(StepError::Unavailable),
--- a/src/coordination/requests/polls/batcher/mod.rs
+++ b/src/coordination/requests/polls/batcher/mod.rs
@@ -195,7 +195,7 @@
             CommitOutcome::Refused
             | CommitOutcome::TooLarge
             | CommitOutcome::NoLease
-            | CommitOutcome::Unknown => {
+            | CommitOutcome::Indeterminate => {
                 return self.forward_all(comparison.into_polls(), now);
             }
         };
--- a/src/coordination/requests/polls/decoded_records.rs
+++ b/src/coordination/requests/polls/decoded_records.rs
@@ -89,7 +89,7 @@
 }
 
 fn end_content(record: &FinalStateRecord) -> Option<RecordContent> {
-    let is_end = record.state.is_end();
+    let is_end = record.state.is_final();
     is_end.then_some(RecordContent::Ended(record.state))
 }
 
--- a/src/coordination/requests/polls/known_jobs.rs
+++ b/src/coordination/requests/polls/known_jobs.rs
@@ -2,13 +2,13 @@
 //! they ended.
 
 use crate::protocol::job::JobState;
-use crate::storage::recent_jobs::{EndIndex, RecentJobs};
+use crate::storage::recent_jobs::{RecentFinalStates, RecentJobs};
 
 /// The most recent jobs that the node knows of.
 pub(super) struct KnownJobs {
     /// The direct dependencies of each accepted job.
     dependencies: RecentJobs<Vec<String>>,
-    ends: EndIndex,
+    ends: RecentFinalStates,
 }
 
 /// What is known of the dependencies of a job, direct and transitive.
--- a/src/coordination/requests/polls/limits.rs
+++ b/src/coordination/requests/polls/limits.rs
@@ -34,7 +34,7 @@
         let memory_bytes = settings.cluster.limits.ram_mb * 1e6;
         Limits {
             requests_per_s: REQUESTS_SHARE * state.rps / controllers as f64,
-            max_compares: state.conditions(),
+            max_compares: state.max_compares(),
             max_jobs: (MEMORY_SHARE * memory_bytes / BYTES_PER_JOB) as usize,
         }
     }
--- a/src/coordination/requests/request.rs
+++ b/src/coordination/requests/request.rs
@@ -148,7 +148,7 @@
             return self.answer(Answer::RetryLater(RetryReason::Busy));
         };
         match view.status {
-            Some(status) if status.state.is_end() => self.answer(Answer::Known(status)),
+            Some(status) if status.state.is_final() => self.answer(Answer::Known(status)),
             Some(status) => self.read_records(Some(status)),
             None => self.forward_to_leader(view.leader.filter(|_| !view.is_leader)),
         }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -47,7 +47,7 @@
             };
             return (submission, Step::Call(call));
         }
-        let max_compares = context.settings.cluster.state.conditions();
+        let max_compares = context.settings.cluster.state.max_compares();
         let (check, step) = DependencyCheck::begin(&record.spec, max_compares);
         let mut submission = Submission {
             record,
@@ -123,7 +123,7 @@
             version,
         };
         Decision {
-            accepted: (!state.is_end()).then(accepted),
+            accepted: (!state.is_final()).then(accepted),
             answer: Answer::Accepted {
                 job: self.record.spec.id.clone(),
                 state,
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -3,7 +3,7 @@
 use super::{AllocationId, JobId, MachineName};
 use crate::coordination::Time;
 use crate::protocol::job::Priority;
-use crate::storage::records::{job_bytes, place_bytes, EMPTY_BYTES};
+use crate::storage::records::{allocation_bytes, job_bytes, EMPTY_RECORD_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An allocation with its machine, as a placement record holds it.
@@ -115,12 +115,12 @@
         } else {
             job_bytes(&allocation.job)
         };
-        job + place_bytes(&placement.machine, allocation.task, allocation.attempt)
+        job + allocation_bytes(&placement.machine, allocation.task, allocation.attempt)
     }
 
     /// The size of the stored record at the most, in bytes.
     pub fn bytes(&self) -> usize {
-        EMPTY_BYTES + self.bytes
+        EMPTY_RECORD_BYTES + self.bytes
     }
 
     /// Whether it can be written now.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -43,7 +43,7 @@
 
 /// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct RentalRequest {
     /// The idempotency key: a request that succeeded under this name rents nothing when it is
     /// repeated, so a name is never reused for another rental.
     #[serde(rename = "charter")]
@@ -120,6 +120,6 @@
 /// The maximum number of names in one request to return machines.
 pub const MAX_RETURNED: usize = 100;
 /// The maximum number of entries in one page of the list.
-pub const LIST_PAGE: usize = 500;
+pub const LIST_PAGE_SIZE: usize = 500;
 /// The maximum number of machines in one rental.
 pub const MAX_RENTED: u32 = 50;
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -307,7 +307,7 @@
 
 impl JobState {
     /// Whether the state is final.
-    pub fn is_end(self) -> bool {
+    pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Cancelled)
     }
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -30,15 +30,16 @@
     #[serde(rename = "halted")]
     Stopped,
     /// Another task of its running gang is gone.
-    Peers,
+    #[serde(rename = "peers")]
+    GangTaskLost,
     /// Its gang was not complete within the time limit.
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     /// It has failed, mostly because the machine is faulty.
     Error,
     /// The start was refused: the machine lacks free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// The start was refused: the task is on this machine with another attempt.
     Busy,
     /// The start was refused: the worker finds no such job or task.
--- a/src/service/cloud_client.rs
+++ b/src/service/cloud_client.rs
@@ -1,11 +1,12 @@
 //! A client of the cloud: rentals, returns, lists of machines, and the machine types.
 
 use crate::protocol::cloud::{
-    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, Rent, LIST_PAGE,
+    ListedMachine, MachineList, MachineNames, MachineType, MachineTypes, RentalRequest,
+    LIST_PAGE_SIZE,
 };
 use crate::protocol::TOO_MANY_REQUESTS;
 use crate::settings::Settings;
-use crate::transport::client::{Answer, Client};
+use crate::transport::client::{Client, HttpOutcome};
 use serde_json::json;
 use std::time::Duration;
 use tracing::{debug, warn};
@@ -39,19 +40,19 @@
 
     /// Rents machines and returns their names, none if the cloud refuses. `None` when it gave no
     /// answer. The same request may be repeated: it rents only once.
-    pub(super) fn rent(&self, rent: &Rent) -> Option<Vec<String>> {
+    pub(super) fn rent(&self, rent: &RentalRequest) -> Option<Vec<String>> {
         for attempt in 0..MAX_ATTEMPTS {
             match self.client.post("/machines", rent, TIMEOUT) {
-                Answer::Response(200, body) => {
+                HttpOutcome::Response(200, body) => {
                     let names: Option<MachineNames> = serde_json::from_slice(&body).ok();
                     return names.map(|n| n.machines);
                 }
-                Answer::Response(503, body)
+                HttpOutcome::Response(503, body)
                     if String::from_utf8_lossy(&body).contains("capacity") =>
                 {
                     return Some(Vec::new());
                 }
-                Answer::Response(400, body) => {
+                HttpOutcome::Response(400, body) => {
                     let reason = String::from_utf8_lossy(&body);
                     warn!(request = %rent.request, %reason, "rental refused");
                     return Some(Vec::new());
@@ -68,7 +69,7 @@
         let body = json!({"fleet": names});
         for attempt in 0..MAX_ATTEMPTS {
             let answer = self.client.post("/machines/return", &body, TIMEOUT);
-            if let Answer::Response(200, _) = answer {
+            if let HttpOutcome::Response(200, _) = answer {
                 return true;
             }
             back_off(attempt);
@@ -93,10 +94,10 @@
 
     fn page_after(&self, last: Option<&ListedMachine>) -> Option<MachineList> {
         let after = last.map_or(String::new(), |m| format!("after={}&", m.name));
-        let path = format!("/machines?{after}limit={LIST_PAGE}");
+        let path = format!("/machines?{after}limit={LIST_PAGE_SIZE}");
         for attempt in 1..=MAX_ATTEMPTS {
             let answer = self.client.get(&path, TIMEOUT);
-            if !matches!(answer, Answer::Response(TOO_MANY_REQUESTS, _)) {
+            if !matches!(answer, HttpOutcome::Response(TOO_MANY_REQUESTS, _)) {
                 return answer.ok();
             }
             std::thread::sleep(self.call_interval * attempt);
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -22,10 +22,10 @@
 use super::messages::Message;
 use crate::coordination::cluster::heartbeat_routing::HeartbeatRouter;
 use crate::coordination::Time;
-use crate::protocol::cloud::{MachineType, LIST_PAGE};
+use crate::protocol::cloud::{MachineType, LIST_PAGE_SIZE};
 use crate::protocol::ids::FencingToken;
 use crate::settings::Settings;
-use crate::storage::recent_jobs::EndIndex;
+use crate::storage::recent_jobs::RecentFinalStates;
 use cancellations::KnownCancellations;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use role::Role;
@@ -65,7 +65,7 @@
     /// Who leads, as far as this node knows.
     leader: Option<String>,
     /// How jobs have ended, as far as that is on record and remembered.
-    recorded_ends: EndIndex,
+    recorded_ends: RecentFinalStates,
     machine_types: Vec<MachineType>,
     /// The workers that were lately redirected to the leader.
     heartbeat_router: HeartbeatRouter,
@@ -94,7 +94,7 @@
             role: Role::Follower,
             term: Arc::default(),
             leader: None,
-            recorded_ends: EndIndex::new((bytes / END_BYTES) as usize),
+            recorded_ends: RecentFinalStates::new((bytes / END_BYTES) as usize),
             machine_types: Vec::new(),
             heartbeat_router: HeartbeatRouter::new(&settings.cluster.workers),
             last_tick_at: 0.0,
@@ -175,7 +175,7 @@
         let Some(manager) = self.role.manager_mut() else {
             return;
         };
-        if self.handles.store.is_limited() {
+        if self.handles.store.is_rate_limited() {
             manager.lower_write_rate();
         }
         manager.tick(now);
@@ -224,6 +224,6 @@
 /// Seconds between two lists of all machines, which take a call for every page.
 fn list_pause_s(settings: &Settings, machines: usize) -> f64 {
     let cloud = &settings.cluster.cloud;
-    let pages = 1.0 + (machines / LIST_PAGE) as f64;
+    let pages = 1.0 + (machines / LIST_PAGE_SIZE) as f64;
     (cloud.list_lag_s / 2.0).max(pages / (LIST_SHARE * cloud.rps))
 }
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -198,7 +198,7 @@
                         kind,
                         job: request.job(),
                         body,
-                        waits: request.has_dependencies(),
+                        has_dependencies: request.has_dependencies(),
                     };
                     RequestEvent::Peer(self.ask_peer(&peer, &asked))
                 }
--- a/src/service/io_thread_pool/cloud_caller.rs
+++ b/src/service/io_thread_pool/cloud_caller.rs
@@ -1,6 +1,6 @@
 //! Makes the leader's calls to the cloud.
 
-use crate::protocol::cloud::Rent;
+use crate::protocol::cloud::RentalRequest;
 use crate::service::cloud_client::CloudClient;
 use crate::service::messages::{IoOutcome, Message};
 use crate::service::threads::spawn;
@@ -15,7 +15,7 @@
 /// A call to the cloud.
 pub enum CloudCall {
     /// Rent machines.
-    Rent(Rent),
+    Rent(RentalRequest),
     /// Return these machines.
     Return(Vec<String>),
     /// List all machines.
--- a/src/service/io_thread_pool/command_dispatcher.rs
+++ b/src/service/io_thread_pool/command_dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::protocol::worker::{CommandBatch, Heartbeat};
 use crate::service::messages::{IoOutcome, Message};
 use crate::settings::Settings;
-use crate::transport::client::Answer;
+use crate::transport::client::HttpOutcome;
 use crate::transport::direct_commands::DirectCommands;
 use crate::transport::runtime::Runtime;
 use crossbeam::channel::Sender;
@@ -56,15 +56,17 @@
     }
 }
 
-fn outcome_of(answer: &Answer) -> CommandOutcome {
+fn outcome_of(answer: &HttpOutcome) -> CommandOutcome {
     match answer {
-        Answer::Response(200, _) => match answer.ok::<Heartbeat>() {
+        HttpOutcome::Response(200, _) => match answer.ok::<Heartbeat>() {
             Some(heartbeat) => CommandOutcome::Executed(heartbeat),
             None => CommandOutcome::Unknown,
         },
-        Answer::Response(409, body) => CommandOutcome::Rejected(serde_json::from_slice(body).ok()),
-        Answer::Response(400, _) => CommandOutcome::Rejected(None),
-        Answer::NotSent => CommandOutcome::NotSent,
-        Answer::Response(..) | Answer::Unknown => CommandOutcome::Unknown,
+        HttpOutcome::Response(409, body) => {
+            CommandOutcome::Rejected(serde_json::from_slice(body).ok())
+        }
+        HttpOutcome::Response(400, _) => CommandOutcome::Rejected(None),
+        HttpOutcome::NotSent => CommandOutcome::NotSent,
+        HttpOutcome::Response(..) | HttpOutcome::Indeterminate => CommandOutcome::Unknown,
     }
 }
--- a/src/service/io_thread_pool/transaction_writer.rs
+++ b/src/service/io_thread_pool/transaction_writer.rs
@@ -55,7 +55,7 @@
         }
         CommitOutcome::TooLarge => WriteOutcome::TooLarge,
         CommitOutcome::Conflict(failed) => WriteOutcome::Indeterminate(reread(store, &failed)),
-        CommitOutcome::Unknown => {
+        CommitOutcome::Indeterminate => {
             WriteOutcome::Indeterminate(reread(store, &deciding_keys(transaction)))
         }
     }
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -45,10 +45,10 @@
 }
 
 fn is_isolated(store: &KeyValueStore, peers: &Peers, epoch: Instant) -> bool {
-    let silence = epoch.elapsed().saturating_sub(store.last_answer(epoch));
+    let silence = epoch.elapsed().saturating_sub(store.last_response(epoch));
     silence > STATE_SERVICE_TIMEOUT
         && !peers.is_empty()
         && !peers
             .names()
-            .any(|name| peers.reaches(name, CHECK_INTERVAL / 2))
+            .any(|name| peers.is_reachable(name, CHECK_INTERVAL / 2))
 }
--- a/src/service/machine_types_follower.rs
+++ b/src/service/machine_types_follower.rs
@@ -50,7 +50,7 @@
         shared: shared.clone(),
         inbox: inbox.clone(),
         pause: Duration::from_secs_f64(lag_s * LAGS_PER_FETCH),
-        max_record_bytes: settings.cluster.state.record_bytes(),
+        max_record_bytes: settings.cluster.state.max_record_bytes(),
     };
     spawn("types", move || follower.run())
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -273,10 +273,10 @@
 pub fn bounds(settings: &Settings) -> Bounds {
     let report_s = settings.cluster.workers.report_s;
     Bounds {
-        connections: settings.front_connections(),
+        connections: settings.api_connections(),
         workers: settings.worker_connections(),
         users: settings.user_connections(),
-        idle: Duration::from_secs_f64((IDLE_HEARTBEATS * report_s).max(MIN_IDLE_S)),
-        body: BODY_TIMEOUT,
+        idle_timeout: Duration::from_secs_f64((IDLE_HEARTBEATS * report_s).max(MIN_IDLE_S)),
+        body_timeout: BODY_TIMEOUT,
     }
 }
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -119,6 +119,6 @@
             std::thread::sleep(RETRY_PAUSE);
             ChangeOutcome::Refused
         }
-        CommitOutcome::Unknown => ChangeOutcome::Indeterminate,
+        CommitOutcome::Indeterminate => ChangeOutcome::Indeterminate,
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,8 +13,8 @@
 mod validation;
 
 pub use error::Error;
-pub use platform::{Peer, Team, Workers, LONGEST_REPORT_INTERVAL};
-pub use state_limits::CONDITIONS_A_CHANGE;
+pub use platform::{Peer, Team, Workers, LONGEST_HEARTBEAT_INTERVAL};
+pub use state_limits::COMPARES_PER_OPERATION;
 
 use platform::{ClusterSettings, Endpoints};
 use policy::Policy;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -144,4 +144,4 @@
 }
 
 /// The longest time between two heartbeats of a worker, as a multiple of `report_s`.
-pub const LONGEST_REPORT_INTERVAL: f64 = 1.25;
+pub const LONGEST_HEARTBEAT_INTERVAL: f64 = 1.25;
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -10,14 +10,14 @@
     pub leader_lease: f64,
     /// The heartbeat timeout after which a machine is returned to the cloud, in heartbeat intervals
     /// (`report_s`).
-    pub silence: f64,
+    pub heartbeat_timeout: f64,
     /// How long a machine may be idle before it is scaled in, in boot times of its type.
-    pub idle: f64,
+    pub idle_timeout: f64,
     /// Spare capacity for services, in standard deviations above the arrivals that are expected within
     /// a boot time.
-    pub warm: f64,
+    pub spare_deviations: f64,
     /// The boot timeout of a machine, in boot times of its type.
-    pub boot_patience: f64,
+    pub boot_timeout: f64,
     /// Whether spot machines, which the cloud may reclaim, may be rented.
     pub spot: bool,
 }
@@ -26,10 +26,10 @@
     fn default() -> Self {
         Policy {
             leader_lease: 0.8,
-            silence: 2.5,
-            idle: 0.5,
-            warm: 1.0,
-            boot_patience: 2.5,
+            heartbeat_timeout: 2.5,
+            idle_timeout: 0.5,
+            spare_deviations: 1.0,
+            boot_timeout: 2.5,
             spot: true,
         }
     }
@@ -81,10 +81,10 @@
         }
         let (field, min, max) = match name {
             "leader-lease" => (&mut self.leader_lease, 0.5, 10.0),
-            "silence" => (&mut self.silence, 1.5, 100.0),
-            "idle" => (&mut self.idle, 0.0, 1000.0),
-            "warm" => (&mut self.warm, 0.0, 10.0),
-            "boot-patience" => (&mut self.boot_patience, 1.0, 100.0),
+            "silence" => (&mut self.heartbeat_timeout, 1.5, 100.0),
+            "idle" => (&mut self.idle_timeout, 0.0, 1000.0),
+            "warm" => (&mut self.spare_deviations, 0.0, 10.0),
+            "boot-patience" => (&mut self.boot_timeout, 1.0, 100.0),
             _ => return Err(Rule::KnownField),
         };
         let number = value.as_f64().ok_or(Rule::Number)?;
--- a/src/settings/sockets.rs
+++ b/src/settings/sockets.rs
@@ -27,7 +27,7 @@
 
 impl Settings {
     /// Connections that the HTTP server may hold.
-    pub fn front_connections(&self) -> usize {
+    pub fn api_connections(&self) -> usize {
         self.share_of_sockets(SERVER_CONNECTION_SHARE)
     }
 
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -2,7 +2,7 @@
 
 use super::error::{InvalidValue, Rule};
 use super::platform::{
-    CloudLimits, ProcessLimits, StateServiceLimits, Team, Workers, LONGEST_REPORT_INTERVAL,
+    CloudLimits, ProcessLimits, StateServiceLimits, Team, Workers, LONGEST_HEARTBEAT_INTERVAL,
 };
 use super::sockets::MIN_SOCKETS;
 use super::state_limits::MIN_OPERATIONS;
@@ -53,7 +53,7 @@
 }
 
 fn check_workers(workers: &Workers) -> Check {
-    if workers.lease_s <= LONGEST_REPORT_INTERVAL * workers.report_s {
+    if workers.lease_s <= LONGEST_HEARTBEAT_INTERVAL * workers.report_s {
         return Err(InvalidValue::new(
             "settings.workers.lease_s",
             workers.lease_s,
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -6,7 +6,7 @@
     VersionedValue,
 };
 use crate::protocol::TOO_MANY_REQUESTS;
-use crate::transport::client::{Answer, Client};
+use crate::transport::client::{Client, HttpOutcome};
 use serde::de::DeserializeOwned;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -62,13 +62,13 @@
     }
 
     /// Whether the service has ever rejected a transaction of this client by its rate limit.
-    pub fn is_limited(&self) -> bool {
+    pub fn is_rate_limited(&self) -> bool {
         self.rate_limited.load(Ordering::Relaxed)
     }
 
     /// When the service last responded with any status except that of an outage, as the time since
     /// `epoch`.
-    pub fn last_answer(&self, epoch: Instant) -> Duration {
+    pub fn last_response(&self, epoch: Instant) -> Duration {
         let since_creation = Duration::from_millis(self.last_response_ms.load(Ordering::Relaxed));
         self.created_at.saturating_duration_since(epoch) + since_creation
     }
@@ -79,9 +79,9 @@
     }
 
     /// Enters a request and its response into the statistics.
-    fn count(&self, kind: RequestKind, answer: Answer) -> Answer {
+    fn count(&self, kind: RequestKind, answer: HttpOutcome) -> HttpOutcome {
         let status = match answer {
-            Answer::Response(status, _) => Some(status),
+            HttpOutcome::Response(status, _) => Some(status),
             _ => None,
         };
         self.counts.count(kind, status);
@@ -107,7 +107,7 @@
     ) -> Result<Option<VersionedValue>, Unavailable> {
         let answer = self.client.get(&format!("/store/{key}"), timeout);
         match self.count(RequestKind::Read, answer) {
-            Answer::Response(NOT_FOUND, _) => Ok(None),
+            HttpOutcome::Response(NOT_FOUND, _) => Ok(None),
             answer => answer.ok().map(Some).ok_or(Unavailable),
         }
     }
@@ -208,8 +208,8 @@
         let path = format!("/leases/{lease}/extend");
         let answer = self.client.post(&path, &json!({}), timeout);
         match self.count(RequestKind::Lease, answer) {
-            Answer::Response(OK, _) => Renewal::Renewed,
-            Answer::Response(NOT_FOUND, _) => Renewal::Expired,
+            HttpOutcome::Response(OK, _) => Renewal::Renewed,
+            HttpOutcome::Response(NOT_FOUND, _) => Renewal::Expired,
             _ => Renewal::Unavailable,
         }
     }
@@ -236,26 +236,28 @@
         let path = format!("/changes?under={prefix}&after={after}&hold_ms={hold_ms}");
         let answer = self.client.get(&path, hold + DEFAULT_TIMEOUT);
         match self.count(RequestKind::Watch, answer) {
-            Answer::Response(GONE, _) => Ok(None),
+            HttpOutcome::Response(GONE, _) => Ok(None),
             answer => answer.ok().map(Some).ok_or(Unavailable),
         }
     }
 }
 
 /// Reads the response to a transaction.
-fn commit_outcome(answer: Answer) -> CommitOutcome {
+fn commit_outcome(answer: HttpOutcome) -> CommitOutcome {
     match answer {
-        Answer::Response(OK, body) => match serde_json::from_slice::<TransactionApplied>(&body) {
-            Ok(applied) => CommitOutcome::Applied(applied.revision),
-            Err(_) => CommitOutcome::Unknown,
-        },
-        Answer::Response(CONFLICT, body) => {
+        HttpOutcome::Response(OK, body) => {
+            match serde_json::from_slice::<TransactionApplied>(&body) {
+                Ok(applied) => CommitOutcome::Applied(applied.revision),
+                Err(_) => CommitOutcome::Indeterminate,
+            }
+        }
+        HttpOutcome::Response(CONFLICT, body) => {
             match serde_json::from_slice::<TransactionConflict>(&body) {
                 Ok(conflict) => CommitOutcome::Conflict(conflict.failed),
-                Err(_) => CommitOutcome::Unknown,
+                Err(_) => CommitOutcome::Indeterminate,
             }
         }
-        Answer::Response(BAD_REQUEST, body) => {
+        HttpOutcome::Response(BAD_REQUEST, body) => {
             let reason = String::from_utf8_lossy(&body);
             if reason.contains("no such lease") {
                 return CommitOutcome::NoLease;
@@ -263,8 +265,8 @@
             tracing::error!(%reason, "the state service rejected a transaction as malformed");
             CommitOutcome::TooLarge
         }
-        Answer::Response(TOO_MANY_REQUESTS, _) => CommitOutcome::Limited,
-        Answer::Response(..) | Answer::NotSent => CommitOutcome::Refused,
-        Answer::Unknown => CommitOutcome::Unknown,
+        HttpOutcome::Response(TOO_MANY_REQUESTS, _) => CommitOutcome::Limited,
+        HttpOutcome::Response(..) | HttpOutcome::NotSent => CommitOutcome::Refused,
+        HttpOutcome::Indeterminate => CommitOutcome::Indeterminate,
     }
 }
--- a/src/storage/outcome.rs
+++ b/src/storage/outcome.rs
@@ -18,7 +18,7 @@
     /// It was not applied: a lease that it names has expired.
     NoLease,
     /// No usable response came: it may have been applied, or may yet be at any later time.
-    Unknown,
+    Indeterminate,
 }
 
 /// The state service gave no usable response: it refused the request, was not reached, or did not
--- a/src/storage/recent_jobs.rs
+++ b/src/storage/recent_jobs.rs
@@ -15,7 +15,7 @@
 }
 
 /// The final states of the jobs that ended most recently.
-pub type EndIndex = RecentJobs<JobState>;
+pub type RecentFinalStates = RecentJobs<JobState>;
 
 impl<T> RecentJobs<T> {
     /// An empty memory of up to `capacity` jobs, at least one.
--- a/src/storage/records/completions.rs
+++ b/src/storage/records/completions.rs
@@ -1,6 +1,6 @@
 //! Records of completed tasks, and how the tasks of a job are split into several such records.
 
-use super::{decimal_digits, EMPTY_BYTES};
+use super::{decimal_digits, EMPTY_RECORD_BYTES};
 use crate::protocol::job::MAX_TASKS;
 use serde::{Deserialize, Serialize};
 
@@ -24,7 +24,7 @@
     /// An upper bound of the size of the record's JSON text.
     pub fn bytes(&self) -> usize {
         let last = self.done.last().map_or(0, |(_, last)| *last);
-        EMPTY_BYTES + self.done.len() * 2 * (decimal_digits(last.into()) + 2)
+        EMPTY_RECORD_BYTES + self.done.len() * 2 * (decimal_digits(last.into()) + 2)
     }
 }
 
--- a/src/storage/records/mod.rs
+++ b/src/storage/records/mod.rs
@@ -31,7 +31,7 @@
 };
 pub use leader::LeaderRecord;
 pub use open::OpenRecord;
-pub use placements::{job_bytes, place_bytes, StoredPlacements, EMPTY_BYTES};
+pub use placements::{allocation_bytes, job_bytes, StoredPlacements, EMPTY_RECORD_BYTES};
 
 /// The number of decimal digits of a number.
 fn decimal_digits(number: u64) -> usize {
--- a/src/storage/records/placements.rs
+++ b/src/storage/records/placements.rs
@@ -9,11 +9,11 @@
 pub struct StoredPlacements {
     /// For each job, for each machine: the tasks that are or may be there, each with its attempt.
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub places: BTreeMap<String, BTreeMap<String, Vec<(u32, u64)>>>,
+    pub allocations: BTreeMap<String, BTreeMap<String, Vec<(u32, u64)>>>,
 }
 
 /// The size of a record without any allocations, in bytes.
-pub const EMPTY_BYTES: usize = "{\"p\":{}}".len();
+pub const EMPTY_RECORD_BYTES: usize = "{\"p\":{}}".len();
 
 /// The maximum number of bytes that a record grows by for a job, without its allocations.
 pub fn job_bytes(id: &str) -> usize {
@@ -21,7 +21,7 @@
 }
 
 /// The maximum number of bytes that a record grows by for an allocation of a job that it contains.
-pub fn place_bytes(machine: &str, task: u32, attempt: u64) -> usize {
+pub fn allocation_bytes(machine: &str, task: u32, attempt: u64) -> usize {
     let place = decimal_digits(task.into()) + decimal_digits(attempt) + "[,],".len();
     json_string_bytes(machine) + ":[],".len() + place
 }
--- a/src/transport/api_server/mod.rs
+++ b/src/transport/api_server/mod.rs
@@ -55,7 +55,7 @@
     /// Users' connections; users beyond that get a 503.
     pub users: usize,
     /// How long a connection may stay open without sending a complete request head.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long reading a request's body may take.
-    pub body: Duration,
+    pub body_timeout: Duration,
 }
--- a/src/transport/api_server/server.rs
+++ b/src/transport/api_server/server.rs
@@ -62,8 +62,8 @@
     };
     let server = Arc::new(Server {
         limits: ConnectionLimits::new(bounds),
-        body_timeout: bounds.body,
-        idle_timeout: bounds.idle,
+        body_timeout: bounds.body_timeout,
+        idle_timeout: bounds.idle_timeout,
         handler,
         health,
     });
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -9,20 +9,20 @@
 
 /// The outcome of a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum HttpOutcome {
     /// The service responded with this status code and body.
     Response(u16, Vec<u8>),
     /// The request was never sent, as no connection could be established.
     NotSent,
     /// Indeterminate: the request may have been carried out, or may be carried out later.
-    Unknown,
+    Indeterminate,
 }
 
-impl Answer {
+impl HttpOutcome {
     /// The decoded body of a 200; `None` for any other outcome or a body that does not decode.
     pub fn ok<T: DeserializeOwned>(&self) -> Option<T> {
         match self {
-            Answer::Response(200, body) => serde_json::from_slice(body).ok(),
+            HttpOutcome::Response(200, body) => serde_json::from_slice(body).ok(),
             _ => None,
         }
     }
@@ -53,17 +53,17 @@
     }
 
     /// Sends a GET request.
-    pub fn get(&self, path: &str, timeout: Duration) -> Answer {
+    pub fn get(&self, path: &str, timeout: Duration) -> HttpOutcome {
         self.outcome(self.agent.get(&self.url(path)).timeout(timeout).call())
     }
 
     /// Sends a DELETE request.
-    pub fn delete(&self, path: &str, timeout: Duration) -> Answer {
+    pub fn delete(&self, path: &str, timeout: Duration) -> HttpOutcome {
         self.outcome(self.agent.delete(&self.url(path)).timeout(timeout).call())
     }
 
     /// Sends a POST request with a JSON body.
-    pub fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> Answer {
+    pub fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> HttpOutcome {
         let request = self.agent.post(&self.url(path)).timeout(timeout);
         self.outcome(request.send_json(body))
     }
@@ -76,7 +76,7 @@
         clippy::result_large_err,
         reason = "`ureq::Error` carries the response, and its size does not matter on this path"
     )]
-    fn outcome(&self, result: Result<ureq::Response, ureq::Error>) -> Answer {
+    fn outcome(&self, result: Result<ureq::Response, ureq::Error>) -> HttpOutcome {
         match result {
             Ok(response) | Err(ureq::Error::Status(_, response)) => {
                 let status = response.status();
@@ -84,14 +84,14 @@
                 let mut reader = response.into_reader().take(self.max_response_bytes + 1);
                 match reader.read_to_end(&mut body) {
                     Ok(length) if length as u64 <= self.max_response_bytes => {
-                        Answer::Response(status, body)
+                        HttpOutcome::Response(status, body)
                     }
-                    _ => Answer::Unknown,
+                    _ => HttpOutcome::Indeterminate,
                 }
             }
             Err(ureq::Error::Transport(transport)) => match transport.kind() {
-                ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => Answer::NotSent,
-                _ => Answer::Unknown,
+                ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => HttpOutcome::NotSent,
+                _ => HttpOutcome::Indeterminate,
             },
         }
     }
--- a/src/transport/direct_commands.rs
+++ b/src/transport/direct_commands.rs
@@ -1,7 +1,7 @@
 //! Commands that are pushed to workers: requests run concurrently, so that a worker that hangs does not
 //! delay the others.
 
-use super::client::Answer;
+use super::client::HttpOutcome;
 use super::runtime::Runtime;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -26,7 +26,7 @@
 }
 
 /// Receives the outcome of a request, or returns it as the error while its queue is full.
-pub type OutcomeHandler = Box<dyn FnMut(Answer) -> Result<(), Answer> + Send>;
+pub type OutcomeHandler = Box<dyn FnMut(HttpOutcome) -> Result<(), HttpOutcome> + Send>;
 
 /// Pause before an outcome is offered again to a handler whose queue was full.
 const FULL_QUEUE_PAUSE: Duration = Duration::from_millis(5);
@@ -66,22 +66,22 @@
         });
     }
 
-    async fn send(&self, address: &str, path: &str, body: Vec<u8>) -> Answer {
+    async fn send(&self, address: &str, path: &str, body: Vec<u8>) -> HttpOutcome {
         let Ok(remote) = address.parse::<SocketAddr>() else {
-            return Answer::NotSent;
+            return HttpOutcome::NotSent;
         };
         let Ok(_permit) = self.connections.acquire().await else {
-            return Answer::NotSent;
+            return HttpOutcome::NotSent;
         };
         // A connection attempt that timed out is aborted, so that the request is certainly not sent.
         let connected = tokio::time::timeout(self.timeout, TcpStream::connect(remote)).await;
         let Ok(Ok(stream)) = connected else {
-            return Answer::NotSent;
+            return HttpOutcome::NotSent;
         };
         let exchange = self.exchange(stream, address, path, body);
         match tokio::time::timeout(self.timeout, exchange).await {
-            Ok(Some((status, body))) => Answer::Response(status, body),
-            _ => Answer::Unknown,
+            Ok(Some((status, body))) => HttpOutcome::Response(status, body),
+            _ => HttpOutcome::Indeterminate,
         }
     }
 
--- a/src/transport/peers/client.rs
+++ b/src/transport/peers/client.rs
@@ -88,9 +88,9 @@
             job: forwarded.job.to_string(),
             body: forwarded.body.to_vec(),
         };
-        let waits = forwarded.waits;
+        let has_dependencies = forwarded.has_dependencies;
         let reply = self.call(timeout, async move {
-            if waits {
+            if has_dependencies {
                 client.ask_waiting(request).await
             } else {
                 client.ask(request).await
@@ -162,7 +162,7 @@
     }
 
     /// Whether another controller responds at all.
-    pub fn reaches(&self, name: &str, timeout: Duration) -> bool {
+    pub fn is_reachable(&self, name: &str, timeout: Duration) -> bool {
         self.request_promise(name, server::NO_TOKEN, timeout)
             .is_some()
     }
--- a/src/transport/peers/mod.rs
+++ b/src/transport/peers/mod.rs
@@ -58,7 +58,7 @@
     pub body: &'a [u8],
     /// Whether the job depends on other jobs. Such a submission is sent by a call of its own, which
     /// releases without dependencies do not have.
-    pub waits: bool,
+    pub has_dependencies: bool,
 }
 
 /// Handles the requests of other controllers: responds at once, or keeps the responder.
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -254,7 +254,7 @@
 /// The outcome of an operation without a response.
 fn without_response(operation: &Operation) -> Input {
     match operation {
-        Operation::Commit { .. } => Input::Committed(CommitOutcome::Unknown),
+        Operation::Commit { .. } => Input::Committed(CommitOutcome::Indeterminate),
         other => refused(other),
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -416,9 +416,9 @@
         let mut all = StoredPlacements::default();
         for item in self.under(PLACEMENT_PREFIX) {
             let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
-            for (id, machines) in record.places {
+            for (id, machines) in record.allocations {
                 for (machine, places) in machines {
-                    let there = all.places.entry(id.clone()).or_default();
+                    let there = all.allocations.entry(id.clone()).or_default();
                     let there = there.entry(machine).or_default();
                     there.extend(places);
                     there.sort_unstable();
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::cloud::{MachineType, Rent};
+use stairstage::protocol::cloud::{MachineType, RentalRequest};
 use stairstage::protocol::ids::Incarnation;
 use stairstage::protocol::worker::{Command, TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
@@ -35,7 +35,7 @@
     rig: &str,
     tasks: u32,
     differs: &[(&str, Value)],
-) -> Vec<Rent> {
+) -> Vec<RentalRequest> {
     let mut body = submission("req-1", rig, "normal", tasks);
     for (field, value) in differs {
         body[*field] = value.clone();
@@ -122,7 +122,7 @@
 struct SmallFleet {
     manager: ClusterManager,
     now: f64,
-    rented: Vec<Rent>,
+    rented: Vec<RentalRequest>,
     returned: Vec<String>,
 }
 
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -13,7 +13,7 @@
     Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
 };
 use stairstage::protocol::store::{Transaction, VersionedValue};
-use stairstage::settings::{Settings, CONDITIONS_A_CHANGE};
+use stairstage::settings::{Settings, COMPARES_PER_OPERATION};
 use stairstage::storage::key_value_store::CommitOutcome;
 use stairstage::storage::records::{final_state_key, open_key, LEADER_KEY};
 use stairstage_upgrade::fence::WriteFence;
@@ -121,7 +121,7 @@
 #[test]
 fn a_record_of_many_jobs_keeps_to_the_conditions_of_a_transaction() {
     let settings = Settings::parse("test", SETTINGS).unwrap();
-    let most = CONDITIONS_A_CHANGE * settings.cluster.state.changes();
+    let most = COMPARES_PER_OPERATION * settings.cluster.state.max_operations();
     let mut manager = manager();
     manager.set_write_fence(write_fence(1));
     for machine in 0..most {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -193,20 +193,23 @@
         Settings::parse("f.toml", &text).unwrap().cluster.state
     };
     let now = state("");
-    assert_eq!((now.record_bytes(), now.changes()), (13926, 16));
-    assert_eq!((now.conditions(), now.later_write_rps()), (64, 60.0));
+    assert_eq!((now.max_record_bytes(), now.max_operations()), (13926, 16));
+    assert_eq!((now.max_compares(), now.lowest_write_rps()), (64, 60.0));
     let less = state("next = { value_kb = 2.0, txn_ops = 5, write_rps = 42.0 }");
-    assert_eq!((less.record_bytes(), less.changes()), (1740, 5));
-    assert_eq!((less.conditions(), less.later_write_rps()), (20, 42.0));
+    assert_eq!((less.max_record_bytes(), less.max_operations()), (1740, 5));
+    assert_eq!((less.max_compares(), less.lowest_write_rps()), (20, 42.0));
     let some = state("next = { value_kb = 64.0, write_rps = 80.0 }");
-    assert_eq!((some.record_bytes(), some.changes()), (13926, 16));
-    assert_eq!(some.later_write_rps(), 60.0);
+    assert_eq!(
+        (some.max_record_bytes(), some.max_operations()),
+        (13926, 16)
+    );
+    assert_eq!(some.lowest_write_rps(), 60.0);
 }
 
 #[test]
 fn the_operators_file_names_what_is_wrong() {
     let policy = Policy::parse("p", "(policy (idle 2.0) ; a comment\n (spot no))").unwrap();
-    assert_eq!((policy.idle, policy.spot), (2.0, false));
+    assert_eq!((policy.idle_timeout, policy.spot), (2.0, false));
     for (text, named) in [
         ("(policy (idle -1))", "idle = -1"),
         ("(policy (ilde 1))", "ilde"),
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -6,7 +6,7 @@
 use super::world::{World, WriteFate};
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
-use stairstage::protocol::cloud::Rent;
+use stairstage::protocol::cloud::RentalRequest;
 use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::{CommandBatch, Heartbeat};
@@ -196,7 +196,7 @@
     }
 
     /// The cloud rents what it has; the machines are up soon.
-    fn rent(&mut self, rent: &Rent) -> Vec<String> {
+    fn rent(&mut self, rent: &RentalRequest) -> Vec<String> {
         let count = self.rentable.min(rent.count as usize);
         self.rentable -= count;
         let kind = self.types.iter().position(|t| t.name == rent.kind);
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -372,7 +372,7 @@
 
     /// The version in production leads for a moment, as long as the limits are the old ones.
     fn let_production_lead(&mut self) {
-        if self.store.value_bytes > self.settings.cluster.state.record_bytes() {
+        if self.store.value_bytes > self.settings.cluster.state.max_record_bytes() {
             self.store.led_by_production(2048);
             self.elect();
         }
--- a/tests/histories/tasks.rs
+++ b/tests/histories/tasks.rs
@@ -104,9 +104,9 @@
             .broken_since
             .is_some_and(|t| now - t > workers.gang_peer_s)
         {
-            Cause::Peers
+            Cause::GangTaskLost
         } else if state.complete_since.is_none() && now - begun > workers.gang_wait_s {
-            Cause::Alone
+            Cause::GangIncomplete
         } else {
             return;
         };
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -105,9 +105,12 @@
     let settings = Settings::parse("test", SETTINGS).unwrap();
     let state = &settings.cluster.state;
     for written in [small.largest, large.largest] {
-        assert!(written.value_bytes <= state.record_bytes(), "{written:?}");
-        assert!(written.changes <= state.changes(), "{written:?}");
-        assert!(written.conditions <= state.conditions(), "{written:?}");
+        assert!(
+            written.value_bytes <= state.max_record_bytes(),
+            "{written:?}"
+        );
+        assert!(written.changes <= state.max_operations(), "{written:?}");
+        assert!(written.conditions <= state.max_compares(), "{written:?}");
     }
     // With its job, its four tasks and what runs on it as the test keeps it. Of 72 MB, the least that
     // any controller has had, the largest fleet takes less than two thirds.
@@ -334,8 +337,8 @@
         connections: 64,
         workers: 16,
         users: 16,
-        idle: Duration::from_secs(600),
-        body: Duration::from_secs(600),
+        idle_timeout: Duration::from_secs(600),
+        body_timeout: Duration::from_secs(600),
     };
     let any = "127.0.0.1:0".parse().unwrap();
     let healthy = Arc::new(|| true);
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -99,7 +99,7 @@
             kind: Kind::Submit,
             job: "req-1",
             body: b"{}",
-            waits,
+            has_dependencies: waits,
         };
         peers.forward_request("former", &asked, PATIENCE)
     };
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -87,9 +87,9 @@
                     t.state = TaskState::Running;
                     t.until = now + plan.run_s;
                 } else if runs && !whole {
-                    t.exit(Cause::Peers);
+                    t.exit(Cause::GangTaskLost);
                 } else if t.state == TaskState::Waiting && now > t.until - plan.run_s + wait_s {
-                    t.exit(Cause::Alone);
+                    t.exit(Cause::GangIncomplete);
                 }
             }
         }
--- a/tests/play/simulation/mod.rs
+++ b/tests/play/simulation/mod.rs
@@ -80,7 +80,7 @@
         assert!(text.contains(&listed), "the settings have changed");
         let mut settings = Settings::parse("test", &text).unwrap();
         if cloud.keeps_idle {
-            settings.policy.idle = f64::INFINITY;
+            settings.policy.idle_timeout = f64::INFINITY;
         }
         let types = vec![MachineType {
             zones: zones.iter().map(|z| z.to_string()).collect(),
--- a/tests/play/worker.rs
+++ b/tests/play/worker.rs
@@ -225,7 +225,7 @@
         if self.live().any(|(other, _)| other.task == *task) {
             refused(Cause::Busy)
         } else if self.free_cpus() < plan.cpus {
-            refused(Cause::NoRoom)
+            refused(Cause::InsufficientResources)
         } else {
             (TaskState::Fetching, None)
         }
--- a/tests/polls/users.rs
+++ b/tests/polls/users.rs
@@ -125,7 +125,7 @@
     fn check_state(&mut self, job: usize, state: JobState, cluster: &Cluster) {
         assert!(jobs::is_submitted(job), "invented: {job}");
         let recorded = cluster.service.ends.get(&job).copied();
-        if state.is_end() {
+        if state.is_final() {
             assert_eq!(Some(state), recorded, "job {job}");
             self.end = Some(state);
         }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -190,7 +190,7 @@
 
 /// A transaction got no answer.
 fn unanswered() -> RequestEvent {
-    committed(CommitOutcome::Unknown)
+    committed(CommitOutcome::Indeterminate)
 }
 
 /// A read failed.
--- a/tests/requests/parts.rs
+++ b/tests/requests/parts.rs
@@ -5,7 +5,7 @@
 use stairstage::coordination::requests::polls::PollBatcher;
 use stairstage::coordination::requests::{Request, StoreCall};
 use stairstage::protocol::store::Transaction;
-use stairstage::storage::recent_jobs::EndIndex;
+use stairstage::storage::recent_jobs::RecentFinalStates;
 use std::collections::BTreeMap;
 
 /// What becomes of a call, or of a request that is forwarded to another node.
@@ -24,7 +24,7 @@
 
 /// A controller, as far as its requests go.
 pub(crate) struct Node {
-    pub ends: EndIndex,
+    pub ends: RecentFinalStates,
     /// Who leads, as far as it knows.
     pub leader: Option<usize>,
     /// Whether the state service refuses it.
--- a/tests/requests/rules.rs
+++ b/tests/requests/rules.rs
@@ -102,7 +102,7 @@
         );
         assert_recorded(question, state, store);
         if question.kind == Kind::Cancel {
-            assert!(state.is_end(), "{question:?} is told {state:?}");
+            assert!(state.is_final(), "{question:?} is told {state:?}");
         }
         if question.before.is_some() {
             assert_eq!(answer.status, 200, "{question:?}: is known");
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -13,7 +13,7 @@
 use stairstage::protocol::store::Transaction;
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
-use stairstage::storage::recent_jobs::EndIndex;
+use stairstage::storage::recent_jobs::RecentFinalStates;
 use stairstage_upgrade::fence::WriteFence;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -66,7 +66,7 @@
     pub(crate) fn new() -> Simulation {
         let settings = Arc::new(Settings::parse("test", common::SETTINGS).unwrap());
         let node = |_| Node {
-            ends: EndIndex::new(ENDS_KEPT),
+            ends: RecentFinalStates::new(ENDS_KEPT),
             leader: Some(0),
             refused: false,
             small_types: false,
@@ -376,7 +376,7 @@
                 if let CommitOutcome::Applied(_) = self.apply(node, &transaction) {
                     self.coverage.answer_lost(by, node, &transaction);
                 }
-                CommitOutcome::Unknown
+                CommitOutcome::Indeterminate
             }
             Fate::Late => {
                 let applied_before = self.nodes[node].applied;
@@ -386,9 +386,9 @@
                     by,
                     applied_before,
                 });
-                CommitOutcome::Unknown
+                CommitOutcome::Indeterminate
             }
-            Fate::Lost => CommitOutcome::Unknown,
+            Fate::Lost => CommitOutcome::Indeterminate,
             Fate::Refused => CommitOutcome::Refused,
         }
     }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -193,8 +193,8 @@
         connections: 6,
         workers: 4,
         users: 3,
-        idle: Duration::from_secs(600),
-        body: Duration::from_secs(600),
+        idle_timeout: Duration::from_secs(600),
+        body_timeout: Duration::from_secs(600),
     }
 }
 
@@ -253,8 +253,8 @@
 #[test]
 fn a_body_that_is_too_long_or_never_comes_costs_little() {
     let address = serve(Bounds {
-        idle: Duration::from_millis(200),
-        body: Duration::from_millis(200),
+        idle_timeout: Duration::from_millis(200),
+        body_timeout: Duration::from_millis(200),
         ..bounds()
     });
     let mut long = TcpStream::connect(address).unwrap();
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -20,8 +20,8 @@
 use stairstage::settings::Settings;
 use stairstage::storage::records::{
     final_state_key, open_key, parse_completion_key, CompletionShards, FinalStateRecord,
-    OpenRecord, StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_BYTES, LEADER_KEY,
-    PLACEMENT_PREFIX,
+    OpenRecord, StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_RECORD_BYTES,
+    LEADER_KEY, PLACEMENT_PREFIX,
 };
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -94,7 +94,7 @@
     let mut all = BTreeSet::new();
     for item in store.under(PLACEMENT_PREFIX) {
         let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
-        for (id, machines) in record.places {
+        for (id, machines) in record.allocations {
             for (machine, tasks) in machines {
                 let place = |(task, _): (u32, u64)| (id.clone(), machine.clone(), task);
                 all.extend(tasks.into_iter().map(place));
@@ -350,7 +350,7 @@
             placement_record.insert(Placement { allocation, machine: (&**machine).into() });
         }
         for Placement { allocation: AllocationId { job: id, task, attempt }, machine } in placement_record.placements() {
-            let machines = record.places.entry(id.to_string()).or_default();
+            let machines = record.allocations.entry(id.to_string()).or_default();
             machines.entry(machine.to_string()).or_default().push((*task, *attempt));
         }
         let bytes = serde_json::to_string(&record).unwrap().len();
@@ -359,7 +359,7 @@
         for entry in &all {
             prop_assert!(placement_record.remove(entry));
         }
-        prop_assert_eq!(placement_record.bytes(), EMPTY_BYTES);
+        prop_assert_eq!(placement_record.bytes(), EMPTY_RECORD_BYTES);
         let mut run = StoredCompletions::default();
         done.iter().for_each(|t| run.push_done(*t));
         prop_assert!(serde_json::to_string(&run).unwrap().len() <= run.bytes());
