--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -39,7 +39,7 @@
     fn rent(&mut self, cluster: &mut ClusterState, demand: &Demand, offer: &Offer, count: u32) {
         let request = format!("r-{}", cluster.leadership_mut().next_id());
         let rent = RentalRequest {
-            request: request.clone(),
+            idempotency_key: request.clone(),
             kind: offer.machine_type.to_string(),
             zone: offer.zone.to_string(),
             spot: offer.spot,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -47,7 +47,7 @@
     /// The idempotency key: a request that succeeded under this name rents nothing when it is
     /// repeated, so a name is never reused for another rental.
     #[serde(rename = "charter")]
-    pub request: String,
+    pub idempotency_key: String,
     /// The machine type.
     #[serde(rename = "hull")]
     pub kind: String,
--- a/src/service/cloud_client.rs
+++ b/src/service/cloud_client.rs
@@ -54,10 +54,10 @@
                 }
                 HttpOutcome::Response(400, body) => {
                     let reason = String::from_utf8_lossy(&body);
-                    warn!(request = %rent.request, %reason, "rental refused");
+                    warn!(request = %rent.idempotency_key, %reason, "rental refused");
                     return Some(Vec::new());
                 }
-                answer => debug!(request = %rent.request, ?answer, "rental unanswered"),
+                answer => debug!(request = %rent.idempotency_key, ?answer, "rental unanswered"),
             }
             back_off(attempt);
         }
--- a/src/service/io_thread_pool/cloud_caller.rs
+++ b/src/service/io_thread_pool/cloud_caller.rs
@@ -27,7 +27,7 @@
     pub(super) fn into_failure(self) -> Option<IoOutcome> {
         match self {
             CloudCall::Rent(rent) => Some(IoOutcome::MachinesRented {
-                request: rent.request,
+                request: rent.idempotency_key,
                 machines: None,
             }),
             CloudCall::Return(machines) => Some(IoOutcome::MachinesReturned {
@@ -66,7 +66,7 @@
         CloudCall::Rent(rent) => {
             let machines = cloud.rent(&rent);
             Some(IoOutcome::MachinesRented {
-                request: rent.request,
+                request: rent.idempotency_key,
                 machines,
             })
         }
--- a/src/storage/cancellation_log.rs
+++ b/src/storage/cancellation_log.rs
@@ -1,10 +1,10 @@
 //! The log of the cancellations that this process has confirmed to users.
 //!
-//! A controller that cannot read the state service may still learn of every cancellation if all other
-//! controllers report which ones they have confirmed. Each of them therefore records a cancellation
-//! here before any response that confirms it leaves the process, and the others read the log page by
-//! page from a [`Cursor`] on. The log is not persistent: a cursor into the log of an earlier process is
-//! recognised by its incarnation and cannot be continued.
+//! A controller that cannot read the state service can still learn of every confirmed cancellation if
+//! all other controllers tell it which ones they have confirmed. Each controller therefore records a
+//! cancellation in this log before it sends a response that confirms the cancellation, and its peers
+//! read the log page by page, starting at a [`Cursor`]. The log is in memory only: a cursor into the log
+//! of an earlier process has another incarnation, and reading cannot continue from it.
 
 use std::collections::hash_map::RandomState;
 use std::collections::{HashSet, VecDeque};
@@ -12,14 +12,14 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The maximum number of entries in one page. It keeps a page far below the largest message between
-/// controllers.
+/// The maximum number of entries in one page. A page of this size is far below the limit on the size of
+/// a message between controllers.
 const PAGE_SIZE: usize = 1000;
 
-/// A position in the log of one process. The default is no position in any log.
+/// A position in the log of one process. The default value is not a position in any log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor {
-    /// The incarnation of the process that keeps the log; 0 is none.
+    /// The incarnation of the process that owns the log; 0 is the incarnation of no process.
     pub incarnation: u64,
     /// The number of the next entry to read. Entries are numbered from 1.
     pub next: u64,
@@ -28,10 +28,10 @@
 /// A page of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CancellationPage {
-    /// Where the next page begins.
+    /// The position of the next page.
     pub cursor: Cursor,
-    /// Whether the page continues from the requested cursor without a gap. If not, the page is empty
-    /// and its cursor is the end of the log.
+    /// Whether the page starts at the requested cursor, without a gap. If not, the page is empty and
+    /// its cursor is the end of the log.
     pub continues: bool,
     /// Whether the page reaches the end of the log.
     pub complete: bool,
@@ -39,18 +39,18 @@
     pub jobs: Vec<Arc<str>>,
 }
 
-/// The entries that are retained.
+/// The retained entries.
 struct Entries {
     /// The number of the oldest retained entry.
     first: u64,
     /// The jobs, in the order of their confirmation.
     jobs: VecDeque<Arc<str>>,
-    /// The same jobs, for a lookup by id.
+    /// The same jobs, for lookups by id.
     retained: HashSet<Arc<str>>,
 }
 
 impl Entries {
-    /// The number that the next entry gets.
+    /// The number of the next entry to be added.
     fn end(&self) -> u64 {
         self.first + self.jobs.len() as u64
     }
@@ -70,8 +70,8 @@
         CancellationLog::with_incarnation(new_incarnation(), capacity)
     }
 
-    /// The same as [`new`](Self::new) with a given incarnation, which must differ from that of every
-    /// earlier process.
+    /// Like [`new`](Self::new) with a given incarnation, which must differ from that of every earlier
+    /// process.
     pub fn with_incarnation(incarnation: u64, capacity: usize) -> CancellationLog {
         let entries = Entries {
             first: 1,
@@ -89,8 +89,8 @@
         self.entries.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Records a cancellation, unless it is retained already. This must happen before a response that
-    /// confirms the cancellation leaves the process.
+    /// Records a cancellation, unless the log already retains it. Must be called before a response that
+    /// confirms the cancellation is sent.
     pub fn record(&self, job: &str) {
         let mut entries = self.entries();
         if entries.retained.contains(job) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Reads a page of the entries from a cursor on.
+    /// Reads the page of entries that starts at a cursor.
     pub fn page(&self, after: Cursor) -> CancellationPage {
         let entries = self.entries();
         let end = entries.end();
@@ -135,8 +135,8 @@
     }
 }
 
-/// An incarnation that no earlier process on this machine has had: processes start at different times,
-/// and the hash is randomly seeded.
+/// An incarnation that differs from those of earlier processes on this machine: it is a randomly seeded
+/// hash of the start time and the process id.
 fn new_incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let mut hasher = RandomState::new().build_hasher();
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -16,23 +16,23 @@
 
 pub use super::outcome::{CommitOutcome, Renewal, Unavailable};
 
-/// The timeout of a request whose caller sets none. Responses normally take milliseconds, and now and
-/// then a few hundred.
+/// The default timeout of a request. Responses normally take a few milliseconds, occasionally a few
+/// hundred.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The longest response that is read, in bytes.
+/// The maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 8 * 1024 * 1024;
-/// Keys in one page of a list.
+/// The number of keys requested in one page of a list.
 const LIST_PAGE_SIZE: usize = 400;
 
 /// The status of a request that was carried out.
 const OK: u16 = 200;
 /// The status of a malformed request, and of a write that names an expired lease.
 const BAD_REQUEST: u16 = 400;
-/// The status of a request for something that does not exist: a key or a lease.
+/// The status of a request for a key or a lease that does not exist.
 const NOT_FOUND: u16 = 404;
-/// The status of a transaction of which a comparison failed.
+/// The status of a transaction with a failed comparison.
 const CONFLICT: u16 = 409;
-/// The status of a watch whose revision is older than the changes that the service retains.
+/// The status of a watch from a revision whose later changes the service no longer retains.
 const GONE: u16 = 410;
 /// The status of a request that was not carried out because of an outage.
 const SERVICE_UNAVAILABLE: u16 = 503;
@@ -44,13 +44,13 @@
     created_at: Instant,
     /// When the service last responded, in milliseconds since `created_at`.
     last_response_ms: Arc<AtomicU64>,
-    /// Whether the service has ever rejected a transaction by its rate limit.
+    /// Whether the service has ever rejected a transaction because of its rate limit.
     rate_limited: Arc<AtomicBool>,
     counts: Arc<RequestCounts>,
 }
 
 impl KeyValueStore {
-    /// A client of the service at `remote` that keeps up to `connections` idle connections.
+    /// Creates a client of the service at `remote` that keeps up to `connections` idle connections.
     pub fn new(remote: SocketAddr, connections: usize) -> KeyValueStore {
         KeyValueStore {
             client: Client::new(remote, connections, MAX_RESPONSE_BYTES),
@@ -61,26 +61,26 @@
         }
     }
 
-    /// Whether the service has ever rejected a transaction of this client by its rate limit.
+    /// Whether the service has ever rejected a transaction of this client because of its rate limit.
     pub fn is_rate_limited(&self) -> bool {
         self.rate_limited.load(Ordering::Relaxed)
     }
 
-    /// When the service last responded with any status except that of an outage, as the time since
+    /// The time of the service's last response with a status other than 503, as the duration since
     /// `epoch`.
     pub fn last_response(&self, epoch: Instant) -> Duration {
         let since_creation = Duration::from_millis(self.last_response_ms.load(Ordering::Relaxed));
         self.created_at.saturating_duration_since(epoch) + since_creation
     }
 
-    /// The statistics of the requests since the last call of this method.
+    /// Returns the statistics of the requests since the last call of this method.
     pub fn take_request_counts(&self) -> RecentRequests {
         self.counts.take()
     }
 
-    /// Enters a request and its response into the statistics.
-    fn count(&self, kind: RequestKind, answer: HttpOutcome) -> HttpOutcome {
-        let status = match answer {
+    /// Counts a request and its outcome in the statistics.
+    fn count(&self, kind: RequestKind, outcome: HttpOutcome) -> HttpOutcome {
+        let status = match outcome {
             HttpOutcome::Response(status, _) => Some(status),
             _ => None,
         };
@@ -89,13 +89,13 @@
             let now = self.created_at.elapsed().as_millis() as u64;
             self.last_response_ms.store(now, Ordering::Relaxed);
         }
-        answer
+        outcome
     }
 
     /// Reads a key; `None` if it is absent.
     ///
     /// # Errors
-    /// [`Unavailable`] if no usable response came.
+    /// [`Unavailable`] if no usable response was received.
     pub fn get(&self, key: &str) -> Result<Option<VersionedValue>, Unavailable> {
         self.get_within(key, DEFAULT_TIMEOUT)
     }
@@ -105,26 +105,26 @@
         key: &str,
         timeout: Duration,
     ) -> Result<Option<VersionedValue>, Unavailable> {
-        let answer = self.client.get(&format!("/store/{key}"), timeout);
-        match self.count(RequestKind::Read, answer) {
+        let outcome = self.client.get(&format!("/store/{key}"), timeout);
+        match self.count(RequestKind::Read, outcome) {
             HttpOutcome::Response(NOT_FOUND, _) => Ok(None),
-            answer => answer.ok().map(Some).ok_or(Unavailable),
+            outcome => outcome.ok().map(Some).ok_or(Unavailable),
         }
     }
 
-    /// Reads a key's value as a `T`, with its version. A value that does not parse as a `T` counts as
+    /// Reads a key's value as a `T`, with its version. A value that cannot be decoded as a `T` counts as
     /// absent.
     ///
     /// # Errors
-    /// [`Unavailable`] if no usable response came.
+    /// [`Unavailable`] if no usable response was received.
     pub fn read<T: DeserializeOwned>(&self, key: &str) -> Result<Option<(T, u64)>, Unavailable> {
         self.read_within(key, DEFAULT_TIMEOUT)
     }
 
-    /// The same as [`read`](Self::read), with a timeout of the caller's.
+    /// Like [`read`](Self::read), with a given timeout.
     ///
     /// # Errors
-    /// [`Unavailable`] if no usable response came.
+    /// [`Unavailable`] if no usable response was received.
     pub fn read_within<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -136,10 +136,10 @@
         }))
     }
 
-    /// Reads up to `limit` keys under a prefix, beginning after the key `after` if there is one.
+    /// Reads up to `limit` keys under a prefix, starting after the key `after` if it is given.
     ///
     /// # Errors
-    /// [`Unavailable`] if no usable response came.
+    /// [`Unavailable`] if no usable response was received.
     pub fn page(
         &self,
         prefix: &str,
@@ -148,15 +148,15 @@
     ) -> Result<Page, Unavailable> {
         let after = after.map_or(String::new(), |key| format!("&after={key}"));
         let path = format!("/store?under={prefix}{after}&limit={limit}");
-        let answer = self.count(RequestKind::Page, self.client.get(&path, DEFAULT_TIMEOUT));
-        answer.ok().ok_or(Unavailable)
+        let outcome = self.count(RequestKind::Page, self.client.get(&path, DEFAULT_TIMEOUT));
+        outcome.ok().ok_or(Unavailable)
     }
 
-    /// Reads all keys under a prefix, with the revision as of the first page: a watch from that
-    /// revision on misses no change made while later pages were read.
+    /// Reads all keys under a prefix, with the revision of the first page. A watch from that revision
+    /// reports all changes made while later pages were read.
     ///
     /// # Errors
-    /// [`Unavailable`] if any page got no usable response.
+    /// [`Unavailable`] if no usable response was received for any of the pages.
     pub fn list(&self, prefix: &str) -> Result<(Vec<VersionedValue>, u64), Unavailable> {
         let mut items: Vec<VersionedValue> = Vec::new();
         let mut first_revision = None;
@@ -177,15 +177,15 @@
         self.commit_within(transaction, DEFAULT_TIMEOUT)
     }
 
-    /// The same as [`commit`](Self::commit), with a timeout of the caller's.
+    /// Like [`commit`](Self::commit), with a given timeout.
     pub fn commit_within(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
         let kind = if transaction.operations.is_empty() {
             RequestKind::Comparison
         } else {
-            RequestKind::Change
+            RequestKind::Write
         };
-        let answer = self.client.post("/txn", transaction, timeout);
-        let outcome = commit_outcome(self.count(kind, answer));
+        let outcome = self.client.post("/txn", transaction, timeout);
+        let outcome = commit_outcome(self.count(kind, outcome));
         if matches!(outcome, CommitOutcome::Limited) {
             self.rate_limited.store(true, Ordering::Relaxed);
         }
@@ -195,37 +195,37 @@
     /// Requests a lease that expires unless it is renewed within `life`; returns its id.
     ///
     /// # Errors
-    /// [`Unavailable`] if no usable response came.
+    /// [`Unavailable`] if no usable response was received.
     pub fn grant(&self, life: Duration) -> Result<LeaseId, Unavailable> {
         let body = json!({"life_ms": life.as_millis() as u64});
-        let answer = self.client.post("/leases", &body, DEFAULT_TIMEOUT);
-        let granted: Option<LeaseGranted> = self.count(RequestKind::Lease, answer).ok();
+        let outcome = self.client.post("/leases", &body, DEFAULT_TIMEOUT);
+        let granted: Option<LeaseGranted> = self.count(RequestKind::Lease, outcome).ok();
         granted.map(|granted| granted.lease).ok_or(Unavailable)
     }
 
-    /// Renews a lease for its full time.
+    /// Renews a lease for its full duration.
     pub fn renew(&self, lease: LeaseId, timeout: Duration) -> Renewal {
         let path = format!("/leases/{lease}/extend");
-        let answer = self.client.post(&path, &json!({}), timeout);
-        match self.count(RequestKind::Lease, answer) {
+        let outcome = self.client.post(&path, &json!({}), timeout);
+        match self.count(RequestKind::Lease, outcome) {
             HttpOutcome::Response(OK, _) => Renewal::Renewed,
             HttpOutcome::Response(NOT_FOUND, _) => Renewal::Expired,
             _ => Renewal::Unavailable,
         }
     }
 
-    /// Ends a lease, on a best-effort basis: if the request fails, the lease expires by itself.
+    /// Releases a lease on a best-effort basis: if the request fails, the lease expires later.
     pub fn release(&self, lease: LeaseId) {
         let path = format!("/leases/{lease}");
-        let answer = self.client.delete(&path, DEFAULT_TIMEOUT);
-        self.count(RequestKind::Lease, answer);
+        let outcome = self.client.delete(&path, DEFAULT_TIMEOUT);
+        self.count(RequestKind::Lease, outcome);
     }
 
     /// Waits up to `hold` for changes under a prefix after the revision `after`. `None` if the service
     /// no longer retains the changes since that revision: the keys must be read again.
     ///
     /// # Errors
-    /// [`Unavailable`] if no usable response came.
+    /// [`Unavailable`] if no usable response was received.
     pub fn watch(
         &self,
         prefix: &str,
@@ -234,17 +234,17 @@
     ) -> Result<Option<Events>, Unavailable> {
         let hold_ms = hold.as_millis();
         let path = format!("/changes?under={prefix}&after={after}&hold_ms={hold_ms}");
-        let answer = self.client.get(&path, hold + DEFAULT_TIMEOUT);
-        match self.count(RequestKind::Watch, answer) {
+        let outcome = self.client.get(&path, hold + DEFAULT_TIMEOUT);
+        match self.count(RequestKind::Watch, outcome) {
             HttpOutcome::Response(GONE, _) => Ok(None),
-            answer => answer.ok().map(Some).ok_or(Unavailable),
+            outcome => outcome.ok().map(Some).ok_or(Unavailable),
         }
     }
 }
 
-/// Reads the response to a transaction.
-fn commit_outcome(answer: HttpOutcome) -> CommitOutcome {
-    match answer {
+/// Maps the HTTP outcome of a transaction to a [`CommitOutcome`].
+fn commit_outcome(outcome: HttpOutcome) -> CommitOutcome {
+    match outcome {
         HttpOutcome::Response(OK, body) => {
             match serde_json::from_slice::<TransactionApplied>(&body) {
                 Ok(applied) => CommitOutcome::Applied(applied.revision),
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,9 +1,9 @@
-//! Access to the state service, the records kept in it, and what a process remembers of them.
+//! Access to the state service, the records stored in it, and in-memory indexes of them.
 //!
-//! - [`key_value_store`]: the client of the state service; [`outcome`]: how its requests end
+//! - [`key_value_store`]: the client of the state service; [`outcome`]: the outcomes of its requests
 //! - [`records`]: the keys and their values
-//! - [`token_bucket`]: a rate limit; [`request_counts`]: statistics of the requests sent
-//! - [`recent_jobs`], [`cancellation_log`]: bounded memories of this process
+//! - [`token_bucket`]: the rate limiter; [`request_counts`]: statistics of the requests sent
+//! - [`recent_jobs`], [`cancellation_log`]: bounded in-memory indexes, lost when the process ends
 
 pub mod cancellation_log;
 pub mod key_value_store;
--- a/src/storage/outcome.rs
+++ b/src/storage/outcome.rs
@@ -1,39 +1,40 @@
-//! How requests to the state service end, as far as its callers need to tell apart.
+//! The outcomes of requests to the state service, as far as callers distinguish them.
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 #[derive(Debug)]
 pub enum CommitOutcome {
-    /// It was applied at this revision, which is the version of every key that it has put.
+    /// Applied at this revision, which is the new version of every key that the transaction put.
     Applied(u64),
-    /// It was not applied: these keys have other versions than those compared with.
+    /// Not applied: these keys have other versions than the transaction compared them with.
     Conflict(Vec<String>),
-    /// It was not applied: the service refused it (an outage, of the service or of this node alone),
-    /// or no connection was made. It may be retried as it is.
+    /// Not applied: the service rejected the transaction because of an outage, either of the service or
+    /// for this controller alone, or no connection was established. It may be retried unchanged.
     Refused,
-    /// It was not applied: it exceeded the service's rate limit. It may be retried later.
+    /// Not applied: the transaction exceeded the service's rate limit. It may be retried later.
     Limited,
-    /// It was not applied and never will be: the service calls it malformed, which it does if a value
-    /// or the whole transaction exceeds a size limit.
+    /// Not applied, and a retry would fail as well: the service rejected the transaction as malformed,
+    /// as it does when a value or the whole transaction exceeds a size limit.
     TooLarge,
-    /// It was not applied: a lease that it names has expired.
+    /// Not applied: a lease that the transaction names has expired.
     NoLease,
-    /// No usable response came: it may have been applied, or may yet be at any later time.
+    /// Unknown, as no usable response was received: the transaction may have been applied, or may still
+    /// be applied at any later time.
     Indeterminate,
 }
 
-/// The state service gave no usable response: it refused the request, was not reached, or did not
-/// respond in time.
+/// No usable response from the state service: it rejected the request, was unreachable, or did not
+/// respond before the timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the state service is unavailable")]
 pub struct Unavailable;
 
-/// How the renewal of a lease ended.
+/// The outcome of a lease renewal.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Renewal {
-    /// The lease has its full time again.
+    /// The lease was renewed for its full duration.
     Renewed,
     /// The lease has expired, and the keys attached to it are deleted.
     Expired,
-    /// Nothing is known of the lease: no usable response came.
+    /// Unknown: no usable response was received.
     Unavailable,
 }
--- a/src/storage/recent_jobs.rs
+++ b/src/storage/recent_jobs.rs
@@ -1,12 +1,12 @@
-//! A bounded memory of the most recent jobs: older ones are read from the state service.
+//! A bounded in-memory index of recent jobs. Older jobs must be read from the state service.
 
 use crate::protocol::job::JobState;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Remembers an immutable fact about each of the most recent jobs, so that any controller can answer
-/// from memory. The first value of a job stays; beyond the capacity, the job that was entered first is
-/// evicted.
+/// Maps the most recently inserted jobs to an immutable value, so that a controller can answer requests
+/// about them from memory. The first value inserted for a job is never replaced; beyond the capacity,
+/// the oldest insertion is evicted.
 pub struct RecentJobs<T> {
     capacity: usize,
     values: HashMap<Arc<str>, T>,
@@ -14,11 +14,11 @@
     insertion_order: VecDeque<Arc<str>>,
 }
 
-/// The final states of the jobs that ended most recently.
+/// The final states of the most recently finished jobs.
 pub type RecentFinalStates = RecentJobs<JobState>;
 
 impl<T> RecentJobs<T> {
-    /// An empty memory of up to `capacity` jobs, at least one.
+    /// An empty index of up to `capacity` jobs; a capacity of 0 is raised to 1.
     pub fn new(capacity: usize) -> RecentJobs<T> {
         RecentJobs {
             capacity: capacity.max(1),
@@ -27,12 +27,12 @@
         }
     }
 
-    /// The value of a job, if it is remembered.
+    /// The value of a job, if the index contains it.
     pub fn get(&self, id: &str) -> Option<&T> {
         self.values.get(id)
     }
 
-    /// Enters a job, unless it is remembered already.
+    /// Inserts a job, unless the index already contains it.
     pub fn insert(&mut self, id: &str, value: T) {
         if self.values.contains_key(id) {
             return;
--- a/src/storage/records/final_state.rs
+++ b/src/storage/records/final_state.rs
@@ -1,21 +1,21 @@
-//! The end of a job.
+//! The record of a finished job.
 
 use crate::protocol::job::JobState;
 use serde::{Deserialize, Serialize};
 
-/// How a job ended. The record is write-once.
+/// The final state of a job. The record is write-once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinalStateRecord {
     /// The final state.
     pub state: JobState,
-    /// When the record was written, in milliseconds of the time of day. Earlier versions did not
-    /// record it.
+    /// When the record was written, in milliseconds since the Unix epoch. Earlier versions did not
+    /// store it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at_ms: Option<u64>,
 }
 
 impl FinalStateRecord {
-    /// The end of a job that is cancelled at a time of day.
+    /// The record of a job that is cancelled at `at_ms`, in milliseconds since the Unix epoch.
     pub fn cancelled(at_ms: u64) -> FinalStateRecord {
         FinalStateRecord {
             state: JobState::Cancelled,
--- a/src/storage/records/keys.rs
+++ b/src/storage/records/keys.rs
@@ -2,15 +2,15 @@
 
 /// The key of the leader's record.
 pub const LEADER_KEY: &str = "leader";
-/// The prefix of accepted jobs that have not ended.
+/// The prefix of the records of open jobs.
 pub const OPEN_PREFIX: &str = "open/";
-/// The prefix of the ends of jobs.
+/// The prefix of the records of final states.
 pub const FINAL_STATE_PREFIX: &str = "end/";
-/// The prefix of the allocations of tasks.
+/// The prefix of the records of allocations.
 pub const PLACEMENT_PREFIX: &str = "place/";
-/// The prefix of the completed tasks.
+/// The prefix of the records of completed tasks.
 pub const COMPLETION_PREFIX: &str = "run/";
-/// The key of the machine types.
+/// The key of the machine types that the cloud last listed.
 pub const MACHINE_TYPES_KEY: &str = "types";
 
 /// The key of a job's open record, `open/ID`.
@@ -18,7 +18,7 @@
     format!("{OPEN_PREFIX}{id}")
 }
 
-/// The key of a job's end record, `end/ID`.
+/// The key of the record of a job's final state, `end/ID`.
 pub fn final_state_key(id: &str) -> String {
     format!("{FINAL_STATE_PREFIX}{id}")
 }
@@ -29,7 +29,7 @@
     format!("{COMPLETION_PREFIX}{id}/{number}")
 }
 
-/// Splits `run/ID/N` into the job's id and the record's number.
+/// Splits `run/ID/N` into the job's id and the record's number; `None` for any other key.
 pub fn parse_completion_key(key: &str) -> Option<(&str, usize)> {
     let (id, number) = key.strip_prefix(COMPLETION_PREFIX)?.rsplit_once('/')?;
     Some((id, number.parse().ok()?))
@@ -40,7 +40,7 @@
     format!("{PLACEMENT_PREFIX}{placement_record}")
 }
 
-/// The record's number in `place/N`.
+/// The record's number in `place/N`; `None` for any other key.
 pub fn parse_placement_key(key: &str) -> Option<usize> {
     key.strip_prefix(PLACEMENT_PREFIX)?.parse().ok()
 }
--- a/src/storage/records/mod.rs
+++ b/src/storage/records/mod.rs
@@ -1,19 +1,20 @@
-//! The records kept in the state service, by kind.
+//! The records stored in the state service.
 //!
 //! | key | record | module |
 //! | --- | --- | --- |
-//! | `leader` | [`LeaderRecord`]: the leader, on its lease; the key's version is the fencing token | [`leader`] |
-//! | `open/ID` | [`OpenRecord`]: an accepted job and its description, until the job ends | [`open`] |
-//! | `end/ID` | [`FinalStateRecord`]: how the job ended; write-once, kept for ever | [`final_state`] |
+//! | `leader` | [`LeaderRecord`]: the leader; attached to the leadership lease | [`leader`] |
+//! | `open/ID` | [`OpenRecord`]: an open job and its description; deleted when the job finishes | [`open`] |
+//! | `end/ID` | [`FinalStateRecord`]: the final state of a job; write-once, never deleted | [`final_state`] |
 //! | `place/N` | [`StoredPlacements`]: allocations of tasks, of many jobs together | [`placements`] |
 //! | `run/ID/N` | [`StoredCompletions`]: which of a range of tasks have completed | [`completions`] |
 //! | `types` | the machine types that the cloud last listed | |
 //!
-//! A job is accepted by writing `open/ID` on the condition that neither that nor `end/ID` exists: one
-//! write, and a copy of it that is applied late finds one of the two. Machines have no records: an
-//! allocation names its machine, whose own heartbeat or the cloud's list has the rest.
+//! A job is accepted by a transaction that puts `open/ID` if neither `open/ID` nor `end/ID` exists. A
+//! duplicate of the transaction that is applied later fails, because one of the two keys exists by then.
+//! Machines have no records: an allocation names its machine, and all other facts about a machine come
+//! from its heartbeats or the cloud's list of machines.
 //!
-//! Records only gain optional fields, so that every version reads what an earlier one has written.
+//! Records only gain optional fields, so that every version can read the records of earlier versions.
 
 pub mod completions;
 pub mod final_state;
--- a/src/storage/records/open.rs
+++ b/src/storage/records/open.rs
@@ -1,23 +1,23 @@
-//! An accepted job that has not ended.
+//! The record of an open job.
 
 use crate::protocol::job::JobSpec;
 use serde::{Deserialize, Serialize};
 
-/// An accepted job that has not ended.
+/// An open job: accepted, and not finished.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredOpen", into = "StoredOpen")]
 pub struct OpenRecord {
     /// The job's description.
     pub spec: JobSpec,
-    /// When it was accepted, in milliseconds of the time of day.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Whether its user has cancelled it. Its tasks are being stopped.
+    /// Whether the job's user has cancelled it; its tasks are then being stopped.
     pub cancelled: bool,
 }
 
-/// The stored form of an [`OpenRecord`]. A version that does not know prerequisites would start the
-/// job at once; therefore a job with prerequisites allows no machine type as far as such a version can
-/// read, so that it keeps the job pending.
+/// The stored form of an [`OpenRecord`]. A version without support for dependencies would start a
+/// dependent job at once. The stored description of such a job therefore allows no machine type, so that
+/// such a version leaves the job pending; the allowed types are stored in `waits`.
 #[derive(Serialize, Deserialize)]
 struct StoredOpen {
     spec: JobSpec,
@@ -25,12 +25,12 @@
     #[serde(default)]
     cancelled: bool,
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "waits")]
-    prerequisites: Option<StoredPrerequisites>,
+    dependencies: Option<StoredDependencies>,
 }
 
-/// The prerequisites of a job, and the machine types that it allows once they are done.
+/// The dependencies of a job, and the machine types that its description allows.
 #[derive(Serialize, Deserialize)]
-struct StoredPrerequisites {
+struct StoredDependencies {
     #[serde(rename = "on")]
     jobs: Vec<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -40,9 +40,9 @@
 impl From<StoredOpen> for OpenRecord {
     fn from(stored: StoredOpen) -> OpenRecord {
         let mut spec = stored.spec;
-        if let Some(prerequisites) = stored.prerequisites {
-            spec.waits_on = prerequisites.jobs;
-            spec.types = prerequisites.types;
+        if let Some(dependencies) = stored.dependencies {
+            spec.waits_on = dependencies.jobs;
+            spec.types = dependencies.types;
         }
         OpenRecord {
             spec,
@@ -55,7 +55,7 @@
 impl From<OpenRecord> for StoredOpen {
     fn from(record: OpenRecord) -> StoredOpen {
         let mut spec = record.spec;
-        let prerequisites = (!spec.waits_on.is_empty()).then(|| StoredPrerequisites {
+        let dependencies = (!spec.waits_on.is_empty()).then(|| StoredDependencies {
             jobs: std::mem::take(&mut spec.waits_on),
             types: spec.types.replace(Vec::new()),
         });
@@ -63,13 +63,13 @@
             spec,
             at_ms: record.at_ms,
             cancelled: record.cancelled,
-            prerequisites,
+            dependencies,
         }
     }
 }
 
 impl OpenRecord {
-    /// The record of a job that is accepted at a time of day.
+    /// The record of a job that is accepted at `at_ms`, in milliseconds since the Unix epoch.
     pub fn accepted(spec: JobSpec, at_ms: u64) -> OpenRecord {
         OpenRecord {
             spec,
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The record of the job after its user has cancelled it. If it were larger than `max_bytes`, as
-    /// an old record is under smaller limits, it loses what only the placement of tasks needs.
+    /// The record of the job after its user has cancelled it. A record larger than `max_bytes`, which
+    /// occurs if it was written under larger limits, drops the fields that only placement needs.
     pub fn into_cancelled(mut self, max_bytes: usize) -> OpenRecord {
         self.cancelled = true;
         if self.bytes() > max_bytes {
--- a/src/storage/request_counts.rs
+++ b/src/storage/request_counts.rs
@@ -1,10 +1,10 @@
-//! Statistics of the requests that this process sends to the state service, by kind.
+//! Statistics of the requests that this process sends to the state service, by kind of request.
 
 use crate::protocol::TOO_MANY_REQUESTS;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a request does.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug)]
 pub enum RequestKind {
     /// Reads one key.
@@ -13,29 +13,29 @@
     Page,
     /// A transaction that only compares.
     Comparison,
-    /// A transaction that changes something.
-    Change,
+    /// A transaction with write operations.
+    Write,
     /// Waits for changes.
     Watch,
-    /// Grants, renews or ends a lease.
+    /// Grants, renews or releases a lease.
     Lease,
 }
 
-/// All kinds with the words that they are reported by, in the order of their discriminants.
+/// All kinds with their names in log lines, in the order of their discriminants.
 const KINDS: [(RequestKind, &str); 6] = [
     (RequestKind::Read, "reads"),
     (RequestKind::Page, "pages"),
     (RequestKind::Comparison, "comparisons"),
-    (RequestKind::Change, "changes"),
+    (RequestKind::Write, "writes"),
     (RequestKind::Watch, "watches"),
-    (RequestKind::Lease, "of leases"),
+    (RequestKind::Lease, "lease requests"),
 ];
 
-/// Counts that several threads add to.
+/// Request counters, shared by several threads.
 #[derive(Debug, Default)]
 pub struct RequestCounts {
     sent: [AtomicU64; KINDS.len()],
-    /// Requests that exceeded the service's rate limit.
+    /// Requests that the service rejected because of its rate limit.
     limited: AtomicU64,
 }
 
@@ -70,7 +70,7 @@
         let all: u64 = self.sent.iter().sum();
         write!(
             out,
-            "{all} requests, {} of them refused as too many:",
+            "{all} requests, {} of them rate-limited:",
             self.limited
         )?;
         for (kind, name) in KINDS {
--- a/src/storage/token_bucket.rs
+++ b/src/storage/token_bucket.rs
@@ -1,7 +1,7 @@
-//! A token bucket: the rate limit for requests to services that limit their rate.
+//! A token bucket that keeps requests within the rate limits of the services.
 
-/// A rate limit that allows `rate` units a second on average, and up to `burst` units at once. The
-/// clock is the caller's: `now` is in seconds, and a time before the last one refills nothing.
+/// A rate limiter that allows `rate` units per second on average, and up to `burst` units at once. The
+/// caller passes the time as `now`, in seconds; a time before the previous one refills nothing.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     /// Units refilled per second.
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Lowers the limits from now on; they never rise.
+    /// Lowers the rate and the capacity to at most these values; neither is ever raised.
     pub fn lower(&mut self, rate: f64, burst: f64) {
         self.rate = self.rate.min(rate);
         self.burst = self.burst.min(burst);
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -103,7 +103,7 @@
         let now = f64::from(second);
         for rent in unanswered.drain(..) {
             assert_eq!(rent.zone, "y", "at {second} s");
-            manager.machines_rented(&rent.request, Some(Vec::new()), now);
+            manager.machines_rented(&rent.idempotency_key, Some(Vec::new()), now);
         }
         heartbeat(&mut manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
@@ -175,7 +175,7 @@
             let (rented, returned) = (&mut self.rented, &mut self.returned);
             carry_out(&mut self.manager, now, |manager, effect| match effect {
                 Effect::RentMachines(rent) => {
-                    manager.machines_rented(&rent.request, Some(Vec::new()), now);
+                    manager.machines_rented(&rent.idempotency_key, Some(Vec::new()), now);
                     rented.push(rent);
                 }
                 Effect::ReturnMachines(names) => {
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -81,7 +81,7 @@
             Effect::RentMachines(rent) => {
                 let names = (!self.cloud_is_down).then(|| self.rent(&rent));
                 self.with_controller(from, |manager| {
-                    manager.machines_rented(&rent.request, names, now);
+                    manager.machines_rented(&rent.idempotency_key, names, now);
                 });
             }
             Effect::RaiseToken => {
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -197,7 +197,7 @@
             }
             Effect::RentMachines(rent) => {
                 self.manager
-                    .machines_rented(&rent.request, Some(Vec::new()), self.now);
+                    .machines_rented(&rent.idempotency_key, Some(Vec::new()), self.now);
             }
             Effect::RaiseToken => {
                 let token = FencingToken(self.manager.token().0 + 1);
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -130,7 +130,7 @@
             Effect::RentMachines(rent) => {
                 let machines = self.rent(&rent.zone, rent.count as usize);
                 self.manager()
-                    .machines_rented(&rent.request, Some(machines), now);
+                    .machines_rented(&rent.idempotency_key, Some(machines), now);
             }
             Effect::RaiseToken => {
                 let token = self.raise_token();
