--- a/build.rs
+++ b/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the peers' protocol with a compiler written in Rust, so that a build needs no
+//! Compiles `proto/peer.proto` with protox, a compiler written in Rust, so that a build does not need an
 //! installed `protoc`.
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let descriptors = protox::compile(["proto/peer.proto"], ["proto"])?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,13 @@
-//! stairstage: a cluster scheduler with one leading controller that backfills on learned run
-//! times.
+//! stairstage: a cluster scheduler with one leading controller and backfill based on learned run times.
 //!
-//! The layers depend downwards only:
+//! The modules, from the command line inwards:
 //!
-//! - [`cli`] and [`settings`]: the command line, the platform's file and the operators' own;
-//! - [`service`]: starts the actors and joins them by channels;
-//! - [`transport`]: the HTTP front, HTTP clients and the gRPC between controllers;
-//! - [`coordination`]: leadership, recovery and the clock-free scheduler;
-//! - [`storage`]: what is kept in the state service, and within which budget;
-//! - [`protocol`]: wire types and their validation.
+//! - [`cli`] and [`settings`]: the command line, the platform's settings file and the operators' files
+//! - [`service`]: starts the threads of a controller and connects them by channels
+//! - [`transport`]: the API server, HTTP clients and gRPC between controllers
+//! - [`coordination`]: leader election, recovery, and the scheduler, which reads no clock itself
+//! - [`storage`]: the state service's client, the stored records and the rate limits
+//! - [`protocol`]: wire types and their validation
 
 pub mod cli;
 pub mod coordination;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud's API and its responses.
+//! Requests and responses of the cloud's API.
 
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +25,7 @@
     /// The current price of a spot machine per hour.
     #[serde(rename = "market_price")]
     pub spot_price: f64,
-    /// The nominal time from the rental until a machine is up, in seconds.
+    /// The nominal boot time: from the rental request until a machine is up, in seconds.
     #[serde(rename = "startup_s")]
     pub boot_s: f64,
     /// The zones that offer this type.
@@ -44,8 +44,8 @@
 /// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// The idempotency key: a request that succeeded under this name rents nothing when it is
-    /// repeated, so a name is never reused for another rental.
+    /// The idempotency key. The cloud rents nothing for a key that has already succeeded, so every
+    /// rental needs a new key.
     #[serde(rename = "charter")]
     pub idempotency_key: String,
     /// The machine type.
@@ -73,15 +73,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Rented and charged, but not up yet. As the list lags, its worker may be up already.
+    /// Rented and charged, but not up yet. Because the list lags, the machine may actually be up.
     Booting,
-    /// Up. As the list lags, it may be gone already.
+    /// Up. Because the list lags, the machine may actually be gone.
     Running,
-    /// Stopped on its own: no longer charged, and listed until it is returned.
+    /// Stopped by a fault: no longer charged, but listed until it is returned.
     Failed,
 }
 
-/// A machine in the cloud's list. The list lags behind the actual machines.
+/// A machine in the cloud's list, which lags behind the actual state of the machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// The machine's name.
@@ -102,7 +102,7 @@
     /// The lifecycle state.
     #[serde(rename = "status")]
     pub state: MachineState,
-    /// Seconds since the rental request, as of the moment that the list describes.
+    /// Seconds from the rental request to the moment that the list describes.
     pub age_s: f64,
 }
 
--- a/src/protocol/ids.rs
+++ b/src/protocol/ids.rs
@@ -1,9 +1,9 @@
-//! Numbers on the wire that can't be mixed up.
+//! Newtypes for numbers on the wire, so that the compiler rejects one in place of another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Defines a number of a type of its own.
+/// Defines a newtype of `u64` that is serialized as the plain number.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -22,17 +22,18 @@
 }
 
 number_type! {
-    /// The fencing token of a leader: the version of its record. A worker ignores commands with a lower
-    /// token than it has seen. 0 is none.
+    /// The fencing token of a leader: the version of the leader's record. A worker ignores commands with
+    /// a lower token than the highest that it has seen. 0 stands for no token.
     FencingToken
 }
 
 number_type! {
-    /// The incarnation of a worker's process; it rises when the process loses its tasks. 0 is none.
+    /// The incarnation of a worker's process; it rises when the process loses its tasks. 0 stands for no
+    /// incarnation.
     Incarnation
 }
 
 number_type! {
-    /// The number of a heartbeat in an incarnation. 0 is none.
+    /// The sequence number of a heartbeat within an incarnation. 0 stands for no heartbeat.
     HeartbeatSequence
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,16 +1,16 @@
-//! Jobs: the descriptions that users submit, their validation, and the status that users query.
+//! Job descriptions as users submit them, their validation, and the job status that users query.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
-/// How the tasks of a job belong together.
+/// The kind of a job, which determines how its tasks are scheduled together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// All tasks run at the same time or none does.
+    /// Tasks that must all run at the same time.
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -18,7 +18,7 @@
     Service,
 }
 
-/// A job's priority. The order of the variants is the order of the priorities, from the lowest.
+/// A job's priority, ordered from the lowest to the highest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
     /// Below normal work.
@@ -41,19 +41,19 @@
     /// The job's unique id, chosen by its user. A retried submission has the same id.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// The class of jobs it belongs to. Service-level objectives are set by class.
+    /// The job's class. Service-level objectives are set by class.
     #[serde(rename = "duty")]
     pub class: String,
-    /// The team whose quota it uses.
+    /// The team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks belong together.
+    /// The kind of the job.
     #[serde(rename = "rig")]
     pub kind: JobKind,
-    /// Its priority.
+    /// The job's priority.
     #[serde(rename = "precedence")]
     pub priority: Priority,
-    /// The number of its tasks, which are numbered from 0.
+    /// The number of tasks. Tasks are numbered from 0.
     #[serde(rename = "legs")]
     pub tasks: u32,
     /// CPUs that each task requests.
@@ -63,16 +63,16 @@
     /// Memory that each task requests, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: f64,
-    /// The image that a machine must have before a task can start.
+    /// The image that a machine must have fetched before a task can start.
     #[serde(rename = "kit")]
     pub image: String,
     /// The size of the image, in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// The allowed machine types; any if it is absent.
+    /// The allowed machine types; `None` allows all.
     #[serde(rename = "hulls")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone; any if it is absent.
+    /// The only allowed zone; `None` allows all.
     #[serde(rename = "berth")]
     pub zone: Option<String>,
     /// Whether all tasks must be in the same zone.
@@ -86,18 +86,18 @@
     /// The user's estimate of a task's run time without the image fetch, in seconds; 0 for services.
     #[serde(rename = "passage_s")]
     pub estimate_s: f64,
-    /// The interval of progress between checkpoints, in seconds. With 0 a task never saves, and loses
+    /// The progress between two checkpoints, in seconds. With 0, a task saves no checkpoints and loses
     /// its progress when it is stopped.
     #[serde(rename = "fix_interval_s")]
     pub checkpoint_s: f64,
     /// The time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "fix_s")]
     pub save_s: f64,
-    /// The deadline of the whole job, in seconds from its submission, if it has one.
+    /// The deadline of the whole job, if any, in seconds from its submission.
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
-    /// The ids of its prerequisites: jobs that must be done before any of its tasks starts. Submissions
-    /// and stored records have forms of their own for it, so it is no part of this one.
+    /// The ids of the job's dependencies: jobs that must be done before any task of this job starts.
+    /// Submissions and stored records encode them differently, so serde skips the field.
     #[serde(skip)]
     pub waits_on: Vec<String>,
 }
@@ -108,7 +108,7 @@
 pub struct InvalidField {
     /// The name of the invalid field on the wire, or `body` if the whole body is invalid.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub reason: &'static str,
 }
 
@@ -125,7 +125,7 @@
 /// The maximum number of digits of a task's number.
 const MAX_TASK_DIGITS: usize = 6;
 
-/// Whether `id` has the form that all job ids have, such as `req-000412`.
+/// Whether `id` is a well-formed job id, such as `req-000412`.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix("req-").is_some_and(|rest| {
         !rest.is_empty()
@@ -134,7 +134,8 @@
     })
 }
 
-/// Splits a task's name, such as `req-000412/3`, into the job's id and the task's number.
+/// Splits a task's name, such as `req-000412/3`, into the job's id and the task's number; `None` if the
+/// name is malformed.
 pub fn parse_task(name: &str) -> Option<(&str, u32)> {
     let (job, number) = name.rsplit_once('/')?;
     if !is_job_id(job)
@@ -146,7 +147,7 @@
     Some((job, number.parse().ok()?))
 }
 
-/// The fields of a submission, read with validation. A field that is null counts as missing.
+/// Validating accessors for the fields of a submission. A field that is null counts as missing.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl Fields<'_> {
@@ -159,7 +160,7 @@
         match self.get(name) {
             None => invalid(name, "is missing"),
             Some(Value::String(s)) if s.is_empty() || s.len() > MAX_TEXT_BYTES => {
-                invalid(name, "has no sensible length")
+                invalid(name, "must be 1 to 150 bytes long")
             }
             Some(Value::String(s)) => Ok(s.clone()),
             Some(_) => invalid(name, "must be a string"),
@@ -175,7 +176,7 @@
         match self.get(name).map(Value::as_f64) {
             None => invalid(name, "is missing"),
             Some(Some(x)) if x.is_finite() && x >= 0.0 => Ok(x),
-            Some(_) => invalid(name, "must be a number that is not negative"),
+            Some(_) => invalid(name, "must be a number, 0 or more"),
         }
     }
 
@@ -194,7 +195,7 @@
     fn job_id(&self, name: &'static str) -> Result<String, InvalidField> {
         let id = self.text(name)?;
         if !is_job_id(&id) {
-            return invalid(name, "has not the form of a job id");
+            return invalid(name, "must be a job id: req- and 1 to 40 letters or digits");
         }
         Ok(id)
     }
@@ -204,11 +205,11 @@
         match self.get(name).map(Value::as_u64) {
             None => invalid(name, "is missing"),
             Some(Some(n)) if (1..=MAX_TASKS).contains(&n) => Ok(n as u32),
-            Some(_) => invalid(name, "must be a count from 1 to 100000"),
+            Some(_) => invalid(name, "must be an integer from 1 to 100000"),
         }
     }
 
-    /// A list of machine types; `None`, which stands for any type, if it is missing.
+    /// A list of machine types; `None`, which allows all types, if the field is missing.
     fn machine_types(&self, name: &'static str) -> Result<Option<Vec<String>>, InvalidField> {
         let list = match self.get(name) {
             None => return Ok(None),
@@ -222,7 +223,7 @@
         types.collect::<Result<Vec<_>, _>>().map(Some)
     }
 
-    /// A list of job ids, sorted and without duplicates; empty if it is missing.
+    /// A list of job ids, sorted and without duplicates; empty if the field is missing.
     fn job_ids(&self, name: &'static str) -> Result<Vec<String>, InvalidField> {
         let list = match self.get(name) {
             None => return Ok(Vec::new()),
@@ -254,7 +255,7 @@
     /// Parses and validates the body of a submission.
     ///
     /// # Errors
-    /// Names the field that is missing or invalid.
+    /// The first field that is missing or invalid.
     pub fn parse(body: &[u8]) -> Result<JobSpec, InvalidField> {
         let value: Value = match serde_json::from_slice(body) {
             Ok(v) => v,
@@ -264,7 +265,7 @@
             return invalid("body", "is not an object");
         };
         let f = Fields(map);
-        // Of several invalid fields, the first in this order is reported.
+        // If several fields are invalid, the error names the first one in this order.
         Ok(JobSpec {
             id: f.job_id("name_id")?,
             tasks: f.task_count("legs")?,
@@ -295,18 +296,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// Accepted; none of its tasks runs.
+    /// Accepted; no task is running or done.
     Pending,
-    /// At least one of its tasks runs or is done.
+    /// At least one task is running or done.
     Running,
-    /// All of its tasks are done.
+    /// All tasks are done.
     Done,
-    /// Its user has cancelled it.
+    /// Cancelled by the job's user.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether the state is final.
+    /// Whether the state is final, that is, the job is finished.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Cancelled)
     }
@@ -318,11 +319,11 @@
     /// The job's id.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// Its state.
+    /// The job's state.
     #[serde(rename = "status")]
     pub state: JobState,
     /// The number of tasks that are done.
     pub done: u32,
-    /// The number of tasks that run.
+    /// The number of tasks that are running.
     pub running: u32,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,13 +1,13 @@
 //! Wire types of every interface, and their validation.
 //!
-//! The names that the platform uses on the wire appear in this module alone, as serde renames. The
-//! rest of the program uses the standard terms: jobs, tasks, machines, fencing tokens, attempts,
-//! leases.
+//! Only this module contains the names that the platform uses on the wire, as serde renames. The rest of
+//! the program uses standard terms: job, task, machine, fencing token, attempt, lease.
 //!
-//! - [`job`]: users' submissions and what they are answered
-//! - [`worker`]: heartbeats of workers, and commands to them
+//! - [`job`]: users' submissions and the responses to users
+//! - [`worker`]: heartbeats of workers, and commands to workers
 //! - [`cloud`]: machine types, rentals and the list of machines
-//! - [`store`]: the state service's keys, transactions, leases and watches
+//! - [`store`]: keys, transactions, leases and watches of the state service
+//! - [`ids`]: newtypes for numbers
 
 pub mod cloud;
 pub mod ids;
@@ -15,8 +15,8 @@
 pub mod store;
 pub mod worker;
 
-/// The longest body that a request may have, in bytes.
+/// The maximum size of a request body, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// The HTTP status of a request beyond the rate limit of a service.
+/// The HTTP status of a request that exceeds a service's rate limit.
 pub const TOO_MANY_REQUESTS: u16 = 429;
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,7 +1,7 @@
 //! Requests and responses of the state service: a small, strongly consistent key-value store.
 //!
-//! Every applied transaction increments the store's *revision*. The *version* of a key is the revision
-//! of its last change; version 0 stands for a key that is absent.
+//! Every applied transaction increments the *revision* of the store. The *version* of a key is the
+//! revision of its last change; version 0 stands for an absent key.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -9,7 +9,7 @@
 use stairstage_upgrade::records::VERSION;
 use std::fmt;
 
-/// The id of a lease. Keys attached to a lease are deleted when it expires or is released.
+/// The id of a lease. When a lease expires or is released, the keys attached to it are deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaseId(pub u64);
@@ -33,7 +33,7 @@
     pub version: u64,
 }
 
-/// A page of the keys under a prefix, in the order of their names.
+/// A page of the keys under a prefix, ordered by key.
 #[derive(Debug, Deserialize)]
 pub struct Page {
     /// The keys of this page.
@@ -47,17 +47,17 @@
     pub revision: u64,
 }
 
-/// A condition of a [`Transaction`]: the key has exactly this version.
+/// A comparison in a [`Transaction`]: it holds if the key has exactly this version.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Compare {
     /// The key to compare.
     pub key: String,
-    /// The version that it must have; 0 if it must be absent.
+    /// The required version; 0 requires the key to be absent.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A write that a [`Transaction`] carries out.
+/// A write operation of a [`Transaction`].
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum WriteOperation {
@@ -69,8 +69,8 @@
         /// Its new value.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease to attach the key to: when the lease ends, the key is deleted. Without one, the
-        /// key is detached from any lease.
+        /// The lease to attach the key to; `None` detaches the key from any lease. The key is deleted
+        /// when the lease expires or is released.
         #[serde(rename = "mooring", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
@@ -82,21 +82,21 @@
     },
 }
 
-/// An atomic compare-and-swap: if every comparison holds, all operations are applied at one
-/// revision, else none.
+/// A compare-and-swap transaction: if all comparisons hold, all operations are applied atomically, at one
+/// revision; otherwise none is.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Transaction {
-    /// The conditions under which the operations are applied.
+    /// The comparisons that must hold.
     #[serde(rename = "if")]
     pub compares: Vec<Compare>,
-    /// The writes. A transaction without any only compares.
+    /// The write operations. A transaction without operations only compares.
     #[serde(rename = "apply", skip_serializing_if = "Vec::is_empty")]
     pub operations: Vec<WriteOperation>,
 }
 
 impl Transaction {
-    /// A transaction without operations that is conditional on the cluster version that the write
-    /// fence has read, if there is one.
+    /// An empty transaction, to which callers add operations. If the write fence has read the record of
+    /// the cluster version, the transaction is conditional on that record being unchanged.
     pub fn at_version(write_fence: &WriteFence) -> Self {
         let empty = Transaction::default();
         match write_fence.stamp() {
@@ -119,12 +119,12 @@
         self
     }
 
-    /// Adds a write of a key that is attached to no lease.
+    /// Adds a put of a key that is attached to no lease.
     pub fn put(self, key: impl Into<String>, value: Value) -> Self {
         self.push_put(key.into(), value, None)
     }
 
-    /// Adds a write of a key that is deleted when the lease ends.
+    /// Adds a put of a key that is attached to a lease.
     pub fn put_leased(self, key: impl Into<String>, value: Value, lease: LeaseId) -> Self {
         self.push_put(key.into(), value, Some(lease))
     }
@@ -151,14 +151,14 @@
     pub revision: u64,
 }
 
-/// The response to a transaction of which a comparison failed.
+/// The response to a transaction with a failed comparison.
 #[derive(Debug, Deserialize)]
 pub struct TransactionConflict {
-    /// The keys that have other versions than those compared with.
+    /// The keys whose comparisons failed.
     pub failed: Vec<String>,
 }
 
-/// The response to the request for a lease.
+/// The response to a request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct LeaseGranted {
     /// The id of the new lease.
@@ -166,13 +166,13 @@
     pub lease: LeaseId,
 }
 
-/// One change reported by a watch: either a put or a deletion.
+/// A change that a watch reports: either a put or a deletion.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
     /// The key that was put.
     #[serde(default, rename = "write")]
     pub put: Option<String>,
-    /// The key that was deleted, by a transaction or with its lease.
+    /// The key that was deleted, by a transaction or at the end of its lease.
     #[serde(default)]
     pub delete: Option<String>,
     /// The new value of a put; null for a deletion.
@@ -186,11 +186,11 @@
 /// The response to a watch.
 #[derive(Debug, Deserialize)]
 pub struct Events {
-    /// The store's revision, from which the next watch goes on.
+    /// The store's revision, to be passed to the next watch.
     #[serde(rename = "tally")]
     pub revision: u64,
-    /// All changes under the watched prefix after the given revision; empty if there were none until
-    /// the watch timed out.
+    /// All changes under the watched prefix after the requested revision; empty if the watch timed out
+    /// before any change.
     #[serde(rename = "news")]
     pub events: Vec<Event>,
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -7,16 +7,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Waiting for the machine to fetch its image.
     Fetching,
-    /// A task of a gang that waits for the other tasks of its attempt.
+    /// Waiting for the other tasks of its gang's attempt.
     Waiting,
-    /// Runs. Also reported for tasks of a gang that has lost a task, until they exit.
+    /// Running. A task of a gang that has lost another task is also reported as running until it exits.
     Running,
-    /// Was stopped and saves a checkpoint.
+    /// Saving a checkpoint after a stop command.
     #[serde(rename = "flushing")]
     Saving,
-    /// Has exited; see [`Cause`].
+    /// Exited; see [`Cause`].
     Exited,
 }
 
@@ -24,25 +24,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Cause {
-    /// It has completed. The worker keeps the result.
+    /// Completed. The worker keeps the result.
     Done,
-    /// It was stopped by a command.
+    /// Stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// Another task of its running gang is gone.
+    /// Another task of its running gang was lost.
     #[serde(rename = "peers")]
     GangTaskLost,
-    /// Its gang was not complete within the time limit.
+    /// Its gang was not complete before the timeout.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// It has failed, mostly because the machine is faulty.
+    /// Failed, in most cases because the machine is faulty.
     Error,
-    /// The start was refused: the machine lacks free resources.
+    /// The start was rejected: the machine lacks free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// The start was refused: the task is on this machine with another attempt.
+    /// The start was rejected: another attempt of the task is on the machine.
     Busy,
-    /// The start was refused: the worker finds no such job or task.
+    /// The start was rejected: the worker does not know the job or the task.
     Unknown,
 }
 
@@ -58,16 +58,16 @@
     /// The task's state.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it exited, if it has.
+    /// Why the task exited, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// Whether its progress was saved, if it was stopped.
+    /// Whether the task's progress was saved, if it was stopped.
     #[serde(default, rename = "kept", skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's heartbeat with the status of all its tasks. Workers send it periodically and on every
-/// change; it is also the response to a direct command.
+/// A worker's heartbeat with the status of all its tasks. Workers send heartbeats periodically and on
+/// every change, and respond with one to a direct command batch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine's name.
@@ -81,34 +81,33 @@
     /// The zone.
     #[serde(rename = "berth")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// The worker's incarnation: it begins at 1 and increments each time that the worker's lease
-    /// expires, when the worker kills and forgets all of its tasks.
+    /// The worker's incarnation. It starts at 1 and is incremented each time that the worker's lease
+    /// expires; the worker then kills and forgets all of its tasks.
     #[serde(rename = "watch")]
     pub incarnation: Incarnation,
-    /// The sequence number. Of two heartbeats, the one with the larger (incarnation, sequence) is
-    /// the newer.
+    /// The sequence number. Heartbeats are ordered by (incarnation, sequence).
     #[serde(rename = "log_no")]
     pub sequence: HeartbeatSequence,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "helm")]
     pub token: FencingToken,
-    /// Seconds until the cloud reclaims the machine, if it has given notice.
+    /// Seconds until the cloud reclaims the machine, if the cloud has given notice.
     #[serde(default, rename = "recall_s")]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, including exited ones that are not forgotten yet.
+    /// All tasks on the machine, including exited tasks that the worker has not been told to forget.
     #[serde(default, rename = "legs")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker. Commands are idempotent, except that a start after a forget starts the
-/// attempt anew.
+/// A command to a worker. Commands are idempotent, except that a start command repeated after a forget
+/// command starts the attempt again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "signal", rename_all = "lowercase")]
 pub enum Command {
-    /// Starts an attempt of a task, unless the worker already knows the attempt in any state.
+    /// Starts an attempt of a task, unless the worker already has that attempt in any state.
     #[serde(rename = "launch")]
     Start {
         /// The task's name, `JOB/NUMBER`.
@@ -118,7 +117,7 @@
         #[serde(rename = "sailing")]
         attempt: u64,
     },
-    /// Stops a task. A task that is saving is ended by a second stop without grace.
+    /// Stops a task. A second stop command, with no grace period, kills a task that is saving.
     Stop {
         /// The task's name, `JOB/NUMBER`.
         #[serde(rename = "leg")]
@@ -126,7 +125,7 @@
         /// The attempt.
         #[serde(rename = "sailing")]
         attempt: u64,
-        /// Seconds that the task may take to save a checkpoint.
+        /// The grace period: seconds that the task may take to save a checkpoint.
         #[serde(rename = "heave_s")]
         grace_s: f64,
     },
@@ -151,32 +150,32 @@
 /// The response to a heartbeat. It renews the worker's lease and carries commands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The fencing token of the sender; a worker drops what bears a lower token than it has seen.
+    /// The leader's fencing token. A worker ignores a response with a lower token than it has seen.
     #[serde(rename = "helm")]
     pub token: FencingToken,
-    /// The commands, carried out in order.
+    /// The commands, to be executed in order.
     #[serde(rename = "signals")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent directly to a worker. They do not renew its lease.
+/// A batch of commands sent directly to a worker. It does not renew the worker's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The fencing token of the sender; a worker drops what bears a lower token than it has seen.
+    /// The leader's fencing token. A worker ignores a batch with a lower token than it has seen.
     #[serde(rename = "helm")]
     pub token: FencingToken,
-    /// The incarnation of the worker that the commands are meant for; another one rejects them.
+    /// The target worker's incarnation. A worker in another incarnation rejects the batch.
     #[serde(rename = "watch")]
     pub incarnation: Incarnation,
-    /// The commands, carried out in order.
+    /// The commands, to be executed in order.
     #[serde(rename = "signals")]
     pub commands: Vec<Command>,
 }
 
-/// The response to a heartbeat that reached a controller other than the leader.
+/// The response of a controller that is not the leader to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRedirect {
-    /// The leader's name, if it is known.
+    /// The leader's name, if known.
     #[serde(rename = "harbour_master", skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
--- a/src/transport/api_server/connection_limits.rs
+++ b/src/transport/api_server/connection_limits.rs
@@ -1,26 +1,26 @@
-//! Counts of open connections, and the limits on them.
+//! Counts and limits the open connections.
 
 use super::Bounds;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Connections beyond the limit that may be open at a time to be refused with a 503; further ones are
-/// closed without a response.
-const MAX_REFUSALS: usize = 16;
+/// How many connections beyond the limit may be open at a time to be rejected with a 503. Any further
+/// connection is closed without a response.
+const MAX_REJECTIONS: usize = 16;
 
-/// The connections that are open now, by kind.
+/// The numbers of open connections by kind, and their limits.
 pub(super) struct ConnectionLimits {
     bounds: Bounds,
     open: AtomicUsize,
-    refusals: AtomicUsize,
+    rejections: AtomicUsize,
     workers: AtomicUsize,
     users: AtomicUsize,
 }
 
-/// A place among the connections of one kind, freed when it is dropped.
+/// A permit for one connection of a kind, released on drop.
 pub(super) struct ConnectionSlot<'a>(&'a AtomicUsize);
 
 impl<'a> ConnectionSlot<'a> {
-    /// Takes a place, unless `limit` of them are taken.
+    /// Acquires a permit, unless `limit` permits are already held.
     fn acquire(limit: usize, counter: &'a AtomicUsize) -> Option<ConnectionSlot<'a>> {
         if counter.fetch_add(1, Ordering::Relaxed) < limit {
             return Some(ConnectionSlot(counter));
@@ -41,28 +41,28 @@
         ConnectionLimits {
             bounds,
             open: AtomicUsize::new(0),
-            refusals: AtomicUsize::new(0),
+            rejections: AtomicUsize::new(0),
             workers: AtomicUsize::new(0),
             users: AtomicUsize::new(0),
         }
     }
 
-    /// A place for a connection of any kind.
+    /// A permit for a connection of any kind.
     pub(super) fn connection(&self) -> Option<ConnectionSlot<'_>> {
         ConnectionSlot::acquire(self.bounds.connections, &self.open)
     }
 
-    /// A place for a connection that is only refused.
-    pub(super) fn refusal(&self) -> Option<ConnectionSlot<'_>> {
-        ConnectionSlot::acquire(MAX_REFUSALS, &self.refusals)
+    /// A permit for a connection that is rejected with a 503.
+    pub(super) fn rejection(&self) -> Option<ConnectionSlot<'_>> {
+        ConnectionSlot::acquire(MAX_REJECTIONS, &self.rejections)
     }
 
-    /// A place for a worker's connection that is kept alive.
+    /// A permit for a worker's connection that is kept alive.
     pub(super) fn worker(&self) -> Option<ConnectionSlot<'_>> {
         ConnectionSlot::acquire(self.bounds.workers, &self.workers)
     }
 
-    /// A place for a user's connection.
+    /// A permit for a user's connection.
     pub(super) fn user(&self) -> Option<ConnectionSlot<'_>> {
         ConnectionSlot::acquire(self.bounds.users, &self.users)
     }
--- a/src/transport/api_server/mod.rs
+++ b/src/transport/api_server/mod.rs
@@ -1,8 +1,9 @@
-//! The HTTP server for users, workers and health checks, with limits on connections, bytes and time.
+//! The API server: the HTTP server for users, workers and health checks, with limits on the number of
+//! connections, the size of bodies and the time that reading a request may take.
 //!
-//! - `server`: accepts connections and serves requests on them;
-//! - `connection_limits`: how many connections of which kind may be open;
-//! - `routing`: which request a method and a path stand for.
+//! - `server`: accepts connections and serves requests
+//! - `connection_limits`: counts and limits the open connections
+//! - `routing`: maps methods and paths to requests
 
 mod connection_limits;
 mod routing;
@@ -13,7 +14,7 @@
 
 pub use server::serve;
 
-/// A request that has been routed and whose body has been read.
+/// A routed request with its body.
 #[derive(Debug, PartialEq)]
 pub enum ApiRequest {
     /// Submit the job that this body describes.
@@ -22,7 +23,7 @@
     Query(String),
     /// Cancel the job with this id.
     Cancel(String),
-    /// A worker's heartbeat with its status, still encoded.
+    /// A worker's heartbeat, as the JSON body that the worker sent.
     Heartbeat(Vec<u8>),
 }
 
@@ -38,21 +39,22 @@
     }
 }
 
-/// Handles a request: responds at once, or keeps the responder until the reply is known.
+/// Handles a request: replies at once, or stores the responder to reply later.
 pub type Handler = dyn Fn(ApiRequest, Responder) + Send + Sync;
-/// Whether this node can serve requests; answers the health check.
+/// Whether this controller can serve requests; determines the reply to health checks.
 pub type Health = dyn Fn() -> bool + Send + Sync;
 
-/// The server's limits. Workers and users have separate ones, so that neither can exhaust the
+/// The server's limits. Workers and users have separate limits, so that neither group can exhaust the
 /// connections of the other.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Open connections of all kinds.
+    /// Open connections of any kind.
     pub connections: usize,
-    /// Workers' connections that are kept alive between heartbeats. Workers beyond that are still
-    /// served, on connections that close with the response: a lease must not depend on a socket.
+    /// Workers' connections that are kept alive between heartbeats. Workers beyond the limit are still
+    /// served, but their connections are closed after the response: the renewal of a worker's lease must
+    /// not depend on a free slot.
     pub workers: usize,
-    /// Users' connections; users beyond that get a 503.
+    /// Users' connections. Users beyond the limit get a 503.
     pub users: usize,
     /// How long a connection may stay open without sending a complete request head.
     pub idle_timeout: Duration,
--- a/src/transport/api_server/routing.rs
+++ b/src/transport/api_server/routing.rs
@@ -1,14 +1,14 @@
-//! The mapping of methods and paths to requests.
+//! Maps methods and paths to requests.
 
 use super::ApiRequest;
 use crate::protocol::job::is_job_id;
 use crate::transport::Reply;
 use hyper::Method;
 
-/// The paths that workers use all begin like this.
+/// The prefix of all paths that workers use.
 const WORKER_PATH_PREFIX: &str = "/agent/";
 
-/// What a method and a path stand for.
+/// The route of a request, by its method and path.
 pub(super) enum Route {
     /// The health check.
     Health,
@@ -23,7 +23,7 @@
 }
 
 impl Route {
-    /// Whether the request needs its body to be read.
+    /// Whether the request's body must be read.
     pub(super) fn has_body(&self) -> bool {
         match self {
             Route::Submit | Route::Heartbeat | Route::Cancel(_) => true,
@@ -31,7 +31,8 @@
         }
     }
 
-    /// The request with its body; `None` for the health check, which the server answers itself.
+    /// Builds the request with its body; `None` for the health check, to which the server replies
+    /// without the handler.
     pub(super) fn into_request(self, body: Vec<u8>) -> Option<ApiRequest> {
         match self {
             Route::Health => None,
@@ -51,7 +52,7 @@
 /// Finds the route of a request.
 ///
 /// # Errors
-/// The reply to a request that has none: 404, or 405 where the path exists with another method.
+/// If the request has no route: the reply, a 404, or a 405 if the path exists with another method.
 pub(super) fn route(method: &Method, path: &str) -> Result<Route, Reply> {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (method, &parts[..]) {
@@ -66,7 +67,7 @@
             Err(Reply::error(404, "no such job"))
         }
         (_, ["healthz"] | ["v2", "runs"] | ["agent", "beat"] | ["v2", "runs", _])
-        | (_, ["v2", "runs", _, "abort"]) => Err(Reply::error(405, "wrong method")),
+        | (_, ["v2", "runs", _, "abort"]) => Err(Reply::error(405, "method not allowed")),
         _ => Err(Reply::error(404, "no such path")),
     }
 }
--- a/src/transport/api_server/server.rs
+++ b/src/transport/api_server/server.rs
@@ -23,14 +23,15 @@
 use tokio::net::TcpStream;
 use tracing::{debug, warn};
 
-/// How long refusing a connection may take.
-const REFUSAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause after a failed accept, such as one for lack of file descriptors.
+/// How long rejecting a connection may take.
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(250);
+/// The pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The read buffer of a connection, in bytes: it holds a request's head or a part of its body.
+/// The maximum size of a connection's read buffer, in bytes. The buffer holds a request's head or a part
+/// of its body.
 const MAX_READ_BUFFER: usize = 16 * 1024;
 /// The complete response to a connection beyond the limit.
-const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n\
+const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n\
     Connection: close\r\nContent-Type: application/json\r\nContent-Length: 41\r\n\r\n\
     {\"error\":\"too many connections are open\"}";
 
@@ -42,10 +43,10 @@
     health: Arc<Health>,
 }
 
-/// Binds `address` and serves requests until the process ends; returns the bound address.
+/// Binds `address` and serves requests until the process exits; returns the bound address.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the address cannot be bound.
 pub fn serve(
     runtime: &Runtime,
     address: SocketAddr,
@@ -74,8 +75,8 @@
                     tokio::spawn(server.clone().serve_connection(stream));
                 }
                 Err(error) => {
-                    // Open connections are served meanwhile.
-                    warn!(%error, "accepting a connection failed");
+                    // Connections that are already open are served during the pause.
+                    warn!(%error, "cannot accept a connection");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
@@ -87,10 +88,10 @@
 impl Server {
     async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
         let Some(_slot) = self.limits.connection() else {
-            return self.refuse(stream).await;
+            return self.reject(stream).await;
         };
         let _ = stream.set_nodelay(true);
-        // The first request shows whether a worker or a user has connected.
+        // The first request determines whether the connection counts as a worker's or a user's.
         let class_slot: OnceLock<Option<ConnectionSlot>> = OnceLock::new();
         let service = service_fn(|request| self.respond(request, &class_slot));
         let connection = http1::Builder::new()
@@ -99,22 +100,22 @@
             .max_buf_size(MAX_READ_BUFFER)
             .serve_connection(TokioIo::new(stream), service);
         if let Err(error) = connection.await {
-            debug!(%error, "connection closed");
+            debug!(%error, "connection closed with an error");
         }
     }
 
-    /// Responds with a 503, whatever the request.
-    async fn refuse(&self, mut stream: TcpStream) {
-        let Some(_slot) = self.limits.refusal() else {
+    /// Responds with a 503 without parsing the request.
+    async fn reject(&self, mut stream: TcpStream) {
+        let Some(_slot) = self.limits.rejection() else {
             return;
         };
         let exchange = async {
             let mut head = [0; 1024];
             let _ = stream.read(&mut head).await;
-            let _ = stream.write_all(REFUSAL).await;
+            let _ = stream.write_all(REJECTION).await;
             let _ = stream.shutdown().await;
         };
-        let _ = tokio::time::timeout(REFUSAL_TIMEOUT, exchange).await;
+        let _ = tokio::time::timeout(REJECTION_TIMEOUT, exchange).await;
     }
 
     async fn respond<'a>(
@@ -154,10 +155,13 @@
         (self.handler)(request, Box::new(respond));
         receiver
             .await
-            .unwrap_or_else(|_| Reply::unavailable("the request was given up on"))
+            .unwrap_or_else(|_| Reply::unavailable("the request was dropped without a reply"))
     }
 
-    /// Routes a request and reads its body; the error is the reply where the server can give it itself.
+    /// Routes a request and reads its body.
+    ///
+    /// # Errors
+    /// The reply, if the request does not reach the handler: a health check or an invalid request.
     async fn read_request(&self, request: Request<Incoming>) -> Result<ApiRequest, Reply> {
         let route = route(request.method(), request.uri().path())?;
         let body = if route.has_body() {
@@ -172,12 +176,12 @@
         if (self.health)() {
             Reply::json(200, &())
         } else {
-            Reply::unavailable("this node is cut off")
+            Reply::unavailable("the controller reaches neither the state service nor a peer")
         }
     }
 
     async fn read_body(&self, request: Request<Incoming>) -> Result<Vec<u8>, Reply> {
-        let too_long = || Reply::error(413, "the body is longer than 64 KiB");
+        let too_long = || Reply::error(413, "the request body exceeds 64 KiB");
         let length = request.headers().get(CONTENT_LENGTH);
         let length = length.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
         if length.is_some_and(|length| length > BODY_LIMIT as u64) {
@@ -187,8 +191,8 @@
         match tokio::time::timeout(self.body_timeout, body).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes().to_vec()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_long()),
-            Ok(Err(_)) => Err(Reply::error(400, "the body cannot be read")),
-            Err(_) => Err(Reply::error(408, "the body did not come in time")),
+            Ok(Err(_)) => Err(Reply::error(400, "the request body cannot be read")),
+            Err(_) => Err(Reply::error(408, "timeout while reading the request body")),
         }
     }
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,5 +1,5 @@
-//! A blocking HTTP client for the state service and the cloud, with a timeout for each request and a
-//! limit on the size of responses.
+//! A blocking HTTP client for the state service and the cloud, with a timeout per request and a limit on
+//! the size of responses.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -12,14 +12,14 @@
 pub enum HttpOutcome {
     /// The service responded with this status code and body.
     Response(u16, Vec<u8>),
-    /// The request was never sent, as no connection could be established.
+    /// The request was not sent, because no connection could be established.
     NotSent,
-    /// Indeterminate: the request may have been carried out, or may be carried out later.
+    /// Unknown: the service may have processed the request, or may still process it later.
     Indeterminate,
 }
 
 impl HttpOutcome {
-    /// The decoded body of a 200; `None` for any other outcome or a body that does not decode.
+    /// The decoded body of a 200; `None` for any other outcome and for a body that cannot be decoded.
     pub fn ok<T: DeserializeOwned>(&self) -> Option<T> {
         match self {
             HttpOutcome::Response(200, body) => serde_json::from_slice(body).ok(),
@@ -37,8 +37,8 @@
 }
 
 impl Client {
-    /// A client of the service at `remote` that keeps at most `connections` idle connections open and
-    /// reads responses of at most `max_response_bytes`.
+    /// Creates a client of the service at `remote` that keeps at most `connections` idle connections. A
+    /// response longer than `max_response_bytes` makes the outcome indeterminate.
     pub fn new(remote: SocketAddr, connections: usize, max_response_bytes: u64) -> Client {
         let agent = ureq::AgentBuilder::new()
             .max_idle_connections(connections)
--- a/src/transport/direct_commands.rs
+++ b/src/transport/direct_commands.rs
@@ -1,5 +1,5 @@
-//! Commands that are pushed to workers: requests run concurrently, so that a worker that hangs does not
-//! delay the others.
+//! Sends commands directly to workers. Requests run concurrently, so that an unresponsive worker does
+//! not delay commands to the others.
 
 use super::client::HttpOutcome;
 use super::runtime::Runtime;
@@ -15,25 +15,27 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// Sends each request on a connection of its own; a semaphore limits the number of open connections.
+/// Sends each request on a new connection; a semaphore limits the number of open connections.
 #[derive(Clone)]
 pub struct DirectCommands {
     runtime: Runtime,
     connections: Arc<Semaphore>,
-    /// For connecting, and again for the exchange.
+    /// The timeout of connecting, and likewise of the HTTP exchange on the connection.
     timeout: Duration,
     max_response_bytes: usize,
 }
 
-/// Receives the outcome of a request, or returns it as the error while its queue is full.
+/// Receives the outcome of a request. While the receiver's queue is full, returns the outcome as an
+/// error, and is called again later.
 pub type OutcomeHandler = Box<dyn FnMut(HttpOutcome) -> Result<(), HttpOutcome> + Send>;
 
-/// Pause before an outcome is offered again to a handler whose queue was full.
+/// The pause before a handler whose queue was full is called again.
 const FULL_QUEUE_PAUSE: Duration = Duration::from_millis(5);
 
 impl DirectCommands {
-    /// At most `connections` are open at a time (at least one); `timeout` applies to connecting and to
-    /// the exchange each; responses longer than `max_response_bytes` are not read.
+    /// Creates a sender with at most `connections` open connections; 0 is raised to 1. `timeout` applies
+    /// separately to connecting and to the HTTP exchange. A response longer than `max_response_bytes`
+    /// makes the outcome indeterminate.
     pub fn new(
         runtime: &Runtime,
         connections: usize,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Posts a JSON body to an address in the background; `handler` receives the outcome.
+    /// Posts a JSON body to an address in the background and passes the outcome to `handler`.
     pub fn post(
         &self,
         address: &str,
@@ -73,7 +75,7 @@
         let Ok(_permit) = self.connections.acquire().await else {
             return HttpOutcome::NotSent;
         };
-        // A connection attempt that timed out is aborted, so that the request is certainly not sent.
+        // A connection attempt that times out is aborted, so the request has certainly not been sent.
         let connected = tokio::time::timeout(self.timeout, TcpStream::connect(remote)).await;
         let Ok(Ok(stream)) = connected else {
             return HttpOutcome::NotSent;
@@ -111,7 +113,7 @@
         tokio::select! {
             biased;
             response = &mut call => response,
-            // The connection may close before its response has been read from the buffer.
+            // The connection may close while its response is still in the buffer.
             _ = connection => call.await,
         }
     }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,10 @@
-//! Network connections: the HTTP server for users and workers, HTTP clients for the state service, the
-//! cloud and the workers, and gRPC between the controllers.
+//! Network connections.
+//!
+//! - [`api_server`]: the HTTP server for users, workers and health checks
+//! - [`client`]: the HTTP client for the state service and the cloud
+//! - [`direct_commands`]: HTTP requests to workers
+//! - [`peers`]: gRPC between the controllers
+//! - [`runtime`]: the tokio runtime for all asynchronous code
 
 pub mod api_server;
 pub mod client;
@@ -16,12 +21,12 @@
     pub status: u16,
     /// The JSON body.
     pub body: Cow<'static, [u8]>,
-    /// The value of `Retry-After`, in seconds; `None` leaves the header out.
+    /// The value of the `Retry-After` header, in seconds; `None` omits the header.
     pub retry_after: Option<u32>,
 }
 
 impl Reply {
-    /// A response with a value as its JSON body.
+    /// A response with a JSON body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Reply {
         Reply {
             status,
@@ -37,7 +42,7 @@
         Reply::json(status, &serde_json::json!({"error": reason.to_string()}))
     }
 
-    /// 503 Service Unavailable: the request may be retried after a second.
+    /// 503 Service Unavailable with `Retry-After: 1`.
     pub fn unavailable(reason: &str) -> Reply {
         Reply {
             retry_after: Some(1),
--- a/src/transport/peers/client.rs
+++ b/src/transport/peers/client.rs
@@ -16,7 +16,8 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Response, Status};
 
-/// The other controllers, each reached over one connection that is opened when first needed.
+/// A client of all other controllers, with one connection to each. A connection is opened at the first
+/// call.
 #[derive(Clone)]
 pub struct Peers {
     runtime: Runtime,
@@ -24,10 +25,10 @@
 }
 
 impl Peers {
-    /// Starts the server on `listen`, and prepares the connections to the named `peers`.
+    /// Starts the peer server on `listen`, and creates the clients of the named `peers`.
     ///
     /// # Errors
-    /// When a peer's address is not valid.
+    /// If a peer's address is invalid.
     pub fn start(
         runtime: &Runtime,
         listen: SocketAddr,
@@ -46,7 +47,7 @@
         })
     }
 
-    /// Whether there are no other controllers.
+    /// Whether this is the only controller.
     pub fn is_empty(&self) -> bool {
         self.channels.is_empty()
     }
@@ -56,7 +57,7 @@
         self.channels.keys()
     }
 
-    /// Blocks until a call on the runtime has succeeded; `None` if it has failed or timed out.
+    /// Runs a call on the runtime and blocks until it returns; `None` if the call fails or times out.
     fn call<T, F>(&self, timeout: Duration, call: F) -> Option<T>
     where
         T: Send + 'static,
@@ -75,7 +76,7 @@
         Some(PeerClient::new(self.channels.get(name)?.clone()))
     }
 
-    /// Forwards a user's request to another controller; `None` if there is no response.
+    /// Forwards a user's request to another controller; `None` if the call fails.
     pub fn forward_request(
         &self,
         name: &str,
@@ -103,7 +104,7 @@
         })
     }
 
-    /// Forwards a worker's heartbeat to the leader; `None` if there is no response.
+    /// Forwards a worker's heartbeat to the leader; `None` if the call fails.
     pub fn forward_heartbeat(&self, name: &str, body: Vec<u8>, timeout: Duration) -> Option<Reply> {
         let mut client = self.client(name)?;
         let request = ReportRequest { body };
@@ -115,15 +116,15 @@
         })
     }
 
-    /// Whether workers send heartbeats to another controller; `None` if there is no response.
+    /// Whether another controller receives heartbeats from workers; `None` if the call fails.
     pub fn receives_heartbeats(&self, name: &str, timeout: Duration) -> Option<bool> {
         let mut client = self.client(name)?;
         let reply = self.call(timeout, async move { client.hears(HearsRequest {}).await })?;
         Some(reply.workers)
     }
 
-    /// Requests a promise to answer no heartbeat with a lower fencing token; `None` if there is no
-    /// response.
+    /// Requests a promise not to answer heartbeats with a fencing token lower than `token`; `None` if the
+    /// call fails.
     pub fn request_promise(
         &self,
         name: &str,
@@ -137,7 +138,7 @@
     }
 
     /// Requests the cancellations that another controller has confirmed since the cursor of an earlier
-    /// page; `None` if there is no response, as from a release that does not have the call.
+    /// page; `None` if the call fails, for example because the peer's release does not have it.
     pub fn cancellations(
         &self,
         name: &str,
@@ -161,7 +162,7 @@
         })
     }
 
-    /// Whether another controller responds at all.
+    /// Whether another controller responds to a call.
     pub fn is_reachable(&self, name: &str, timeout: Duration) -> bool {
         self.request_promise(name, server::NO_TOKEN, timeout)
             .is_some()
--- a/src/transport/peers/mod.rs
+++ b/src/transport/peers/mod.rs
@@ -1,7 +1,7 @@
 //! gRPC between the controllers of a cluster.
 //!
-//! - `server`: answers the calls of the other controllers;
-//! - `client`: calls the other controllers.
+//! - `server`: the peer server, which serves calls from other controllers
+//! - `client`: calls to other controllers
 
 mod client;
 mod server;
@@ -25,7 +25,7 @@
 pub use client::Peers;
 pub use wire::ask_request::Kind;
 
-/// A request of another controller, for this one's handler.
+/// A request from another controller.
 #[derive(Debug)]
 pub enum PeerRequest {
     /// Handle a user's request that the peer has forwarded.
@@ -34,39 +34,39 @@
         kind: Kind,
         /// The id of the job.
         job: String,
-        /// The body as the user sent it, for a submission.
+        /// For a submission: the body that the user sent.
         body: Vec<u8>,
     },
-    /// Handle a worker's heartbeat that the peer has forwarded; the body is as the worker sent it.
+    /// Handle a worker's heartbeat that the peer has forwarded, with the body that the worker sent.
     Heartbeat(Vec<u8>),
-    /// Reply with 200 if workers send their heartbeats to this controller.
+    /// Reply with 200 if this controller receives heartbeats from workers.
     ReceivesHeartbeats,
-    /// Promise to answer no heartbeat with a lower fencing token; 200 is the promise.
+    /// Promise not to answer heartbeats with a lower fencing token. The reply 200 is the promise.
     Promise {
         /// The fencing token of the leader that requests it.
         token: FencingToken,
     },
 }
 
-/// A user's request that is forwarded to another controller.
+/// A user's request to be forwarded to another controller.
 pub struct ForwardedRequest<'a> {
     /// Submission, query or cancellation.
     pub kind: Kind,
     /// The id of the job.
     pub job: &'a str,
-    /// The body as the user sent it, for a submission.
+    /// For a submission: the body that the user sent.
     pub body: &'a [u8],
-    /// Whether the job depends on other jobs. Such a submission is sent by a call of its own, which
-    /// releases without dependencies do not have.
+    /// Whether the job has dependencies. Such a submission is sent by a separate call, which releases
+    /// without support for dependencies do not have.
     pub has_dependencies: bool,
 }
 
-/// Handles the requests of other controllers: responds at once, or keeps the responder.
+/// Handles requests from other controllers: replies at once, or stores the responder to reply later.
 pub type PeerHandler = dyn Fn(PeerRequest, Responder) + Send + Sync;
 
 /// How long a call between controllers may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long connecting to a peer may take; also the pause before a failed server listens again.
+/// How long connecting to a peer may take; also the pause before a failed server is restarted.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The largest message in bytes: a request's body and what surrounds it.
+/// The maximum size of a message, in bytes: a forwarded body, and as much again for the other fields.
 const MAX_MESSAGE_BYTES: usize = 2 * crate::protocol::BODY_LIMIT;
--- a/src/transport/peers/server.rs
+++ b/src/transport/peers/server.rs
@@ -1,4 +1,4 @@
-//! The gRPC server: turns calls into [`PeerRequest`]s, and replies into messages.
+//! The peer server: converts gRPC calls to [`PeerRequest`]s, and replies to gRPC messages.
 
 use super::wire::peer_server::{Peer, PeerServer};
 use super::wire::{AskReply, AskRequest, HearsReply, HearsRequest};
@@ -15,7 +15,7 @@
 use tonic::{Request, Response, Status};
 use tracing::warn;
 
-/// A token that asks for no promise, but only whether the controller can be reached.
+/// The token of a call that requests no promise and only checks whether the controller is reachable.
 pub(super) const NO_TOKEN: FencingToken = FencingToken(0);
 
 struct Service {
@@ -23,7 +23,7 @@
     cancellations: CancellationLog,
 }
 
-/// Serves peers in the background; a server that fails is started again.
+/// Serves peers in the background, and restarts the server when it fails.
 pub(super) fn start(
     runtime: &Runtime,
     listen: SocketAddr,
@@ -39,7 +39,7 @@
         loop {
             let server = Server::builder().add_service(service.clone());
             if let Err(error) = server.serve(listen).await {
-                warn!(address = %listen, %error, "cannot serve peers");
+                warn!(address = %listen, %error, "peer server failed, restarting");
             }
             tokio::time::sleep(CONNECT_TIMEOUT).await;
         }
@@ -58,7 +58,7 @@
         );
         match tokio::time::timeout(CALL_TIMEOUT, receiver).await {
             Ok(Ok(reply)) => Ok(reply),
-            _ => Err(Status::unavailable("no answer")),
+            _ => Err(Status::unavailable("the controller did not reply")),
         }
     }
 }
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -4,15 +4,15 @@
 use std::future::Future;
 use tokio::runtime::{Builder, EnterGuard, Handle};
 
-/// A handle to the runtime's thread, which lasts as long as the process.
+/// A handle to the runtime, whose thread runs until the process exits.
 #[derive(Clone)]
 pub struct Runtime(Handle);
 
 impl Runtime {
-    /// Starts the runtime on a thread of its own.
+    /// Starts the runtime on a new thread.
     ///
     /// # Errors
-    /// When the runtime or its thread cannot be created.
+    /// If the runtime or its thread cannot be created.
     pub fn start() -> std::io::Result<Runtime> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
@@ -22,7 +22,7 @@
         Ok(Runtime(handle))
     }
 
-    /// Runs a task to its end, detached.
+    /// Runs a detached task on the runtime.
     pub(super) fn spawn<F>(&self, future: F)
     where
         F: Future + Send + 'static,
@@ -31,7 +31,7 @@
         self.0.spawn(future);
     }
 
-    /// Makes this the current runtime of the calling thread, as registering a socket requires.
+    /// Makes this the current runtime of the calling thread, which is required to register a socket.
     pub(super) fn enter(&self) -> EnterGuard<'_> {
         self.0.enter()
     }
