--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -11,7 +11,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use upgrade::UpgradeCommand;
 
-/// A cluster scheduler: one leading controller, backfilling on learned run times.
+/// A cluster scheduler with one leading controller and backfill based on learned run times.
 #[derive(Parser)]
 #[command(name = "stairstage", version)]
 struct Cli {
@@ -21,31 +21,31 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a controller until it is killed.
+    /// Run a controller until it is killed.
     Serve(Files),
-    /// Checks the settings and ends.
+    /// Validate the settings files and exit.
     Check(Files),
-    /// Staged upgrades of the controllers.
+    /// Inspect and control staged upgrades of the controllers.
     #[command(subcommand)]
     Upgrade(UpgradeCommand),
 }
 
 #[derive(Args)]
 struct Files {
-    /// The settings file that the platform hands over (TOML).
+    /// The platform's settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' own settings (S-expressions).
+    /// The operators' policy (S-expression); the default policy if omitted.
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
-    /// How upgrades are staged (S-expressions); without it they are not.
+    /// The operators' upgrade policy (S-expression); upgrades are not staged if omitted.
     #[arg(long, value_name = "FILE")]
     upgrade: Option<PathBuf>,
 }
 
-/// Exit code when a settings file cannot be used.
+/// The exit code for an invalid or unreadable settings file.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// Exit code when an operation on an upgrade is refused.
+/// The exit code for an upgrade operation that is refused.
 const EXIT_REFUSED: u8 = 3;
 
 /// Runs the program and returns its exit code.
@@ -68,7 +68,7 @@
     }
 }
 
-/// Loads the settings and runs a command with them; prints why they cannot be used otherwise.
+/// Loads the settings and runs a command with them. If loading fails, prints the error.
 fn with_settings(
     config: &Path,
     policy: Option<&Path>,
@@ -89,13 +89,14 @@
     match service::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!("cannot start: {error:#}");
+            tracing::error!("cannot start the controller: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Logs to standard error, at the level that `LOG_LEVEL` names.
+/// Logs to standard error, at the level in the environment variable `LOG_LEVEL`: `error`, `debug`, or
+/// `info` for any other value.
 fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => LevelFilter::ERROR,
@@ -107,7 +108,7 @@
         .with_ansi(false)
         .without_time()
         .with_target(false);
-    // Libraries log warnings and errors only.
+    // Libraries log at most warnings and errors.
     let targets = Targets::new()
         .with_default(level.min(LevelFilter::WARN))
         .with_target(env!("CARGO_CRATE_NAME"), level);
--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -1,4 +1,4 @@
-//! `stairstage upgrade`: the commands by which operators inspect, finalize or abort an upgrade.
+//! `stairstage upgrade`: commands to inspect, finalize or abort an upgrade.
 
 use super::{with_settings, EXIT_REFUSED};
 use crate::service::clock::wall_ms;
@@ -13,28 +13,29 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What to do about an upgrade.
+/// A subcommand of `stairstage upgrade`.
 #[derive(Subcommand)]
 pub(super) enum UpgradeCommand {
-    /// Tells who runs which release, the active version, and what holds the next one up.
+    /// Show each controller's release, the active version, and what blocks the next version.
     Status(UpgradeFiles),
-    /// Tells whether `finalize` would raise the version now, and every reason why not.
+    /// Show whether `finalize` would raise the version now, and otherwise all reasons why not.
     Plan(UpgradeFiles),
-    /// Raises the cluster version by one. There is no way back.
+    /// Raise the cluster version by one. This cannot be undone.
     Finalize(UpgradeFiles),
-    /// Calls the upgrade to the next version off, so that no policy finalizes it.
+    /// Abort the upgrade to the next version, so that no policy finalizes it.
     Abort(UpgradeFiles),
 }
 
-/// Where the settings are, and how to tell.
+/// The settings files and the output format.
 #[derive(Args)]
 pub(super) struct UpgradeFiles {
     /// The settings file of any controller of the cluster (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' upgrade policy (S-expressions).
+    /// The operators' upgrade policy (S-expression).
     #[arg(long, value_name = "FILE")]
     upgrade: Option<PathBuf>,
+    /// The output format.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
 }
@@ -45,10 +46,10 @@
     Json,
 }
 
-/// Idle connections to the state service.
+/// The maximum number of idle connections to the state service.
 const CONNECTIONS: usize = 1;
 
-/// What every upgrade command works with.
+/// The context of an upgrade command.
 struct CommandContext {
     settings: Settings,
     policy: UpgradePolicy,
@@ -79,13 +80,13 @@
 }
 
 impl CommandContext {
-    /// Reads the records; prints that the state service is unavailable otherwise.
+    /// Reads the upgrade records. If the state service is unavailable, prints an error.
     fn snapshot(&self) -> Option<Snapshot> {
         let controllers = records::configured(&self.settings);
         let result = records::read(&self.store, &controllers);
         if result.is_err() {
             eprintln!(
-                "stairstage: the state service at {} does not answer",
+                "stairstage: the state service at {} is unavailable",
                 self.settings.endpoints.state
             );
         }
@@ -126,11 +127,11 @@
         let outcome = records::execute(store, settings, &self.policy, request, wall_ms);
         match outcome {
             Outcome::Finalized(version) => self.print_done(&format!("version {version} is active")),
-            Outcome::Aborted(version) => self.print_done(&format!(
-                "the upgrade is called off; version {version} stays active"
-            )),
+            Outcome::Aborted(version) => {
+                self.print_done(&format!("upgrade aborted; version {version} stays active"))
+            }
             Outcome::AlreadyFinalized(version) => self.print_refused(&[format!(
-                "version {version} is active, and no controller knows a later one"
+                "version {version} is active, and no controller supports a later version"
             )]),
             Outcome::Refused(holds) => {
                 let holds: Vec<String> = holds.iter().map(Hold::to_string).collect();
@@ -138,8 +139,8 @@
             }
             Outcome::Undecided => {
                 eprintln!(
-                    "stairstage: not decided: the state service did not answer, or the records changed \
-                     meanwhile; try again"
+                    "stairstage: outcome unknown: the state service is unavailable, or the upgrade \
+                     records changed during the operation; try again"
                 );
                 ExitCode::FAILURE
             }
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Prints a message that only the text format needs: the JSON status contains it.
+    /// Prints a message in the text format only; the JSON status already contains the information.
     fn print_text(&self, message: &str) {
         if self.format == Format::Text {
             println!("{message}");
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! Why a settings file cannot be used.
+//! Errors in settings files.
 
 use super::sockets::MIN_SOCKETS;
 use super::state_limits::MIN_OPERATIONS;
 use stairstage_upgrade::policy::PolicyError;
 
-/// A settings file that cannot be used: names the file and, where it is about a value, the field with
-/// its value.
+/// Why a settings file cannot be used. The message names the file and, for an invalid value, the field
+/// and the value.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
@@ -13,15 +13,15 @@
     Unreadable {
         /// The path of the file.
         file: String,
-        /// What reading it failed with.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file's syntax, or the type of one of its values, is wrong.
+    /// The syntax of the file, or the type of a value in it, is wrong.
     #[error("{file}: {what}")]
     Malformed {
         /// The path of the file.
         file: String,
-        /// What the parser objects to.
+        /// The parser's error message.
         what: String,
     },
     /// A value is not allowed.
@@ -29,7 +29,7 @@
     Invalid {
         /// The path of the file.
         file: String,
-        /// The field, its value and the rule that it breaks.
+        /// The field, its value and the violated rule.
         invalid: InvalidValue,
     },
 }
@@ -42,7 +42,7 @@
     pub field: String,
     /// The value, as text.
     pub value: String,
-    /// The rule that it breaks.
+    /// The rule that the value violates.
     pub rule: Rule,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a value has to satisfy; shown to operators as the reason of a refusal.
+/// A rule for a value; its text completes the error message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rule {
     /// A finite number above 0.
@@ -72,24 +72,24 @@
     /// A finite number, 0 or above.
     #[error("must be 0 or more")]
     NotNegative,
-    /// Operations of a transaction, which must suffice for the largest indivisible one.
+    /// Write operations in a transaction: enough for the largest transaction that cannot be split.
     #[error("must be {MIN_OPERATIONS} or more")]
     EnoughOperations,
-    /// Sockets, which must suffice for the process itself.
+    /// Sockets: enough for the process itself.
     #[error("must be {MIN_SOCKETS} or more")]
     EnoughSockets,
-    /// A worker's lease, which every heartbeat must renew in time.
-    #[error("must outlast the longest time between two reports, 1.25 times report_s")]
+    /// A worker's lease: long enough for the next heartbeat to renew it.
+    #[error("must be longer than the longest time between two heartbeats, 1.25 times report_s")]
     LeaseOutlastsHeartbeats,
-    /// The time within which a cancellation takes effect.
+    /// The time within which a cancellation takes effect: longer than a worker's lease.
     #[error(
-        "must be longer than lease_s: a worker that is out of reach goes on until its lease ends"
+        "must be longer than lease_s: an unreachable worker runs its tasks until its lease expires"
     )]
     CancellationOutlastsLease,
-    /// Other controllers, of which this one is none.
-    #[error("names this node itself")]
+    /// The list of the other controllers, without this one.
+    #[error("must not list this controller itself")]
     OtherControllersOnly,
-    /// A field that exists.
+    /// A known field.
     #[error("is not a setting")]
     KnownField,
     /// A number.
@@ -101,7 +101,7 @@
     /// A choice between yes and no.
     #[error("must be yes or no")]
     YesOrNo,
-    /// A rule of the upgrade policy, in its own words.
+    /// A rule of the upgrade policy, with its error message.
     #[error("{0}")]
     UpgradePolicy(String),
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,9 @@
-//! The settings: the platform's TOML file, and the operators' own S-expressions.
+//! The settings: the platform's settings file (TOML) and the operators' policy files (S-expressions).
 //!
-//! - [`platform`]: the types of the platform's file;
-//! - [`policy`]: the operators' policy;
-//! - [`state_limits`], [`sockets`]: limits that are derived from the platform's figures;
-//! - [`error`]: why a file cannot be used.
+//! - [`platform`]: the types of the platform's file
+//! - [`policy`]: the operators' policy
+//! - [`state_limits`], [`sockets`]: limits derived from values of the platform's file
+//! - [`error`]: errors in settings files
 
 pub mod error;
 pub mod platform;
@@ -30,33 +30,33 @@
     /// This controller's unique name.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// The zone that it runs in.
+    /// The zone that this controller runs in.
     pub zone: String,
-    /// Where it listens for users, workers and health checks.
+    /// The address of the API server, for users, workers and health checks.
     pub front: SocketAddr,
-    /// Where it listens for the other controllers.
+    /// The address of the peer server, for the other controllers.
     pub cluster_listen: SocketAddr,
     /// The other controllers.
     #[serde(default, rename = "others")]
     pub peers: Vec<Peer>,
-    /// The addresses of the services that it uses.
+    /// The addresses of the cloud's API and the state service.
     pub endpoints: Endpoints,
     /// The cluster-wide settings.
     #[serde(rename = "settings")]
     pub cluster: ClusterSettings,
-    /// The operators' policy; the default one where no file is named.
+    /// The operators' policy; the default policy if no file is given.
     #[serde(skip)]
     pub policy: Policy,
-    /// The operators' upgrade policy; `None` where upgrades are not staged.
+    /// The operators' upgrade policy; `None` if upgrades are not staged.
     #[serde(skip)]
     pub upgrade: Option<UpgradePolicy>,
 }
 
 impl Settings {
-    /// Reads and checks the platform's file, and the operators' files where there are any.
+    /// Reads and validates the platform's file, and the operators' files if they are given.
     ///
     /// # Errors
-    /// When a file cannot be read or parsed, or has a value that is not allowed.
+    /// If a file cannot be read or parsed, or contains an invalid value.
     pub fn load(
         config: &Path,
         policy: Option<&Path>,
@@ -72,10 +72,10 @@
         Ok(settings)
     }
 
-    /// Parses and checks the text of the platform's file; `file` names it in errors.
+    /// Parses and validates the text of the platform's file; errors name the file as `file`.
     ///
     /// # Errors
-    /// When the text cannot be parsed, or has a value that is not allowed.
+    /// If the text cannot be parsed, or contains an invalid value.
     pub fn parse(file: &str, text: &str) -> Result<Settings, Error> {
         let settings: Settings = toml::from_str(text).map_err(|error| Error::Malformed {
             file: file.to_string(),
@@ -85,7 +85,7 @@
         Ok(settings)
     }
 
-    /// The team of this name; `None` if there is none.
+    /// The team with this name, if any.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.cluster.teams.iter().find(|team| team.name == name)
     }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The types of the platform's settings file (TOML). Fields that are not listed are ignored.
+//! The types of the platform's settings file (TOML). Unknown fields are ignored.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 /// Another controller of the cluster, an element of `others`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its unique name.
+    /// The controller's unique name.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// The zone that it runs in.
+    /// The zone that the controller runs in.
     pub zone: String,
-    /// Where it listens for the other controllers.
+    /// The address of the controller's peer server.
     pub address: SocketAddr,
 }
 
@@ -24,82 +24,84 @@
     pub state: SocketAddr,
 }
 
-/// A team's guaranteed resources and its limits; 0 means none.
+/// A team's quota: its guaranteed resources and its limits. 0 means no guarantee or no limit.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     /// The team's unique name.
     pub name: String,
-    /// Guaranteed processors, in cores.
+    /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// The most processors that its tasks may use at a time, in cores.
+    /// The maximum number of CPUs that the team's tasks may use at a time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed accelerators, in devices.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// The most accelerators that its tasks may use at a time, in devices.
+    /// The maximum number of GPUs that the team's tasks may use at a time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service-level objective. Only those about a class of jobs are evaluated here.
+/// A service-level objective. The scheduler evaluates only objectives for a class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is measured, such as `wait`, `finished` or `deadline`.
+    /// The measured quantity, such as `wait`, `finished` or `deadline`.
     pub kind: String,
-    /// The class of jobs that it is about, if it is about one.
+    /// The class of jobs that the objective applies to, if any.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time within which a job satisfies it, in seconds.
+    /// The time within which a job meets the objective, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For deadlines: the multiple of its deadline, counted from submission, within which a job satisfies
-    /// it.
+    /// For deadlines: the multiple of a job's deadline, measured from submission, within which the job
+    /// meets the objective.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// The timing of the workers.
+/// The workers' intervals and timeouts.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
     /// The nominal time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// How long a worker's lease lasts since it sent the last heartbeat that was answered, in seconds.
+    /// The duration of a worker's lease, in seconds. It starts when the worker sends the last heartbeat
+    /// that gets a response.
     pub lease_s: f64,
-    /// How long a task of a gang waits for the others to be launched, in seconds.
+    /// How long a task of a gang waits for the gang's other tasks to start, in seconds.
     pub gang_wait_s: f64,
-    /// Within how many seconds the tasks of a running gang notice that one of them is gone.
+    /// The time within which the tasks of a running gang detect the loss of one of them, in seconds.
     pub gang_peer_s: f64,
-    /// Within how many seconds of its confirmation a cancellation must be complete on all machines.
+    /// The time from the confirmation of a cancellation within which all tasks of the job must have
+    /// stopped on all machines, in seconds.
     pub cancel_s: f64,
 }
 
-/// The limits of the state service. A *change* is one put or delete.
+/// The limits of the state service. A *write operation* is one put or delete.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateServiceLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Write operations per second.
     pub write_rps: f64,
-    /// The largest value, in KiB.
+    /// The maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// The most changes in one transaction.
+    /// The maximum number of write operations in one transaction.
     pub txn_ops: usize,
-    /// Limits that are announced for later.
+    /// The announced future limits.
     #[serde(default)]
     pub next: AnnouncedStateLimits,
 }
 
-/// Limits that the state service will have from a moment on that it does not announce; `None` for those
-/// that stay.
+/// Limits that the state service will have later, from an unannounced time on; `None` if a limit does not
+/// change.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct AnnouncedStateLimits {
-    /// Changes per second.
+    /// Write operations per second.
     pub write_rps: Option<f64>,
-    /// The largest value, in KiB.
+    /// The maximum size of a value, in KiB.
     pub value_kb: Option<f64>,
-    /// The most changes in one transaction.
+    /// The maximum number of write operations in one transaction.
     pub txn_ops: Option<usize>,
 }
 
@@ -108,7 +110,7 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// By how many seconds the list of machines nominally lags behind.
+    /// The nominal lag of the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
@@ -124,7 +126,7 @@
 /// The cluster-wide settings, the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ClusterSettings {
-    /// How far a machine's time of day may be off, in milliseconds.
+    /// The maximum clock skew of a machine, in milliseconds.
     #[serde(default)]
     pub skew_ms: f64,
     /// The teams that may submit jobs.
@@ -133,7 +135,7 @@
     /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The timing of the workers.
+    /// The workers' intervals and timeouts.
     pub workers: Workers,
     /// The limits of the state service.
     pub state: StateServiceLimits,
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -1,20 +1,20 @@
-//! The operators' policy, an S-expression: ratios to figures of the platform's file.
+//! The operators' policy, an S-expression. Its values are ratios to values of the platform's file.
 
 use super::error::{Error, InvalidValue, Rule};
 use lexpr::Value;
 
-/// What operators may set. Every figure is a ratio, so that one file fits any deployment.
+/// The operators' policy. Every number is a ratio, so that one file fits any deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// The duration of the leader's lease, in heartbeat intervals (`report_s`).
+    /// The duration of the leadership lease, in heartbeat intervals (`report_s`).
     pub leader_lease: f64,
     /// The heartbeat timeout after which a machine is returned to the cloud, in heartbeat intervals
     /// (`report_s`).
     pub heartbeat_timeout: f64,
-    /// How long a machine may be idle before it is scaled in, in boot times of its type.
+    /// How long a machine may be idle before it is returned to the cloud, in boot times of its type.
     pub idle_timeout: f64,
-    /// Spare capacity for services, in standard deviations above the arrivals that are expected within
-    /// a boot time.
+    /// Spare capacity for services, in standard deviations above the expected arrivals within a boot
+    /// time.
     pub spare_deviations: f64,
     /// The boot timeout of a machine, in boot times of its type.
     pub boot_timeout: f64,
@@ -36,11 +36,11 @@
 }
 
 impl Policy {
-    /// Parses `(policy (NAME VALUE) ...)`; names that are left out keep their defaults. `file` names the
-    /// file in errors.
+    /// Parses `(policy (NAME VALUE) ...)`. Omitted names have their default values. Errors name the file
+    /// as `file`.
     ///
     /// # Errors
-    /// When the text has another form, or a name or value that is not allowed.
+    /// If the text has another form, or contains an unknown name or an invalid value.
     pub fn parse(file: &str, text: &str) -> Result<Policy, Error> {
         let malformed = |what: String| Error::Malformed {
             file: file.to_string(),
@@ -57,7 +57,9 @@
         for entry in list {
             let parts: Vec<&Value> = entry.list_iter().map(Iterator::collect).unwrap_or_default();
             let [name, setting] = parts[..] else {
-                return Err(malformed(format!("{entry}: must be (NAME VALUE)")));
+                return Err(malformed(format!(
+                    "{entry}: must have the form (NAME VALUE)"
+                )));
             };
             let name = name
                 .as_symbol()
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of the platform's settings file: the first value that breaks a rule is reported.
+//! Validates the platform's settings file. Only the first invalid value is reported.
 
 use super::error::{InvalidValue, Rule};
 use super::platform::{
@@ -21,7 +21,7 @@
     check_peers(settings)
 }
 
-/// Durations, rates and sizes of which 0 has no meaning.
+/// Checks the durations, rates and sizes that must be above 0.
 fn check_positive(settings: &Settings) -> Check {
     let cluster = &settings.cluster;
     let (workers, state) = (&cluster.workers, &cluster.state);
