--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -22,16 +22,16 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run a controller until it is killed.
-    Serve(Files),
+    Serve(SettingsFiles),
     /// Validate the settings files and exit.
-    Check(Files),
+    Check(SettingsFiles),
     /// Inspect and control staged upgrades of the controllers.
     #[command(subcommand)]
     Upgrade(UpgradeCommand),
 }
 
 #[derive(Args)]
-struct Files {
+struct SettingsFiles {
     /// The platform's settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
@@ -61,7 +61,7 @@
     }
 }
 
-impl Files {
+impl SettingsFiles {
     fn with_settings(&self, run: impl FnOnce(Settings) -> ExitCode) -> ExitCode {
         let (policy, upgrade) = (self.policy.as_deref(), self.upgrade.as_deref());
         with_settings(&self.config, policy, upgrade, run)
--- a/src/coordination/cluster/cancellation_evidence.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -18,7 +18,7 @@
 
 use crate::coordination::cluster::CLOCK_DRIFT;
 use crate::coordination::Time;
-use crate::settings::Workers;
+use crate::settings::WorkerTimings;
 use crate::storage::cancellation_log::{CancellationPage, Cursor};
 use std::collections::BTreeMap;
 
@@ -110,14 +110,14 @@
     }
 
     /// Whether the lease of a worker may be renewed now.
-    pub fn may_renew(&self, workers: &Workers, now: Time) -> bool {
+    pub fn may_renew(&self, workers: &WorkerTimings, now: Time) -> bool {
         let known_until = self.known_until(now);
         known_until.is_some_and(|known| now < known + renewal_s(workers))
     }
 }
 
 /// For how long after the moment up to which all cancellations are known a lease may be renewed.
-pub fn renewal_s(workers: &Workers) -> Time {
+pub fn renewal_s(workers: &WorkerTimings) -> Time {
     let left_s = workers.cancel_s / CLOCK_DRIFT - workers.lease_s * CLOCK_DRIFT;
     (RENEWAL_SHARE * left_s).max(0.0)
 }
--- a/src/coordination/cluster/heartbeat_routing.rs
+++ b/src/coordination/cluster/heartbeat_routing.rs
@@ -3,7 +3,7 @@
 use crate::coordination::cluster::LOST_AT_A_NODE_S;
 use crate::coordination::Time;
 use crate::protocol::ids::{HeartbeatSequence, Incarnation};
-use crate::settings::{Workers, LONGEST_HEARTBEAT_INTERVAL};
+use crate::settings::{WorkerTimings, LONGEST_HEARTBEAT_INTERVAL};
 use std::collections::HashMap;
 
 /// A worker that comes back so often does not reach the leader.
@@ -40,7 +40,7 @@
 
 impl HeartbeatRouter {
     /// A router to which no worker has come yet.
-    pub fn new(workers: &Workers) -> HeartbeatRouter {
+    pub fn new(workers: &WorkerTimings) -> HeartbeatRouter {
         let two_nodes_s = 2.0 * LOST_AT_A_NODE_S;
         let lost_s = two_nodes_s + LONGEST_HEARTBEAT_INTERVAL * workers.report_s;
         HeartbeatRouter {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,7 +13,7 @@
 mod validation;
 
 pub use error::Error;
-pub use platform::{Peer, Team, Workers, LONGEST_HEARTBEAT_INTERVAL};
+pub use platform::{Peer, Team, WorkerTimings, LONGEST_HEARTBEAT_INTERVAL};
 pub use state_limits::COMPARES_PER_OPERATION;
 
 use platform::{ClusterSettings, Endpoints};
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -62,7 +62,7 @@
 
 /// The workers' intervals and timeouts.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimings {
     /// The nominal time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
     /// The duration of a worker's lease, in seconds. It starts when the worker sends the last heartbeat
@@ -136,7 +136,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// The workers' intervals and timeouts.
-    pub workers: Workers,
+    pub workers: WorkerTimings,
     /// The limits of the state service.
     pub state: StateServiceLimits,
     /// The limits of the cloud's API.
--- a/src/settings/sockets.rs
+++ b/src/settings/sockets.rs
@@ -2,7 +2,7 @@
 
 use super::Settings;
 
-/// The number of gateways, which handle one user's request at a time, each with one connection to the
+/// The number of gateways. Each handles one user's request at a time, with its own connection to the
 /// state service.
 pub const GATEWAYS: usize = 16;
 /// Sockets reserved for purposes that do not grow with the limit: connections to the state service for
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -2,7 +2,7 @@
 
 use super::error::{InvalidValue, Rule};
 use super::platform::{
-    CloudLimits, ProcessLimits, StateServiceLimits, Team, Workers, LONGEST_HEARTBEAT_INTERVAL,
+    CloudLimits, ProcessLimits, StateServiceLimits, Team, WorkerTimings, LONGEST_HEARTBEAT_INTERVAL,
 };
 use super::sockets::MIN_SOCKETS;
 use super::state_limits::MIN_OPERATIONS;
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-fn check_workers(workers: &Workers) -> Check {
+fn check_workers(workers: &WorkerTimings) -> Check {
     if workers.lease_s <= LONGEST_HEARTBEAT_INTERVAL * workers.report_s {
         return Err(InvalidValue::new(
             "settings.workers.lease_s",
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -192,12 +192,12 @@
         outcome
     }
 
-    /// Requests a lease that expires unless it is renewed within `life`; returns its id.
+    /// Requests a lease that expires unless it is renewed within `ttl`; returns the lease's id.
     ///
     /// # Errors
     /// [`Unavailable`] if no usable response was received.
-    pub fn grant(&self, life: Duration) -> Result<LeaseId, Unavailable> {
-        let body = json!({"life_ms": life.as_millis() as u64});
+    pub fn grant(&self, ttl: Duration) -> Result<LeaseId, Unavailable> {
+        let body = json!({"life_ms": ttl.as_millis() as u64});
         let outcome = self.client.post("/leases", &body, DEFAULT_TIMEOUT);
         let granted: Option<LeaseGranted> = self.count(RequestKind::Lease, outcome).ok();
         granted.map(|granted| granted.lease).ok_or(Unavailable)
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -5,7 +5,7 @@
 use stairstage::coordination::cluster::cancellation_evidence::{
     renewal_s, CancellationEvidence, PeerAnswer,
 };
-use stairstage::settings::Workers;
+use stairstage::settings::WorkerTimings;
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 use std::collections::BTreeSet;
 
@@ -240,7 +240,7 @@
         worker_drift in -0.0005f64..0.0005,
         share in 0.0f64..1.0,
     ) {
-        let workers = Workers { report_s: 1.0, lease_s, gang_wait_s: 1.0, gang_peer_s: 1.0, cancel_s };
+        let workers = WorkerTimings { report_s: 1.0, lease_s, gang_wait_s: 1.0, gang_peer_s: 1.0, cancel_s };
         let mut evidence = CancellationEvidence::new(&[name(0)]);
         evidence.records_read(0.0);
         let renewed_at = renewal_s(&workers) * share;
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -14,7 +14,7 @@
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::WriteOperation;
 use stairstage::protocol::worker::{Cause, Command, TaskState};
-use stairstage::settings::Workers;
+use stairstage::settings::WorkerTimings;
 use stairstage::storage::records::OpenRecord;
 
 /// A job whose four tasks run on the one machine, which has reported twice.
@@ -191,8 +191,8 @@
 }
 
 /// How workers report, with such a lease.
-fn workers_with_lease(lease_s: f64) -> Workers {
-    Workers {
+fn workers_with_lease(lease_s: f64) -> WorkerTimings {
+    WorkerTimings {
         report_s: 2.0,
         lease_s,
         gang_wait_s: 20.0,
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -4,7 +4,7 @@
 use stairstage::coordination::cluster::cancellation_evidence::CancellationEvidence;
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::job::JobState;
-use stairstage::settings::Workers;
+use stairstage::settings::WorkerTimings;
 
 /// A controller that leads or has led.
 pub(crate) struct Leader {
@@ -71,7 +71,7 @@
     }
 
     /// Whether it may answer reports, and so renew the leases of workers.
-    pub(crate) fn may_renew(&self, now: f64, workers: &Workers) -> bool {
+    pub(crate) fn may_renew(&self, now: f64, workers: &WorkerTimings) -> bool {
         self.reaches_store || self.evidence.may_renew(workers, now)
     }
 
