--- a/src/cli/upgrade.rs
+++ b/src/cli/upgrade.rs
@@ -47,7 +47,7 @@
 }
 
 /// The maximum number of idle connections to the state service.
-const CONNECTIONS: usize = 1;
+const MAX_IDLE_CONNECTIONS: usize = 1;
 
 /// The context of an upgrade command.
 struct CommandContext {
@@ -66,7 +66,7 @@
     with_settings(&files.config, None, files.upgrade.as_deref(), |settings| {
         let context = CommandContext {
             policy: settings.upgrade.clone().unwrap_or_default(),
-            store: KeyValueStore::new(settings.endpoints.state, CONNECTIONS),
+            store: KeyValueStore::new(settings.endpoints.state, MAX_IDLE_CONNECTIONS),
             format: files.format,
             settings,
         };
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -198,9 +198,7 @@
                 warn!(machine = %machine, task = %exited.id, cause = ?exited.cause, "launch refused");
                 self.launch_refused(job, now);
             }
-            Cause::Stopped | Cause::GangTaskLost | Cause::GangIncomplete => {
-                self.task_lost(job, now)
-            }
+            Cause::Stopped | Cause::GangBroken | Cause::GangIncomplete => self.task_lost(job, now),
         }
     }
 
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -233,10 +233,10 @@
                 operation
             }
             CommitOutcome::Indeterminate
-            | CommitOutcome::Refused
-            | CommitOutcome::Limited
+            | CommitOutcome::Rejected
+            | CommitOutcome::RateLimited
             | CommitOutcome::TooLarge => self.retry(AfterPause::Read, now),
-            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => {
+            CommitOutcome::Conflict(_) | CommitOutcome::LeaseExpired => {
                 self.release(lease, AfterRelease::Read)
             }
         }
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -209,14 +209,16 @@
             CommitOutcome::Conflict(_) if is_indeterminate => {
                 self.continue_raise(RaiseStep::ReadBack, now);
             }
-            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => self.not_raised(now, events),
+            CommitOutcome::Conflict(_) | CommitOutcome::LeaseExpired => {
+                self.not_raised(now, events);
+            }
             // This copy was not applied, but an earlier one may be.
-            CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge
+            CommitOutcome::Rejected | CommitOutcome::RateLimited | CommitOutcome::TooLarge
                 if is_indeterminate =>
             {
                 self.continue_raise(RaiseStep::Commit, now + self.retry_interval());
             }
-            CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge => {
+            CommitOutcome::Rejected | CommitOutcome::RateLimited | CommitOutcome::TooLarge => {
                 self.raise = None;
                 events.push(ElectionEvent::TokenRaised(None));
             }
--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -79,11 +79,11 @@
                 self.attempts += 1;
                 Ok(Step::Call(self.commit()))
             }
-            CommitOutcome::Limited => Err(StepError::RateLimited),
+            CommitOutcome::RateLimited => Err(StepError::RateLimited),
             CommitOutcome::Indeterminate
-            | CommitOutcome::Refused
+            | CommitOutcome::Rejected
             | CommitOutcome::TooLarge
-            | CommitOutcome::NoLease => Err(StepError::Unavailable),
+            | CommitOutcome::LeaseExpired => Err(StepError::Unavailable),
         }
     }
 }
--- a/src/coordination/requests/cancellation.rs
+++ b/src/coordination/requests/cancellation.rs
@@ -106,8 +106,8 @@
             }
             // Ended in the meantime, or cancelled by an attempt without a response.
             CommitOutcome::Conflict(_) | CommitOutcome::Indeterminate => self.retry(),
-            CommitOutcome::Limited => Err(StepError::RateLimited),
-            CommitOutcome::Refused | CommitOutcome::TooLarge | CommitOutcome::NoLease => {
+            CommitOutcome::RateLimited => Err(StepError::RateLimited),
+            CommitOutcome::Rejected | CommitOutcome::TooLarge | CommitOutcome::LeaseExpired => {
                 Err(StepError::Unavailable)
             }
         }
--- a/src/coordination/requests/dependency_check.rs
+++ b/src/coordination/requests/dependency_check.rs
@@ -131,10 +131,10 @@
     match outcome {
         CommitOutcome::Conflict(present) => Ok(present),
         CommitOutcome::Applied(_) => Ok(Vec::new()),
-        CommitOutcome::Limited => Err(StepError::RateLimited),
+        CommitOutcome::RateLimited => Err(StepError::RateLimited),
         CommitOutcome::Indeterminate
-        | CommitOutcome::Refused
+        | CommitOutcome::Rejected
         | CommitOutcome::TooLarge
-        | CommitOutcome::NoLease => Err(StepError::Unavailable),
+        | CommitOutcome::LeaseExpired => Err(StepError::Unavailable),
     }
 }
--- a/src/coordination/requests/polls/batcher/mod.rs
+++ b/src/coordination/requests/polls/batcher/mod.rs
@@ -187,14 +187,14 @@
             CommitOutcome::Applied(_) => Vec::new(),
             CommitOutcome::Conflict(present_keys) => present_keys,
             // Only this request exceeded the rate limit: the next one may be served.
-            CommitOutcome::Limited => {
+            CommitOutcome::RateLimited => {
                 let polls = comparison.into_polls().into_iter();
                 polls.for_each(|poll| self.queue.push(poll));
                 return Vec::new();
             }
-            CommitOutcome::Refused
+            CommitOutcome::Rejected
             | CommitOutcome::TooLarge
-            | CommitOutcome::NoLease
+            | CommitOutcome::LeaseExpired
             | CommitOutcome::Indeterminate => {
                 return self.forward_all(comparison.into_polls(), now);
             }
--- a/src/coordination/requests/store_call.rs
+++ b/src/coordination/requests/store_call.rs
@@ -67,7 +67,7 @@
     pub(super) fn commit_outcome(self) -> CommitOutcome {
         match self {
             StoreAnswer::Committed(outcome) => outcome,
-            StoreAnswer::Read(_) | StoreAnswer::Listed(_) => CommitOutcome::Refused,
+            StoreAnswer::Read(_) | StoreAnswer::Listed(_) => CommitOutcome::Rejected,
         }
     }
 }
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -264,30 +264,30 @@
         let Value::Object(map) = &value else {
             return invalid("body", "is not an object");
         };
-        let f = Fields(map);
+        let fields = Fields(map);
         // If several fields are invalid, the error names the first one in this order.
         Ok(JobSpec {
-            id: f.job_id("name_id")?,
-            tasks: f.task_count("legs")?,
-            types: f.machine_types("hulls")?,
-            deadline_s: f.optional_amount("due_s")?,
-            class: f.text("duty")?,
-            team: f.text("crew")?,
-            kind: f.choice("rig")?,
-            priority: f.choice("precedence")?,
-            cpus: f.amount("cpus")?,
-            gpus: f.amount("gpus")?,
-            memory_gb: f.amount("mem_gb")?,
-            image: f.text("kit")?,
-            image_gb: f.amount("size_gb")?,
-            zone: f.optional_text("berth")?,
-            one_zone: f.flag("same_place")?,
-            spread: f.flag("spread")?,
-            spot: f.flag("driftwood")?,
-            estimate_s: f.amount("passage_s")?,
-            checkpoint_s: f.amount("fix_interval_s")?,
-            save_s: f.amount("fix_s")?,
-            waits_on: f.job_ids("waits_on")?,
+            id: fields.job_id("name_id")?,
+            tasks: fields.task_count("legs")?,
+            types: fields.machine_types("hulls")?,
+            deadline_s: fields.optional_amount("due_s")?,
+            class: fields.text("duty")?,
+            team: fields.text("crew")?,
+            kind: fields.choice("rig")?,
+            priority: fields.choice("precedence")?,
+            cpus: fields.amount("cpus")?,
+            gpus: fields.amount("gpus")?,
+            memory_gb: fields.amount("mem_gb")?,
+            image: fields.text("kit")?,
+            image_gb: fields.amount("size_gb")?,
+            zone: fields.optional_text("berth")?,
+            one_zone: fields.flag("same_place")?,
+            spread: fields.flag("spread")?,
+            spot: fields.flag("driftwood")?,
+            estimate_s: fields.amount("passage_s")?,
+            checkpoint_s: fields.amount("fix_interval_s")?,
+            save_s: fields.amount("fix_s")?,
+            waits_on: fields.job_ids("waits_on")?,
         })
     }
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -31,7 +31,7 @@
     Stopped,
     /// Another task of its running gang was lost.
     #[serde(rename = "peers")]
-    GangTaskLost,
+    GangBroken,
     /// Its gang was not complete before the timeout.
     #[serde(rename = "incomplete")]
     GangIncomplete,
--- a/src/service/io_thread_pool/transaction_writer.rs
+++ b/src/service/io_thread_pool/transaction_writer.rs
@@ -50,7 +50,7 @@
 fn commit(store: &KeyValueStore, transaction: &Transaction) -> WriteOutcome {
     match store.commit(transaction) {
         CommitOutcome::Applied(revision) => WriteOutcome::Applied(revision),
-        CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::NoLease => {
+        CommitOutcome::Rejected | CommitOutcome::RateLimited | CommitOutcome::LeaseExpired => {
             WriteOutcome::Rejected
         }
         CommitOutcome::TooLarge => WriteOutcome::TooLarge,
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -72,7 +72,7 @@
 ///
 /// When a thread cannot be started or a port cannot be listened on.
 pub fn run(settings: Settings) -> anyhow::Result<()> {
-    let inbox_capacity = settings.inbox_messages().max(MAX_WAITING_REQUESTS);
+    let inbox_capacity = settings.inbox_capacity().max(MAX_WAITING_REQUESTS);
     let (inbox, messages) = bounded::<Message>(inbox_capacity);
     let (requests, tasks) = RequestQueue::bounded(MAX_WAITING_REQUESTS);
     let shared = Shared::start(settings, inbox, requests)?;
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -112,10 +112,10 @@
     match store.commit(&transaction.put(VERSION, value)) {
         CommitOutcome::Applied(_) => ChangeOutcome::Applied,
         CommitOutcome::Conflict(_) => ChangeOutcome::Conflict,
-        CommitOutcome::Refused
-        | CommitOutcome::Limited
+        CommitOutcome::Rejected
+        | CommitOutcome::RateLimited
         | CommitOutcome::TooLarge
-        | CommitOutcome::NoLease => {
+        | CommitOutcome::LeaseExpired => {
             std::thread::sleep(RETRY_PAUSE);
             ChangeOutcome::Refused
         }
--- a/src/settings/sockets.rs
+++ b/src/settings/sockets.rs
@@ -58,7 +58,7 @@
     }
 
     /// The capacity of the controller's inbox, in messages.
-    pub fn inbox_messages(&self) -> usize {
+    pub fn inbox_capacity(&self) -> usize {
         self.share_of_sockets(INBOX_SHARE)
     }
 
--- a/src/storage/cancellation_log.rs
+++ b/src/storage/cancellation_log.rs
@@ -138,9 +138,9 @@
 /// An incarnation that differs from those of earlier processes on this machine: it is a randomly seeded
 /// hash of the start time and the process id.
 fn new_incarnation() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let mut hasher = RandomState::new().build_hasher();
-    hasher.write_u128(since.map_or(0, |d| d.as_nanos()));
+    hasher.write_u128(since_epoch.map_or(0, |since_epoch| since_epoch.as_nanos()));
     hasher.write_u32(std::process::id());
     hasher.finish().max(1)
 }
--- a/src/storage/key_value_store.rs
+++ b/src/storage/key_value_store.rs
@@ -186,7 +186,7 @@
         };
         let outcome = self.client.post("/txn", transaction, timeout);
         let outcome = commit_outcome(self.count(kind, outcome));
-        if matches!(outcome, CommitOutcome::Limited) {
+        if matches!(outcome, CommitOutcome::RateLimited) {
             self.rate_limited.store(true, Ordering::Relaxed);
         }
         outcome
@@ -260,13 +260,13 @@
         HttpOutcome::Response(BAD_REQUEST, body) => {
             let reason = String::from_utf8_lossy(&body);
             if reason.contains("no such lease") {
-                return CommitOutcome::NoLease;
+                return CommitOutcome::LeaseExpired;
             }
             tracing::error!(%reason, "the state service rejected a transaction as malformed");
             CommitOutcome::TooLarge
         }
-        HttpOutcome::Response(TOO_MANY_REQUESTS, _) => CommitOutcome::Limited,
-        HttpOutcome::Response(..) | HttpOutcome::NotSent => CommitOutcome::Refused,
+        HttpOutcome::Response(TOO_MANY_REQUESTS, _) => CommitOutcome::RateLimited,
+        HttpOutcome::Response(..) | HttpOutcome::NotSent => CommitOutcome::Rejected,
         HttpOutcome::Indeterminate => CommitOutcome::Indeterminate,
     }
 }
--- a/src/storage/outcome.rs
+++ b/src/storage/outcome.rs
@@ -9,14 +9,14 @@
     Conflict(Vec<String>),
     /// Not applied: the service rejected the transaction because of an outage, either of the service or
     /// for this controller alone, or no connection was established. It may be retried unchanged.
-    Refused,
+    Rejected,
     /// Not applied: the transaction exceeded the service's rate limit. It may be retried later.
-    Limited,
+    RateLimited,
     /// Not applied, and a retry would fail as well: the service rejected the transaction as malformed,
     /// as it does when a value or the whole transaction exceeds a size limit.
     TooLarge,
     /// Not applied: a lease that the transaction names has expired.
-    NoLease,
+    LeaseExpired,
     /// Unknown, as no usable response was received: the transaction may have been applied, or may still
     /// be applied at any later time.
     Indeterminate,
--- a/src/storage/records/completions.rs
+++ b/src/storage/records/completions.rs
@@ -46,7 +46,7 @@
 const BYTES_PER_TASK: usize = 8;
 /// The record numbers reserved for each shard size. A job has at most [`MAX_TASKS`] shards, so the
 /// numbers of different shard sizes never collide.
-const NUMBERS_PER_SIZE: usize = MAX_TASKS as usize;
+const NUMBERS_PER_SHARD_SIZE: usize = MAX_TASKS as usize;
 
 impl CompletionShards {
     /// The sharding with the largest shards whose records fit in `max_bytes`.
@@ -58,12 +58,12 @@
 
     /// The number of the record for the shard with this index.
     pub fn record_number(self, shard: usize) -> usize {
-        self.tasks_per_shard * NUMBERS_PER_SIZE + shard
+        self.tasks_per_shard * NUMBERS_PER_SHARD_SIZE + shard
     }
 
     /// The index of the shard in the record with this number; `None` for a record of another sharding.
     pub fn shard_index(self, record_number: usize) -> Option<usize> {
-        (record_number / NUMBERS_PER_SIZE == self.tasks_per_shard)
-            .then_some(record_number % NUMBERS_PER_SIZE)
+        (record_number / NUMBERS_PER_SHARD_SIZE == self.tasks_per_shard)
+            .then_some(record_number % NUMBERS_PER_SHARD_SIZE)
     }
 }
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -265,7 +265,7 @@
         Operation::Read { .. } => Input::Read(Err(Unavailable)),
         Operation::Watch { .. } => Input::Watched(Err(Unavailable)),
         Operation::Grant { .. } => Input::Granted(Err(Unavailable)),
-        Operation::Commit { .. } => Input::Committed(CommitOutcome::Refused),
+        Operation::Commit { .. } => Input::Committed(CommitOutcome::Rejected),
         Operation::Renew { .. } => Input::Renewed(Renewal::Unavailable),
         Operation::Release { .. } => Input::Released,
         Operation::Wait { .. } => Input::Elapsed,
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -164,7 +164,7 @@
         };
         let mut leases = transaction.operations.iter().filter_map(lease_of);
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
-            return CommitOutcome::NoLease;
+            return CommitOutcome::LeaseExpired;
         }
         let compares = transaction.compares.iter();
         let failed: Vec<String> = compares
--- a/tests/histories/tasks.rs
+++ b/tests/histories/tasks.rs
@@ -104,7 +104,7 @@
             .broken_since
             .is_some_and(|t| now - t > workers.gang_peer_s)
         {
-            Cause::GangTaskLost
+            Cause::GangBroken
         } else if state.complete_since.is_none() && now - begun > workers.gang_wait_s {
             Cause::GangIncomplete
         } else {
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -87,7 +87,7 @@
                     t.state = TaskState::Running;
                     t.until = now + plan.run_s;
                 } else if runs && !whole {
-                    t.exit(Cause::GangTaskLost);
+                    t.exit(Cause::GangBroken);
                 } else if t.state == TaskState::Waiting && now > t.until - plan.run_s + wait_s {
                     t.exit(Cause::GangIncomplete);
                 }
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -186,7 +186,7 @@
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll("req-1"), 0.0).is_empty());
     assert!(matches!(batcher.tick(0.0)[..], [PollEffect::Store(_)]));
-    let refused = StoreAnswer::Committed(CommitOutcome::Refused);
+    let refused = StoreAnswer::Committed(CommitOutcome::Rejected);
     assert!(is_forwarded(&batcher.on_answer(refused, 0.01), 1));
     assert!(is_forwarded(&batcher.enqueue(2, poll("req-2"), 0.5), 2));
     assert!(batcher.enqueue(3, poll("req-3"), 1.5).is_empty());
@@ -198,7 +198,7 @@
     let mut batcher = batcher();
     batcher.enqueue(1, poll("req-1"), 0.0);
     batcher.tick(0.0);
-    let limited = StoreAnswer::Committed(CommitOutcome::Limited);
+    let limited = StoreAnswer::Committed(CommitOutcome::RateLimited);
     assert!(batcher.on_answer(limited, 0.01).is_empty());
     assert!(matches!(batcher.tick(0.2)[..], [PollEffect::Store(_)]));
 }
@@ -208,7 +208,7 @@
     let body = submission("req-1", "sweep", "normal", 4).to_string();
     let (mut request, _) =
         Request::submission(body.as_bytes(), request_context(WriteFence::Unstaged));
-    let limited = RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::Limited));
+    let limited = RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::RateLimited));
     let effects = request.on_event(limited);
     let turned_away = matches!(&effects[..], [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some());
--- a/tests/polls/nodes.rs
+++ b/tests/polls/nodes.rs
@@ -220,7 +220,7 @@
         };
         let answer = match (self.is_cut_off(node), &call) {
             (false, _) => self.service.answer(&call, self.now),
-            (true, StoreCall::Commit(_)) => StoreAnswer::Committed(CommitOutcome::Refused),
+            (true, StoreCall::Commit(_)) => StoreAnswer::Committed(CommitOutcome::Rejected),
             (true, StoreCall::Read(_)) => StoreAnswer::Read(Err(Unavailable)),
             (true, StoreCall::List { .. }) => StoreAnswer::Listed(Err(Unavailable)),
         };
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -124,7 +124,7 @@
             StoreCall::Commit(transaction) => StoreAnswer::Committed(if allowed {
                 self.store.compared(transaction)
             } else {
-                CommitOutcome::Limited
+                CommitOutcome::RateLimited
             }),
         }
     }
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -310,7 +310,7 @@
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
     assert!(compares(&batcher.tick(0.0)));
-    let refused = batcher.on_answer(StoreAnswer::Committed(CommitOutcome::Refused), 0.0);
+    let refused = batcher.on_answer(StoreAnswer::Committed(CommitOutcome::Rejected), 0.0);
     assert!(
         matches!(refused[..], [PollEffect::Forward(1)]),
         "{refused:?}"
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -354,7 +354,7 @@
             }
             StoreCall::Commit(_) if refused => {
                 self.coverage.refused += 1;
-                StoreAnswer::Committed(CommitOutcome::Refused)
+                StoreAnswer::Committed(CommitOutcome::Rejected)
             }
             StoreCall::Commit(transaction) => {
                 StoreAnswer::Committed(self.commit(by, node, transaction, fate))
@@ -389,7 +389,7 @@
                 CommitOutcome::Indeterminate
             }
             Fate::Lost => CommitOutcome::Indeterminate,
-            Fate::Refused => CommitOutcome::Refused,
+            Fate::Refused => CommitOutcome::Rejected,
         }
     }
 
