--- a/src/storage/cancellation_log.rs
+++ b/src/storage/cancellation_log.rs
@@ -19,7 +19,7 @@
 /// A position in the log of one process. The default value is not a position in any log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor {
-    /// The incarnation of the process that owns the log; 0 is the incarnation of no process.
+    /// The incarnation of the process that owns the log; 0 stands for no process.
     pub incarnation: u64,
     /// The number of the next entry to read. Entries are numbered from 1.
     pub next: u64,
@@ -70,7 +70,7 @@
         CancellationLog::with_incarnation(new_incarnation(), capacity)
     }
 
-    /// Like [`new`](Self::new) with a given incarnation, which must differ from that of every earlier
+    /// Like [`new`](Self::new), but with a given incarnation, which must differ from that of every earlier
     /// process.
     pub fn with_incarnation(incarnation: u64, capacity: usize) -> CancellationLog {
         let entries = Entries {
