--- a/src/coordination/cluster/cancellation_evidence.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -18,7 +18,7 @@
 
 use crate::coordination::cluster::CLOCK_DRIFT;
 use crate::coordination::Time;
-use crate::settings::Workers;
+use crate::settings::WorkerTimings;
 use crate::storage::cancellation_log::{CancellationPage, Cursor};
 use std::collections::BTreeMap;
 
@@ -109,14 +109,14 @@
     }
 
     /// Whether the lease of a worker may be renewed now.
-    pub fn may_renew(&self, workers: &Workers, now: Time) -> bool {
+    pub fn may_renew(&self, workers: &WorkerTimings, now: Time) -> bool {
         let known_until = self.known_until(now);
         known_until.is_some_and(|known| now < known + renewal_window_s(workers))
     }
 }
 
 /// Seconds after the time up to which all cancellations are known for which a lease may be renewed.
-pub fn renewal_window_s(workers: &Workers) -> Time {
+pub fn renewal_window_s(workers: &WorkerTimings) -> Time {
     let remaining_s = workers.cancel_s / CLOCK_DRIFT - workers.lease_s * CLOCK_DRIFT;
     (RENEWAL_WINDOW_SHARE * remaining_s).max(0.0)
 }
--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -11,7 +11,7 @@
 use crate::coordination::state::{Deadline, Job, JobId};
 use crate::coordination::Time;
 use crate::protocol::job::{JobState, Priority};
-use crate::storage::records::EndRecord;
+use crate::storage::records::FinalStateRecord;
 use std::collections::{BTreeSet, HashMap};
 use tracing::{debug, info};
 
@@ -281,7 +281,7 @@
     /// could not be read.
     pub(crate) fn final_states_read(
         &mut self,
-        final_states: Vec<(JobId, Option<EndRecord>)>,
+        final_states: Vec<(JobId, Option<FinalStateRecord>)>,
         now: Time,
     ) {
         self.dependencies.is_reading_final_states = false;
--- a/src/coordination/cluster/heartbeat_monitor.rs
+++ b/src/coordination/cluster/heartbeat_monitor.rs
@@ -2,7 +2,7 @@
 //! workers.
 
 use crate::coordination::Time;
-use crate::settings::LONGEST_REPORT_INTERVAL;
+use crate::settings::LONGEST_HEARTBEAT_INTERVAL;
 
 /// A gap in all workers' heartbeats indicates that this controller is isolated if it exceeds this
 /// multiple of the mean time between two heartbeats.
@@ -85,7 +85,7 @@
         if gap_s > self.gap_timeout_s() {
             self.last_gap_ended_at = now;
         }
-        if gap_s > LONGEST_REPORT_INTERVAL * self.interval_s {
+        if gap_s > LONGEST_HEARTBEAT_INTERVAL * self.interval_s {
             self.silence_counts_from = now;
         }
         self.last_heartbeat_at = now;
--- a/src/coordination/cluster/heartbeat_routing.rs
+++ b/src/coordination/cluster/heartbeat_routing.rs
@@ -3,7 +3,7 @@
 use crate::coordination::cluster::UNREACHABLE_CONTROLLER_DELAY_S;
 use crate::coordination::Time;
 use crate::protocol::ids::{HeartbeatSequence, Incarnation};
-use crate::settings::{Workers, LONGEST_REPORT_INTERVAL};
+use crate::settings::{WorkerTimings, LONGEST_HEARTBEAT_INTERVAL};
 use std::collections::HashMap;
 
 /// A worker that returns to a follower this many times cannot reach the leader.
@@ -40,9 +40,9 @@
 
 impl HeartbeatRouter {
     /// A router that has seen no worker yet.
-    pub fn new(workers: &Workers) -> HeartbeatRouter {
+    pub fn new(workers: &WorkerTimings) -> HeartbeatRouter {
         let two_delays_s = 2.0 * UNREACHABLE_CONTROLLER_DELAY_S;
-        let redirect_s = two_delays_s + LONGEST_REPORT_INTERVAL * workers.report_s;
+        let redirect_s = two_delays_s + LONGEST_HEARTBEAT_INTERVAL * workers.report_s;
         HeartbeatRouter {
             recent: HashMap::new(),
             recent_s: (RECENT_INTERVALS * workers.report_s).max(two_delays_s),
--- a/src/coordination/cluster/writes/final_states.rs
+++ b/src/coordination/cluster/writes/final_states.rs
@@ -6,7 +6,7 @@
 use crate::coordination::Time;
 use crate::protocol::job::JobState;
 use crate::protocol::store::Transaction;
-use crate::storage::records::{completion_key, end_key, open_key, EndRecord};
+use crate::storage::records::{completion_key, final_state_key, open_key, FinalStateRecord};
 use tracing::info;
 
 /// Operations of a transaction that records a final state: the record itself, and the removal of the
@@ -49,7 +49,7 @@
             return false;
         }
         job.end_in_flight = true;
-        let record = (!job.cancelled).then(|| EndRecord {
+        let record = (!job.cancelled).then(|| FinalStateRecord {
             state: final_state(job),
             at_ms: Some(at_ms),
         });
@@ -64,12 +64,12 @@
         true
     }
 
-    fn final_state_transaction(&self, id: &JobId, record: Option<EndRecord>) -> Transaction {
+    fn final_state_transaction(&self, id: &JobId, record: Option<FinalStateRecord>) -> Transaction {
         let transaction = self.begin_transaction().delete(open_key(id));
         match record {
             Some(record) => transaction
-                .absent(end_key(id))
-                .put(end_key(id), record.to_value()),
+                .absent(final_state_key(id))
+                .put(final_state_key(id), record.to_value()),
             None => transaction,
         }
     }
--- a/src/coordination/cluster/writes/placements.rs
+++ b/src/coordination/cluster/writes/placements.rs
@@ -5,8 +5,8 @@
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::state::{AllocationState, JobId, Placement};
 use crate::coordination::Time;
-use crate::settings::CONDITIONS_A_CHANGE;
-use crate::storage::records::{end_key, placement_key};
+use crate::settings::COMPARES_PER_OPERATION;
+use crate::storage::records::{final_state_key, placement_key};
 use std::collections::BTreeSet;
 
 /// Compares of every write of placements: the leader's record and the placement record itself.
@@ -34,7 +34,7 @@
             .put(key, value);
         let jobs: BTreeSet<&JobId> = sent.pending.iter().map(|p| &p.allocation.job).collect();
         for id in jobs {
-            transaction = transaction.absent(end_key(id));
+            transaction = transaction.absent(final_state_key(id));
         }
         self.writes.spend(1, now);
         let stats = self.writes.stats_mut();
@@ -52,7 +52,7 @@
     /// The number of jobs that a transaction can compare to have no final state.
     fn max_jobs_in_transaction(&self) -> usize {
         let version = usize::from(self.leadership.write_fence().stamp().is_some());
-        CONDITIONS_A_CHANGE * self.writes.max_operations() - OWN_COMPARES - version
+        COMPARES_PER_OPERATION * self.writes.max_operations() - OWN_COMPARES - version
     }
 
     /// Applies the outcome of the write of a placement record. If it was applied, its pending
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -241,11 +241,11 @@
                 self.state = State::Leading(term);
                 operation
             }
-            CommitOutcome::Unknown
-            | CommitOutcome::Refused
-            | CommitOutcome::Limited
+            CommitOutcome::Indeterminate
+            | CommitOutcome::Rejected
+            | CommitOutcome::RateLimited
             | CommitOutcome::TooLarge => self.retry(AfterPause::Read, now),
-            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => {
+            CommitOutcome::Conflict(_) | CommitOutcome::LeaseExpired => {
                 self.release(lease, AfterRelease::Read)
             }
         }
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -206,19 +206,21 @@
         let is_indeterminate = self.raise.is_some_and(|raise| raise.is_indeterminate);
         match outcome {
             CommitOutcome::Applied(version) => self.finish_raise(FencingToken(version), events),
-            CommitOutcome::Unknown => self.continue_raise(RaiseStep::ReadBack, now),
+            CommitOutcome::Indeterminate => self.continue_raise(RaiseStep::ReadBack, now),
             // An earlier attempt was applied, or another controller leads.
             CommitOutcome::Conflict(_) if is_indeterminate => {
                 self.continue_raise(RaiseStep::ReadBack, now);
             }
-            CommitOutcome::Conflict(_) | CommitOutcome::NoLease => self.fail_raise(now, events),
+            CommitOutcome::Conflict(_) | CommitOutcome::LeaseExpired => {
+                self.fail_raise(now, events);
+            }
             // This attempt was not applied, but an earlier one may be.
-            CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge
+            CommitOutcome::Rejected | CommitOutcome::RateLimited | CommitOutcome::TooLarge
                 if is_indeterminate =>
             {
                 self.continue_raise(RaiseStep::Commit, now + self.retry_interval());
             }
-            CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::TooLarge => {
+            CommitOutcome::Rejected | CommitOutcome::RateLimited | CommitOutcome::TooLarge => {
                 self.raise = None;
                 events.push(ElectionEvent::TokenRaised(None));
             }
--- a/src/coordination/requests/answers.rs
+++ b/src/coordination/requests/answers.rs
@@ -137,7 +137,7 @@
             Answer::Cancelled { .. } => Some(JobState::Cancelled),
             _ => None,
         }
-        .filter(|state| state.is_end())
+        .filter(|state| state.is_final())
     }
 }
 
@@ -166,7 +166,7 @@
     /// The final state of the job, if the answer reports one.
     pub(super) fn reported_final_state(&self) -> Option<JobState> {
         let status: JobStatus = serde_json::from_slice(&self.body).ok()?;
-        Some(status.state).filter(|state| self.status == 200 && state.is_end())
+        Some(status.state).filter(|state| self.status == 200 && state.is_final())
     }
 }
 
--- a/src/coordination/requests/dependency_check.rs
+++ b/src/coordination/requests/dependency_check.rs
@@ -7,7 +7,7 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
-use crate::storage::records::{end_key, open_key};
+use crate::storage::records::{final_state_key, open_key};
 use std::collections::VecDeque;
 
 /// Checks that all dependencies of a submission were accepted. One transaction compares the records of
@@ -91,7 +91,7 @@
     /// Evaluates the compared dependencies until one needs a call to the state service.
     fn evaluate_next(&mut self) -> Step<DependencyStatus> {
         while let Some(job) = self.compared.pop_front() {
-            let key = end_key(&job);
+            let key = final_state_key(&job);
             if self.present_keys.contains(&key) {
                 self.state = State::ReadingFinal;
                 return Step::Call(StoreCall::Read(key));
@@ -116,7 +116,9 @@
         let transaction = jobs
             .iter()
             .fold(Transaction::default(), |transaction, job| {
-                transaction.absent(open_key(job)).absent(end_key(job))
+                transaction
+                    .absent(open_key(job))
+                    .absent(final_state_key(job))
             });
         self.compared = jobs.into();
         self.state = State::Comparing;
@@ -129,10 +131,10 @@
     match outcome {
         CommitOutcome::Conflict(present) => Ok(present),
         CommitOutcome::Applied(_) => Ok(Vec::new()),
-        CommitOutcome::Limited => Err(StepError::RateLimited),
-        CommitOutcome::Unknown
-        | CommitOutcome::Refused
+        CommitOutcome::RateLimited => Err(StepError::RateLimited),
+        CommitOutcome::Indeterminate
+        | CommitOutcome::Rejected
         | CommitOutcome::TooLarge
-        | CommitOutcome::NoLease => Err(StepError::Unavailable),
+        | CommitOutcome::LeaseExpired => Err(StepError::Unavailable),
     }
 }
--- a/src/coordination/requests/polls/comparison.rs
+++ b/src/coordination/requests/polls/comparison.rs
@@ -6,7 +6,7 @@
 use crate::coordination::requests::answers::status_without_counts;
 use crate::protocol::job::{JobState, JobStatus};
 use crate::protocol::store::Transaction;
-use crate::storage::records::{end_key, open_key};
+use crate::storage::records::{final_state_key, open_key};
 use std::collections::{BTreeSet, HashSet};
 
 /// How to decide a poll, given the known jobs.
@@ -50,7 +50,7 @@
     /// The plan for a poll. At most `max_dependencies` dependencies are compared.
     pub(super) fn of(poll: &Poll, known: &KnownJobs, max_dependencies: usize) -> DecisionPlan {
         let mut keys = ComparedKeys {
-            final_state: end_key(&poll.job),
+            final_state: final_state_key(&poll.job),
             open: None,
             dependencies: Vec::new(),
             awaits_final_state: false,
@@ -75,7 +75,7 @@
 
 impl ComparedKeys {
     fn iter(&self) -> impl Iterator<Item = String> + '_ {
-        let dependencies = self.dependencies.iter().map(|job| end_key(job));
+        let dependencies = self.dependencies.iter().map(|job| final_state_key(job));
         let own = self.open.iter().cloned().chain([self.final_state.clone()]);
         own.chain(dependencies)
     }
@@ -94,7 +94,7 @@
             return PollResult::Undecided;
         }
         let mut dependencies = self.dependencies.iter();
-        if let Some(finished) = dependencies.find(|job| is_present(&end_key(job))) {
+        if let Some(finished) = dependencies.find(|job| is_present(&final_state_key(job))) {
             return PollResult::Read(RecordKey::final_state(finished));
         }
         let status = poll.leader_status.clone();
--- a/src/coordination/requests/polls/decoded_records.rs
+++ b/src/coordination/requests/polls/decoded_records.rs
@@ -5,7 +5,7 @@
 use crate::protocol::job::JobState;
 use crate::protocol::store::VersionedValue;
 use crate::storage::key_value_store::Unavailable;
-use crate::storage::records::{EndRecord, OpenRecord};
+use crate::storage::records::{FinalStateRecord, OpenRecord};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
@@ -91,8 +91,8 @@
     serde_json::from_value(value).ok()
 }
 
-fn final_state_content(record: &EndRecord) -> Option<RecordContent> {
-    let is_final = record.state.is_end();
+fn final_state_content(record: &FinalStateRecord) -> Option<RecordContent> {
+    let is_final = record.state.is_final();
     is_final.then_some(RecordContent::Finished(record.state))
 }
 
--- a/src/coordination/requests/polls/known_jobs.rs
+++ b/src/coordination/requests/polls/known_jobs.rs
@@ -1,13 +1,13 @@
 //! A cache of facts about jobs that never change: acceptance, dependencies and final states.
 
 use crate::protocol::job::JobState;
-use crate::storage::recent_jobs::{EndIndex, RecentJobs};
+use crate::storage::recent_jobs::{RecentFinalStates, RecentJobs};
 
 /// A cache of the most recent jobs.
 pub(super) struct KnownJobs {
     /// The direct dependencies of accepted jobs.
     dependencies: RecentJobs<Vec<String>>,
-    final_states: EndIndex,
+    final_states: RecentFinalStates,
 }
 
 /// What is known about the direct and transitive dependencies of a job.
--- a/src/coordination/requests/polls/record_keys.rs
+++ b/src/coordination/requests/polls/record_keys.rs
@@ -1,6 +1,6 @@
 //! Keys and key ranges of the records of jobs.
 
-use crate::storage::records::{END_PREFIX, OPEN_PREFIX};
+use crate::storage::records::{FINAL_STATE_PREFIX, OPEN_PREFIX};
 
 /// The kinds of a job's records.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,7 +15,7 @@
     /// The prefix of the keys of this kind.
     pub(super) fn prefix(self) -> &'static str {
         match self {
-            RecordKind::FinalState => END_PREFIX,
+            RecordKind::FinalState => FINAL_STATE_PREFIX,
             RecordKind::Open => OPEN_PREFIX,
         }
     }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -11,7 +11,7 @@
 use super::step::{Step, StepResult};
 use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::{JobSpec, JobState};
-use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+use crate::storage::records::{final_state_key, open_key, FinalStateRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
 /// Accepts or rejects a job, unless it was accepted before.
@@ -48,7 +48,7 @@
             };
             return (submission, Step::Call(call));
         }
-        let max_compares = context.settings.cluster.state.conditions();
+        let max_compares = context.settings.cluster.state.max_compares();
         let (check, step) = DependencyCheck::begin(&record.spec, max_compares);
         let mut submission = Submission {
             record,
@@ -104,8 +104,9 @@
 
     fn accept_cancelled(&mut self) -> StoreCall {
         let id = &self.record.spec.id;
-        let value = EndRecord::cancelled(self.record.at_ms).to_value();
-        let (acceptance, call) = Acceptance::begin(id, end_key(id), value, &self.write_fence);
+        let value = FinalStateRecord::cancelled(self.record.at_ms).to_value();
+        let (acceptance, call) =
+            Acceptance::begin(id, final_state_key(id), value, &self.write_fence);
         self.state = State::AcceptingCancelled(acceptance);
         call
     }
@@ -123,7 +124,7 @@
             version,
         };
         Decision {
-            accepted: (!state.is_end()).then(accepted),
+            accepted: (!state.is_final()).then(accepted),
             answer: Answer::Accepted {
                 job: self.record.spec.id.clone(),
                 state,
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -18,7 +18,7 @@
 };
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::ApiRequest;
+use crate::transport::api_server::ApiRequest;
 use crate::transport::peers::{ForwardedRequest, Kind, Peers};
 use crate::transport::{Reply, Responder};
 use crossbeam::channel::{bounded, Receiver, Sender};
@@ -200,7 +200,7 @@
                         kind,
                         job: request.job(),
                         body,
-                        waits: request.has_dependencies(),
+                        has_dependencies: request.has_dependencies(),
                     };
                     RequestEvent::Peer(self.forward_to_peer(&peer, &forwarded))
                 }
--- a/src/service/io_thread_pool/cloud_caller.rs
+++ b/src/service/io_thread_pool/cloud_caller.rs
@@ -1,6 +1,6 @@
 //! Makes the leader's calls to the cloud API.
 
-use crate::protocol::cloud::Rent;
+use crate::protocol::cloud::RentalRequest;
 use crate::service::cloud_client::CloudClient;
 use crate::service::messages::{IoOutcome, Message};
 use crate::service::threads::spawn;
@@ -15,7 +15,7 @@
 /// A call to the cloud.
 pub enum CloudCall {
     /// Rent machines.
-    Rent(Rent),
+    Rent(RentalRequest),
     /// Return these machines.
     Return(Vec<String>),
     /// List all machines.
@@ -27,7 +27,7 @@
     pub(super) fn into_failure(self) -> Option<IoOutcome> {
         match self {
             CloudCall::Rent(rent) => Some(IoOutcome::MachinesRented {
-                request: rent.request,
+                request: rent.idempotency_key,
                 machines: None,
             }),
             CloudCall::Return(machines) => Some(IoOutcome::MachinesReturned {
@@ -66,7 +66,7 @@
         CloudCall::Rent(rent) => {
             let machines = cloud.rent(&rent);
             Some(IoOutcome::MachinesRented {
-                request: rent.request,
+                request: rent.idempotency_key,
                 machines,
             })
         }
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -7,7 +7,7 @@
 
 use super::threads::spawn;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::Health;
+use crate::transport::api_server::Health;
 use crate::transport::peers::Peers;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -47,10 +47,10 @@
 }
 
 fn is_isolated(store: &KeyValueStore, peers: &Peers, epoch: Instant) -> bool {
-    let since_last_answer = epoch.elapsed().saturating_sub(store.last_answer(epoch));
+    let since_last_answer = epoch.elapsed().saturating_sub(store.last_response(epoch));
     since_last_answer > STATE_SERVICE_TIMEOUT
         && !peers.is_empty()
         && !peers
             .names()
-            .any(|name| peers.reaches(name, CHECK_INTERVAL / 2))
+            .any(|name| peers.is_reachable(name, CHECK_INTERVAL / 2))
 }
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -12,7 +12,7 @@
 use crate::protocol::ids::FencingToken;
 use crate::protocol::job::JobState;
 use crate::protocol::worker::Heartbeat;
-use crate::storage::records::{EndRecord, OpenRecord};
+use crate::storage::records::{FinalStateRecord, OpenRecord};
 use crate::transport::Responder;
 use crossbeam::channel::Sender;
 use stairstage_upgrade::fence::WriteFence;
@@ -127,7 +127,7 @@
     /// The final states of jobs that were requested.
     FinalStatesRead {
         /// Each job's id and the record of its final state; `None` if there is none or it could not be read.
-        records: Vec<(JobId, Option<EndRecord>)>,
+        records: Vec<(JobId, Option<FinalStateRecord>)>,
     },
     /// The outcome of a rental.
     MachinesRented {
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -33,7 +33,7 @@
 use crate::settings::Settings;
 use crate::storage::cancellation_log::CancellationLog;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::{self, Bounds};
+use crate::transport::api_server::{self, Bounds};
 use crate::transport::peers::Peers;
 use crate::transport::runtime::Runtime;
 use anyhow::Context;
@@ -72,7 +72,7 @@
 ///
 /// When a thread cannot be started or the controller cannot listen on a port.
 pub fn run(settings: Settings) -> anyhow::Result<()> {
-    let inbox_capacity = settings.inbox_messages().max(MAX_WAITING_REQUESTS);
+    let inbox_capacity = settings.inbox_capacity().max(MAX_WAITING_REQUESTS);
     let (inbox, messages) = bounded::<Message>(inbox_capacity);
     let (requests, tasks) = RequestQueue::bounded(MAX_WAITING_REQUESTS);
     let shared = SharedResources::start(settings, inbox, requests)?;
@@ -219,7 +219,7 @@
         let is_connected = isolation::watch(self.store.clone(), self.peers.clone(), self.epoch)?;
         let write_fence = self.write_fence.clone();
         let is_healthy = move || is_connected() && write_fence.get().refusal().is_none();
-        front::serve(
+        api_server::serve(
             &self.runtime,
             self.settings.front,
             bounds(&self.settings),
@@ -283,10 +283,10 @@
 pub fn bounds(settings: &Settings) -> Bounds {
     let report_s = settings.cluster.workers.report_s;
     Bounds {
-        connections: settings.front_connections(),
+        connections: settings.api_connections(),
         workers: settings.worker_connections(),
         users: settings.user_connections(),
-        idle: Duration::from_secs_f64((IDLE_TIMEOUT_HEARTBEATS * report_s).max(MIN_IDLE_TIMEOUT_S)),
-        body: BODY_TIMEOUT,
+        idle_timeout: Duration::from_secs_f64((IDLE_TIMEOUT_HEARTBEATS * report_s).max(MIN_IDLE_TIMEOUT_S)),
+        body_timeout: BODY_TIMEOUT,
     }
 }
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,8 +1,8 @@
-//! Checks of the platform's settings file: the first value that breaks a rule is reported.
+//! Validates the platform's settings file. Only the first invalid value is reported.
 
 use super::error::{InvalidValue, Rule};
 use super::platform::{
-    CloudLimits, ProcessLimits, StateServiceLimits, Team, Workers, LONGEST_REPORT_INTERVAL,
+    CloudLimits, ProcessLimits, StateServiceLimits, Team, WorkerTimings, LONGEST_HEARTBEAT_INTERVAL,
 };
 use super::sockets::MIN_SOCKETS;
 use super::state_limits::MIN_OPERATIONS;
@@ -21,7 +21,7 @@
     check_peers(settings)
 }
 
-/// Durations, rates and sizes of which 0 has no meaning.
+/// Checks the durations, rates and sizes that must be above 0.
 fn check_positive(settings: &Settings) -> Check {
     let cluster = &settings.cluster;
     let (workers, state) = (&cluster.workers, &cluster.state);
@@ -52,8 +52,8 @@
     Ok(())
 }
 
-fn check_workers(workers: &Workers) -> Check {
-    if workers.lease_s <= LONGEST_REPORT_INTERVAL * workers.report_s {
+fn check_workers(workers: &WorkerTimings) -> Check {
+    if workers.lease_s <= LONGEST_HEARTBEAT_INTERVAL * workers.report_s {
         return Err(InvalidValue::new(
             "settings.workers.lease_s",
             workers.lease_s,
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,5 +1,5 @@
-//! A blocking HTTP client for the state service and the cloud, with a timeout for each request and a
-//! limit on the size of responses.
+//! A blocking HTTP client for the state service and the cloud, with a timeout per request and a limit on
+//! the size of responses.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -9,20 +9,20 @@
 
 /// The outcome of a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum HttpOutcome {
     /// The service responded with this status code and body.
     Response(u16, Vec<u8>),
-    /// The request was never sent, as no connection could be established.
+    /// The request was not sent, because no connection could be established.
     NotSent,
-    /// Indeterminate: the request may have been carried out, or may be carried out later.
-    Unknown,
+    /// Unknown: the service may have processed the request, or may still process it later.
+    Indeterminate,
 }
 
-impl Answer {
-    /// The decoded body of a 200; `None` for any other outcome or a body that does not decode.
+impl HttpOutcome {
+    /// The decoded body of a 200; `None` for any other outcome and for a body that cannot be decoded.
     pub fn ok<T: DeserializeOwned>(&self) -> Option<T> {
         match self {
-            Answer::Response(200, body) => serde_json::from_slice(body).ok(),
+            HttpOutcome::Response(200, body) => serde_json::from_slice(body).ok(),
             _ => None,
         }
     }
@@ -37,8 +37,8 @@
 }
 
 impl Client {
-    /// A client of the service at `remote` that keeps at most `connections` idle connections open and
-    /// reads responses of at most `max_response_bytes`.
+    /// Creates a client of the service at `remote` that keeps at most `connections` idle connections. A
+    /// response longer than `max_response_bytes` makes the outcome indeterminate.
     pub fn new(remote: SocketAddr, connections: usize, max_response_bytes: u64) -> Client {
         let agent = ureq::AgentBuilder::new()
             .max_idle_connections(connections)
@@ -53,17 +53,17 @@
     }
 
     /// Sends a GET request.
-    pub fn get(&self, path: &str, timeout: Duration) -> Answer {
+    pub fn get(&self, path: &str, timeout: Duration) -> HttpOutcome {
         self.outcome(self.agent.get(&self.url(path)).timeout(timeout).call())
     }
 
     /// Sends a DELETE request.
-    pub fn delete(&self, path: &str, timeout: Duration) -> Answer {
+    pub fn delete(&self, path: &str, timeout: Duration) -> HttpOutcome {
         self.outcome(self.agent.delete(&self.url(path)).timeout(timeout).call())
     }
 
     /// Sends a POST request with a JSON body.
-    pub fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> Answer {
+    pub fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> HttpOutcome {
         let request = self.agent.post(&self.url(path)).timeout(timeout);
         self.outcome(request.send_json(body))
     }
@@ -76,7 +76,7 @@
         clippy::result_large_err,
         reason = "`ureq::Error` carries the response, and its size does not matter on this path"
     )]
-    fn outcome(&self, result: Result<ureq::Response, ureq::Error>) -> Answer {
+    fn outcome(&self, result: Result<ureq::Response, ureq::Error>) -> HttpOutcome {
         match result {
             Ok(response) | Err(ureq::Error::Status(_, response)) => {
                 let status = response.status();
@@ -84,14 +84,14 @@
                 let mut reader = response.into_reader().take(self.max_response_bytes + 1);
                 match reader.read_to_end(&mut body) {
                     Ok(length) if length as u64 <= self.max_response_bytes => {
-                        Answer::Response(status, body)
+                        HttpOutcome::Response(status, body)
                     }
-                    _ => Answer::Unknown,
+                    _ => HttpOutcome::Indeterminate,
                 }
             }
             Err(ureq::Error::Transport(transport)) => match transport.kind() {
-                ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => Answer::NotSent,
-                _ => Answer::Unknown,
+                ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => HttpOutcome::NotSent,
+                _ => HttpOutcome::Indeterminate,
             },
         }
     }
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -13,9 +13,9 @@
     Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
 };
 use stairstage::protocol::store::{Transaction, VersionedValue};
-use stairstage::settings::{Settings, CONDITIONS_A_CHANGE};
+use stairstage::settings::{Settings, COMPARES_PER_OPERATION};
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::{end_key, open_key, LEADER_KEY};
+use stairstage::storage::records::{final_state_key, open_key, LEADER_KEY};
 use stairstage_upgrade::fence::WriteFence;
 use stairstage_upgrade::records::VERSION;
 use stairstage_upgrade::{ClusterVersion, Fence, VersionRange, VersionRecord};
@@ -121,7 +121,7 @@
 #[test]
 fn a_record_of_many_jobs_keeps_to_the_conditions_of_a_transaction() {
     let settings = Settings::parse("test", SETTINGS).unwrap();
-    let most = CONDITIONS_A_CHANGE * settings.cluster.state.changes();
+    let most = COMPARES_PER_OPERATION * settings.cluster.state.max_operations();
     let mut manager = manager();
     manager.set_write_fence(write_fence(1));
     for machine in 0..most {
@@ -216,8 +216,8 @@
     request.on_event(RequestEvent::Store(StoreAnswer::Read(Ok(None))));
     let mut store = Store::default();
     let end = json!({"state": "done"});
-    store.values.insert(end_key("req-2"), (end, 3));
-    let read = StoreAnswer::Read(Ok(store.item(&end_key("req-2"))));
+    store.values.insert(final_state_key("req-2"), (end, 3));
+    let read = StoreAnswer::Read(Ok(store.item(&final_state_key("req-2"))));
     let effects = request.on_event(RequestEvent::Store(read));
     let known =
         matches!(effects.last(), Some(RequestEffect::Answer(answer)) if answer.status() == 200);
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -19,9 +19,9 @@
 use stairstage::protocol::worker::{Cause, TaskState};
 use stairstage::settings::Settings;
 use stairstage::storage::records::{
-    end_key, open_key, parse_completion_key, CompletionShards, EndRecord, OpenRecord,
-    StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_BYTES, LEADER_KEY,
-    PLACEMENT_PREFIX,
+    final_state_key, open_key, parse_completion_key, CompletionShards, FinalStateRecord,
+    OpenRecord, StoredCompletions, StoredPlacements, COMPLETION_PREFIX, EMPTY_RECORD_BYTES,
+    LEADER_KEY, PLACEMENT_PREFIX,
 };
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -94,7 +94,7 @@
     let mut all = BTreeSet::new();
     for item in store.under(PLACEMENT_PREFIX) {
         let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
-        for (id, machines) in record.places {
+        for (id, machines) in record.allocations {
             for (machine, tasks) in machines {
                 let place = |(task, _): (u32, u64)| (id.clone(), machine.clone(), task);
                 all.extend(tasks.into_iter().map(place));
@@ -159,7 +159,7 @@
         work(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
         work(&mut manager, &mut store, now, usize::MAX);
-        prop_assert!(store.item(&end_key("req-1")).is_some(), "it ends");
+        prop_assert!(store.item(&final_state_key("req-1")).is_some(), "it ends");
         let left = store.under(COMPLETION_PREFIX);
         prop_assert!(left.is_empty(), "no record of it is left: {left:?}");
     }
@@ -261,7 +261,7 @@
     // Where nothing is new, nothing changes: production reads what is written now.
     let written = serde_json::to_value(&open).unwrap();
     assert_eq!(written, serde_json::from_str::<Value>(OPEN_RECORD).unwrap());
-    let end: EndRecord = serde_json::from_str(END_RECORD).unwrap();
+    let end: FinalStateRecord = serde_json::from_str(END_RECORD).unwrap();
     assert_eq!((end.state, end.at_ms), (JobState::Done, None));
     let run: StoredCompletions = serde_json::from_str(RUN_RECORD).unwrap();
     assert_eq!(run.done, [(0, 3), (7, 7)]);
@@ -350,7 +350,7 @@
             placement_record.insert(Placement { allocation, machine: (&**machine).into() });
         }
         for Placement { allocation: AllocationId { job: id, task, attempt }, machine } in placement_record.placements() {
-            let machines = record.places.entry(id.to_string()).or_default();
+            let machines = record.allocations.entry(id.to_string()).or_default();
             machines.entry(machine.to_string()).or_default().push((*task, *attempt));
         }
         let bytes = serde_json::to_string(&record).unwrap().len();
@@ -359,7 +359,7 @@
         for entry in &all {
             prop_assert!(placement_record.remove(entry));
         }
-        prop_assert_eq!(placement_record.bytes(), EMPTY_BYTES);
+        prop_assert_eq!(placement_record.bytes(), EMPTY_RECORD_BYTES);
         let mut run = StoredCompletions::default();
         done.iter().for_each(|t| run.push_done(*t));
         prop_assert!(serde_json::to_string(&run).unwrap().len() <= run.bytes());
