--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -1,21 +1,21 @@
-//! How many machines batches need to end in their time.
+//! The demand of batches: machines that they need to finish in time.
 
-use super::supply::{slots_by_zone, Supply};
+use super::supply::{slots_by_zone, SuppliedMachine};
 use super::{Demand, DemandEstimator};
 use crate::coordination::state::{may_use, Deadline, Job, JobId, Machine};
 use crate::coordination::Time;
 use std::collections::{HashMap, HashSet};
 
-/// The share of a job's time that its tasks may take to be worked off.
+/// The share of the time until a job is due in which its work should be done.
 const HORIZON_SHARE: f64 = 0.5;
-/// The time of a job that has none to keep to, as a factor of its predicted run time.
-const OPEN_END_FACTOR: f64 = 2.0;
+/// The time for a job that is not due at any time, as a multiple of its predicted run time.
+const NOT_DUE_FACTOR: f64 = 2.0;
 
-/// Jobs that may use some machines only, in groups with the same choice of them.
+/// Jobs that may use only some machines, grouped by their choice of machines.
 #[derive(Default)]
 struct RestrictedGroups<'a> {
     group_of: HashMap<&'a JobId, usize>,
-    /// The processors of each group's machines.
+    /// The number of processors on each group's machines.
     cpus: Vec<f64>,
 }
 
@@ -28,13 +28,13 @@
     }
 }
 
-/// The work of jobs that come one after the other, in processor seconds.
+/// The accumulated work of jobs in queue order, in processor seconds.
 struct Backlog<'a> {
     running: &'a HashMap<&'a str, f64>,
     groups: RestrictedGroups<'a>,
-    /// Work that any machine takes.
+    /// Work that may run on any machine.
     unrestricted: f64,
-    /// The work of each group.
+    /// The work of each restricted group.
     of_group: Vec<f64>,
 }
 
@@ -57,8 +57,8 @@
         }
     }
 
-    /// What machines have to work off in so many seconds. However much waits for the machines of a
-    /// group, it keeps no others from their work.
+    /// The work that the machines can do within `seconds`. The work of a restricted group counts only up
+    /// to the capacity of the group's machines, because it does not occupy others.
     fn work_within(&self, seconds: f64) -> f64 {
         let groups = self.of_group.iter().zip(&self.groups.cpus);
         let restricted = groups.map(|(work, cpus)| work.min(cpus * seconds));
@@ -67,9 +67,9 @@
 }
 
 impl DemandEstimator<'_> {
-    /// What the queue needs: enough that each job, after those before it, ends in its time, on
-    /// machines that it may use; and for a gang, room for all of its tasks at once.
-    pub(super) fn batch_demands(&self, supply: &[Supply]) -> Vec<Demand> {
+    /// The demand of the queue: enough machines that each job, after the jobs before it, finishes in time
+    /// on machines that it may use, and that all tasks of a gang can start together.
+    pub(super) fn batch_demands(&self, supply: &[SuppliedMachine]) -> Vec<Demand> {
         let jobs = self.cluster.jobs();
         let batches = jobs.filter(|j| !j.is_service() && j.is_eligible() && self.now >= j.retry_at);
         let mut batches: Vec<&Job> = batches.collect();
@@ -77,13 +77,13 @@
         let running = self.work_running();
         let mut demands = Vec::new();
         let mut groups = RestrictedGroups::default();
-        for jobs in self.by_choice(&batches).values() {
+        for jobs in self.group_by_choice(&batches).values() {
             if let Some(gang) = self.largest_gang(jobs) {
                 let slots = slots_by_zone(gang, supply, |machine| machine.for_batches);
                 demands.extend(self.gang_demands(gang, &slots));
             }
             let suitable = supply.iter().filter(|s| s.suits(&jobs[0].spec));
-            // What may use every machine is part of the demand of all.
+            // Jobs that may use every machine are part of the overall demand below.
             if suitable.clone().count() < supply.len() {
                 let cpus: f64 = suitable.map(|s| s.for_batches.cpus).sum();
                 let have = cpus - self.cpus_taken(jobs);
@@ -100,7 +100,7 @@
         demands
     }
 
-    /// The time in which a job's remaining work should be done, in seconds.
+    /// The time within which a job's remaining work should be done, in seconds.
     fn horizon_s(&self, job: &Job) -> f64 {
         let objectives = self.cluster.settings().cluster.objectives.iter();
         let of_class = objectives
@@ -114,12 +114,12 @@
         let end: Time = due_at.min(job.ready_at + within_s);
         let predicted_s = job.predicted_s.max(1.0);
         if !end.is_finite() {
-            return OPEN_END_FACTOR * predicted_s;
+            return NOT_DUE_FACTOR * predicted_s;
         }
         (HORIZON_SHARE * (end - self.now)).max(predicted_s)
     }
 
-    /// The work of each job that runs, in processor seconds to its predicted end.
+    /// The work of each running job until the predicted ends of its tasks, in processor seconds.
     fn work_running(&self) -> HashMap<&str, f64> {
         let mut work: HashMap<&str, f64> = HashMap::new();
         for machine in self.cluster.machines() {
@@ -134,8 +134,8 @@
         work
     }
 
-    /// Processors on machines that these jobs may use which other batches hold for longer than it
-    /// takes until a machine is up.
+    /// The number of processors, on machines that these jobs may use, that other batches use for longer
+    /// than the mean boot time.
     fn cpus_taken(&self, jobs: &[&Job]) -> f64 {
         let until = self.now + self.cluster.machine_types().mean_boot_s();
         let own: HashSet<&JobId> = jobs.iter().map(|job| &job.id).collect();
@@ -150,8 +150,8 @@
         others.map(|(_, a)| a.profile.request.cpus).sum()
     }
 
-    /// What jobs lack, in their order, with so many processors: new machines work only once they
-    /// have booted, and what is done by then needs none.
+    /// The largest shortage of processors over the jobs in queue order, given `have` processors. New
+    /// machines contribute only after they have booted, and work done until then needs no new machine.
     fn shortage(&self, jobs: &[&Job], have: f64, mut backlog: Backlog) -> Option<Demand> {
         let boot_s = self.cluster.machine_types().mean_boot_s();
         let mut largest: Option<(f64, &Job)> = None;
--- a/src/coordination/autoscaling/demand/gangs.rs
+++ b/src/coordination/autoscaling/demand/gangs.rs
@@ -1,4 +1,4 @@
-//! What gangs lack to start all of their tasks at once.
+//! The demand of gangs: machines that they need to start all tasks together.
 
 use super::{Demand, DemandEstimator};
 use crate::coordination::autoscaling::Offer;
@@ -9,15 +9,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Tasks of a gang that find no room.
+/// Tasks of a gang that do not fit on the supplied machines.
 struct GangShortage<'a> {
-    /// The zone in which machines are wanted, if it matters.
+    /// The zone in which machines are needed; `None` if any zone will do.
     zone: Option<&'a str>,
     count: u32,
 }
 
 impl DemandEstimator<'_> {
-    /// The gang with the most work left that its team's quota lets start.
+    /// The gang with the most remaining work among those that their team's quota allows to start.
     pub(super) fn largest_gang<'b>(&self, jobs: &[&'b Job]) -> Option<&'b Job> {
         let gangs = jobs.iter().filter(|job| job.is_gang());
         let startable =
@@ -26,7 +26,7 @@
         largest.copied()
     }
 
-    /// What a gang lacks to start, if so many of its tasks fit each zone.
+    /// The demand of a gang of which `slots` tasks fit in each zone.
     pub(super) fn gang_demands(&self, job: &Job, slots: &BTreeMap<&str, u32>) -> Vec<Demand> {
         let shortages = if job.spec.one_zone {
             self.shortage_in_one_zone(job, slots).into_iter().collect()
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What a gang that must be in one zone lacks in the zone where that is the least.
+    /// The shortage of a gang that must be in one zone, in the zone where the shortage is smallest.
     fn shortage_in_one_zone<'b>(
         &'b self,
         job: &'b Job,
@@ -71,7 +71,8 @@
         })
     }
 
-    /// What a spread gang lacks, in zones that may take more of its tasks, the fullest first.
+    /// The shortages of a spread gang in the zones with available offers, the zone with the most usable
+    /// slots first.
     fn shortages_by_zone<'b>(
         &'b self,
         job: &'b Job,
@@ -98,19 +99,19 @@
         shortages
     }
 
-    /// The zone in which a gang lacks the least room, among those where the cloud has not lately
-    /// refused all machines that it may use.
+    /// The zone with the most slots for a gang, among the zones where all its tasks fit or where suitable
+    /// offers are available.
     fn zone_for<'b>(&'b self, job: &'b Job, slots: &BTreeMap<&str, u32>) -> Option<&'b str> {
         let spec = &job.spec;
         let candidates = self.offers(spec).filter(|(machine_type, zone)| {
-            let has_room = slots.get(zone).is_some_and(|n| *n >= spec.tasks);
-            has_room || self.is_available(spec, machine_type, zone)
+            let all_tasks_fit = slots.get(zone).is_some_and(|n| *n >= spec.tasks);
+            all_tasks_fit || self.is_available(spec, machine_type, zone)
         });
         let zones = candidates.map(|(_, zone)| zone);
         zones.max_by_key(|zone| slots.get(zone).copied().unwrap_or(0))
     }
 
-    /// The types that a job may use, with each zone in which they are offered and it may be.
+    /// The machine types that a job may use, each with the zones that offer it and that the job allows.
     fn offers<'b>(&'b self, spec: &'b JobSpec) -> impl Iterator<Item = (&'b MachineType, &'b str)> {
         let machine_types = self.cluster.machine_types().iter();
         let machine_types = machine_types.filter(|t| may_use_type(spec, t));
@@ -118,7 +119,7 @@
         offers.filter(|(_, zone)| spec.zone.as_ref().is_none_or(|z| z == zone))
     }
 
-    /// Whether the cloud has not lately refused such machines for the job.
+    /// Whether an offer of the type in the zone is available, on demand or, if the job allows it, spot.
     fn is_available(&self, spec: &JobSpec, machine_type: &MachineType, zone: &str) -> bool {
         let is_available = |spot| {
             let offer = Offer::new(&machine_type.name, zone, spot);
--- a/src/coordination/autoscaling/demand/mod.rs
+++ b/src/coordination/autoscaling/demand/mod.rs
@@ -1,4 +1,5 @@
-//! How many machines are wanted: for services, for what is expected, and for batches.
+//! The demand for machines: for waiting services, for expected replicas, and for batches (arrays and
+//! gangs).
 
 mod batches;
 mod gangs;
@@ -13,13 +14,13 @@
 use std::sync::Arc;
 use supply::slots_by_zone;
 
-/// Tasks of one shape that want machines.
+/// Tasks with equal requests for which machines are needed.
 pub(super) struct Demand {
-    /// The job that they are of, or one like it.
+    /// The specification of the tasks' job, or of a job with the same request and choice of machines.
     pub(super) spec: Arc<JobSpec>,
-    /// How many there are.
+    /// The number of tasks.
     pub(super) count: u32,
-    /// Whether the cloud may reclaim the machine.
+    /// Whether spot machines may be rented.
     pub(super) spot: bool,
 }
 
@@ -28,7 +29,7 @@
         f64::from(self.count) * self.spec.cpus
     }
 
-    /// Whether another demand has the same shape and the same choice of machines.
+    /// Whether another demand has the same request and the same choice of machines.
     fn is_like(&self, other: &Demand) -> bool {
         let (a, b) = (&self.spec, &other.spec);
         self.spot == other.spot
@@ -37,7 +38,7 @@
     }
 }
 
-/// Demands of the same shape and with the same choice of machines as one.
+/// Merges demands with the same request and the same choice of machines.
 pub(super) fn merge(demands: Vec<Demand>) -> Vec<Demand> {
     let mut merged: Vec<Demand> = Vec::new();
     for demand in demands {
@@ -49,22 +50,22 @@
     merged
 }
 
-/// A machine that boots or has been asked for.
-struct ComingMachine {
+/// A machine that is booting or requested.
+struct PendingMachine {
     spot: bool,
     free: Resources,
 }
 
-/// The machines that boot or have been asked for, and what demands take of them.
-struct ComingMachines(Vec<ComingMachine>);
+/// The machines that are booting or requested, and the resources not yet assigned to demands.
+struct PendingMachines(Vec<PendingMachine>);
 
-impl ComingMachines {
-    /// Takes room for so many tasks; returns how many find none.
+impl PendingMachines {
+    /// Assigns `count` tasks to these machines; returns the number of tasks that do not fit.
     fn absorb(&mut self, request: &Resources, spot: bool, count: u32) -> u32 {
         let mut left = count;
         for machine in self.0.iter_mut().filter(|machine| spot || !machine.spot) {
             while left > 0 && machine.free.fits(request) {
-                machine.free.take(request);
+                machine.free.subtract(request);
                 left -= 1;
             }
         }
@@ -72,7 +73,7 @@
     }
 }
 
-/// Estimates what jobs lack.
+/// Estimates the demand for machines.
 pub(super) struct DemandEstimator<'a> {
     cluster: &'a ClusterState,
     autoscaler: &'a Autoscaler,
@@ -80,7 +81,7 @@
 }
 
 impl<'a> DemandEstimator<'a> {
-    /// An estimator for this moment.
+    /// An estimator for the current state of the cluster.
     pub(super) fn new(
         cluster: &'a ClusterState,
         autoscaler: &'a Autoscaler,
@@ -93,25 +94,25 @@
         }
     }
 
-    /// What is wanted beyond the machines that are up or coming.
+    /// The demands beyond the machines that are up, booting or requested.
     pub(super) fn demands(&self) -> Vec<Demand> {
-        let mut coming = self.coming_machines();
-        let mut demands = self.service_demands(&mut coming);
-        demands.extend(self.expected_demands(&mut coming));
+        let mut pending = self.pending_machines();
+        let mut demands = self.service_demands(&mut pending);
+        demands.extend(self.expected_demands(&mut pending));
         let supply = self.supply();
         for job in self.overdue_batches() {
             if job.is_gang() && (job.spec.one_zone || job.spec.spread) {
                 let free = slots_by_zone(job, &supply, |machine| machine.free);
                 demands.extend(self.gang_demands(job, &free));
             } else {
-                demands.extend(self.overdue_demand(job, &mut coming));
+                demands.extend(self.overdue_demand(job, &mut pending));
             }
         }
         demands.extend(self.batch_demands(&supply));
         demands
     }
 
-    fn coming_machines(&self) -> ComingMachines {
+    fn pending_machines(&self) -> PendingMachines {
         let machine_types = self.cluster.machine_types();
         let machines = self.cluster.machines();
         let booting = machines.filter(|machine| machine.phase == MachinePhase::Booting);
@@ -124,25 +125,25 @@
             let machine_type = machine_types.get(&rent.kind)?;
             Some((rent.spot, machine_type, rent.count as usize))
         });
-        let coming = booting.chain(requested);
-        let coming = coming.flat_map(|(spot, machine_type, count)| {
+        let pending = booting.chain(requested);
+        let pending = pending.flat_map(|(spot, machine_type, count)| {
             let free = Resources::of_type(machine_type);
             repeat_n((spot, free), count)
         });
-        ComingMachines(
-            coming
-                .map(|(spot, free)| ComingMachine { spot, free })
+        PendingMachines(
+            pending
+                .map(|(spot, free)| PendingMachine { spot, free })
                 .collect(),
         )
     }
 
-    /// Replicas that wait.
-    fn service_demands(&self, coming: &mut ComingMachines) -> Vec<Demand> {
+    /// The demand of waiting replicas.
+    fn service_demands(&self, pending: &mut PendingMachines) -> Vec<Demand> {
         let jobs = self.cluster.jobs();
         let services = jobs.filter(|job| job.is_service() && job.is_eligible());
         let demands = services.filter_map(|job| {
             let count = self.cluster.within_quota(job, job.unplaced_count());
-            let left = coming.absorb(&job.request(), job.spec.spot, count);
+            let left = pending.absorb(&job.request(), job.spec.spot, count);
             (left > 0).then(|| Demand {
                 spec: job.spec.clone(),
                 count: left,
@@ -152,8 +153,8 @@
         demands.collect()
     }
 
-    /// Replicas that are expected before a machine could be rented for them.
-    fn expected_demands(&self, coming: &mut ComingMachines) -> Vec<Demand> {
+    /// The demand of replicas that are expected before a machine could be rented for them.
+    fn expected_demands(&self, pending: &mut PendingMachines) -> Vec<Demand> {
         let mut demands = Vec::new();
         for expected in self.cluster.expected_replicas(self.now) {
             let request = expected.request;
@@ -161,7 +162,7 @@
             let on_demand = machines.filter(|m| !m.spot && self.cluster.accepts_tasks(m, self.now));
             let slots = on_demand.map(|m| self.cluster.free_resources(m).slots(&request));
             let count = expected.count.saturating_sub(slots.sum());
-            let left = coming.absorb(&request, false, count);
+            let left = pending.absorb(&request, false, count);
             let spec = self.cluster.service_arrivals().spec_with_request(&request);
             if let (Some(spec), true) = (spec, left > 0) {
                 demands.push(Demand {
@@ -174,8 +175,8 @@
         demands
     }
 
-    /// Batches that have found no room for so long that they get machines of their own: those at hand
-    /// may suffice to end them in time, and yet not to begin them, or to begin them again.
+    /// Batches that have waited for so long that machines are rented for them specifically: the available
+    /// machines may suffice to finish them in time and still not let them start, or start again.
     fn overdue_batches(&self) -> impl Iterator<Item = &'a Job> + use<'a> {
         let now = self.now;
         let batches = self.cluster.jobs().filter(|job| !job.is_service());
@@ -183,11 +184,11 @@
         waiting.filter(move |job| job.is_overdue(now) || job.lacks_machines(now))
     }
 
-    /// A machine for one task of an overdue batch, for all of a gang.
-    fn overdue_demand(&self, job: &Job, coming: &mut ComingMachines) -> Option<Demand> {
+    /// The demand of an overdue batch: one task of an array, or all tasks of a gang.
+    fn overdue_demand(&self, job: &Job, pending: &mut PendingMachines) -> Option<Demand> {
         let tasks = if job.is_gang() { job.spec.tasks } else { 1 };
         let count = self.cluster.within_quota(job, tasks);
-        let left = coming.absorb(&job.request(), job.spec.spot, count);
+        let left = pending.absorb(&job.request(), job.spec.spot, count);
         (left > 0).then(|| Demand {
             spec: job.spec.clone(),
             count: left,
--- a/src/coordination/autoscaling/demand/supply.rs
+++ b/src/coordination/autoscaling/demand/supply.rs
@@ -1,4 +1,4 @@
-//! The machines that are at hand or coming, and which jobs may use them.
+//! The machines that are up, booting or requested, and which jobs may use them.
 
 use super::DemandEstimator;
 use crate::coordination::state::{may_use_type, Job, Machine, MachinePhase, Resources};
@@ -7,27 +7,27 @@
 use std::collections::BTreeMap;
 use std::iter::repeat_n;
 
-/// A machine that is up, boots or has been asked for.
+/// A machine that is up, booting or requested.
 #[derive(Clone)]
-pub(super) struct Supply<'a> {
+pub(super) struct SuppliedMachine<'a> {
     machine_type: &'a MachineType,
     zone: &'a str,
     spot: bool,
-    /// What no service takes.
+    /// The resources that no service uses.
     pub(super) for_batches: Resources,
-    /// What nothing takes.
+    /// The resources that no task uses.
     pub(super) free: Resources,
 }
 
-impl Supply<'_> {
-    /// Whether the job's description lets its tasks use the machine, and one of them would fit it.
+impl SuppliedMachine<'_> {
+    /// Whether the specification allows tasks to use the machine, and a task fits on an empty one.
     pub(super) fn suits(&self, spec: &JobSpec) -> bool {
         let zone_allowed = spec.zone.as_ref().is_none_or(|z| z == self.zone);
         zone_allowed && (spec.spot || !self.spot) && may_use_type(spec, self.machine_type)
     }
 }
 
-/// The machines that jobs may use.
+/// The choice of machines that a job has.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineChoice<'a> {
     machine_types: Vec<&'a str>,
@@ -35,11 +35,11 @@
     spot: bool,
 }
 
-/// How many tasks of a job fit machines of each zone, by the resources that count.
+/// How many tasks of a job fit on the machines of each zone, by the resources that `resources` selects.
 pub(super) fn slots_by_zone<'a>(
     job: &Job,
-    supply: &[Supply<'a>],
-    resources: impl Fn(&Supply) -> Resources,
+    supply: &[SuppliedMachine<'a>],
+    resources: impl Fn(&SuppliedMachine) -> Resources,
 ) -> BTreeMap<&'a str, u32> {
     let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in supply.iter().filter(|s| s.suits(&job.spec)) {
@@ -49,22 +49,22 @@
 }
 
 impl<'a> DemandEstimator<'a> {
-    /// The machines that are up or come, with what batches can use of them.
-    pub(super) fn supply(&self) -> Vec<Supply<'a>> {
+    /// The machines that are up, booting or requested, with the resources available to batches.
+    pub(super) fn supply(&self) -> Vec<SuppliedMachine<'a>> {
         let machine_types = self.cluster.machine_types();
         let mut supply = Vec::new();
         for rent in self.autoscaler.pending_rentals.values() {
             let Some(machine_type) = machine_types.get(&rent.kind) else {
                 continue;
             };
-            let coming = Supply {
+            let requested = SuppliedMachine {
                 machine_type,
                 zone: &rent.zone,
                 spot: rent.spot,
                 for_batches: Resources::of_type(machine_type),
                 free: Resources::of_type(machine_type),
             };
-            supply.extend(repeat_n(coming, rent.count as usize));
+            supply.extend(repeat_n(requested, rent.count as usize));
         }
         for machine in self.cluster.machines() {
             let is_booting = machine.phase == MachinePhase::Booting;
@@ -75,16 +75,16 @@
         supply
     }
 
-    fn supply_of(&self, machine: &'a Machine) -> Option<Supply<'a>> {
+    fn supply_of(&self, machine: &'a Machine) -> Option<SuppliedMachine<'a>> {
         let machine_types = self.cluster.machine_types();
         let machine_type = machine_types.get(&machine.machine_type)?;
         let mut for_batches = Resources::of_type(machine_type);
         for (_, allocation) in machine.live_allocations() {
             if allocation.profile.is_service() {
-                for_batches.take(&allocation.profile.request);
+                for_batches.subtract(&allocation.profile.request);
             }
         }
-        Some(Supply {
+        Some(SuppliedMachine {
             machine_type,
             zone: &machine.zone,
             spot: machine.spot,
@@ -93,9 +93,9 @@
         })
     }
 
-    /// Waiting jobs by the machines that they may use: types on which a task fits, zone, and whether
-    /// the cloud may reclaim them.
-    pub(super) fn by_choice<'b>(
+    /// Groups waiting jobs by the machines that they may use: types on which a task fits, zone, and whether
+    /// spot machines are allowed.
+    pub(super) fn group_by_choice<'b>(
         &'b self,
         batches: &[&'b Job],
     ) -> BTreeMap<MachineChoice<'b>, Vec<&'b Job>> {
--- a/src/coordination/autoscaling/mod.rs
+++ b/src/coordination/autoscaling/mod.rs
@@ -1,8 +1,8 @@
-//! Scale out and in: how many machines the jobs need, which to rent, and which to return.
+//! The autoscaler: how many machines the jobs need, which to rent and which to return.
 //!
-//! - `demand`: what jobs lack beyond the machines that are up or coming;
-//! - `scale_out`: renting the cheapest machines for it;
-//! - `scale_in`: returning idle machines, and moving replicas off nearly empty ones.
+//! - `demand`: the need for machines beyond those that are up, booting or requested;
+//! - `scale_out`: renting the cheapest machines for the demand;
+//! - `scale_in`: returning idle machines, and moving replicas off nearly empty machines.
 
 mod demand;
 mod scale_in;
@@ -15,12 +15,13 @@
 use demand::{merge, DemandEstimator};
 use std::collections::BTreeMap;
 
-/// The share of an earlier leader's machines that must have been heard before any are rented.
+/// The share of an earlier leader's machines from which heartbeats must have been received before the
+/// new leader rents or returns machines.
 const SETTLED_SHARE: f64 = 0.9;
-/// What a machine costs at least, in seconds of its price.
+/// The minimum time that the cloud charges for a machine, in seconds.
 const MIN_CHARGE_S: f64 = 60.0;
 
-/// Machines that the cloud may rent out.
+/// A kind of machine that the cloud offers: type, zone, and spot or on demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Offer {
     machine_type: MachineTypeName,
@@ -45,17 +46,18 @@
 /// The autoscaler of the leader.
 #[derive(Default)]
 pub(super) struct Autoscaler {
-    /// Offers that the cloud refused, and until when that is remembered.
+    /// Offers of which the cloud had too few machines, each with the time until which it is not requested
+    /// again.
     unavailable_offers: BTreeMap<Offer, Time>,
-    /// Rentals that are not answered yet, by their requests.
+    /// Rentals without a response so far, by request id.
     pending_rentals: BTreeMap<String, Rent>,
-    /// Whether a rental was answered, so that the next one need not wait for the next tick.
+    /// Set when the cloud has responded to a rental, so that the next run need not wait for the next tick.
     retry_now: bool,
     last_run_at: Time,
 }
 
 impl Autoscaler {
-    /// Rents on as soon as answers are in, but not more often than the cloud takes calls.
+    /// Continues to rent machines as soon as responses have arrived, within the cloud's request rate.
     pub(crate) fn continue_scale_out(&mut self, cluster: &mut ClusterState, now: Time) {
         let pause_s = 1.0 / cluster.settings().cluster.cloud.rps;
         if self.retry_now && now - self.last_run_at >= pause_s {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Returns machines that are of no use, and rents those that are needed.
+    /// Returns machines that are not needed and rents machines that are.
     pub(crate) fn run(&mut self, cluster: &mut ClusterState, now: Time) {
         if cluster.machine_types().is_empty() {
             return;
@@ -83,15 +85,15 @@
         }
     }
 
-    /// Whether the cloud has not lately refused an offer.
+    /// Whether an offer may be requested: the cloud has not recently run short of it.
     fn is_available(&self, offer: &Offer) -> bool {
         !self.unavailable_offers.contains_key(offer)
     }
 }
 
-/// Whether most of the machines that an earlier leader used have been heard, or have had the time to
-/// send a heartbeat. Until then their free resources are not known: a new leader that went by what it
-/// sees would rent all of it anew.
+/// Whether most of the machines of earlier leaders have sent a heartbeat with this term's token, or the
+/// heartbeat timeout since the election has passed. Until then the machines' free resources are
+/// unknown, and a new leader would rent machines for all tasks a second time.
 fn has_settled(cluster: &ClusterState, now: Time) -> bool {
     let leadership = cluster.leadership();
     if now - leadership.elected_at() > cluster.heartbeat_timeout_s() {
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -1,4 +1,4 @@
-//! Which machines to return: those that stand idle, and those whose replicas fit elsewhere.
+//! Scale in: returns idle machines, and machines whose replicas fit on other machines.
 
 use super::MIN_CHARGE_S;
 use crate::coordination::cluster::service_arrivals::ExpectedReplicas;
@@ -11,16 +11,16 @@
 use std::collections::HashMap;
 use tracing::info;
 
-/// Free processors that are kept for each that waiting tasks take: they do not fit everywhere.
-const FREE_FOR_WAITING: f64 = 1.25;
-/// Machines whose replicas may be moved in one tick, as a share of those that are up.
-const MOVED_SHARE: f64 = 0.05;
-/// Machines that are examined for it.
-const MOVE_CANDIDATES: usize = 16;
-/// A start counts once the task has run for this long.
-const START_COUNTS_S: f64 = 30.0;
+/// Free processors to keep for each processor that waiting tasks request: tasks do not fit everywhere.
+const WAITING_CPU_FACTOR: f64 = 1.25;
+/// The maximum share of the machines that are up that may drain at a time.
+const MAX_DRAINING_SHARE: f64 = 0.05;
+/// How many machines are examined as candidates for draining in each run.
+const MAX_MOVE_CANDIDATES: usize = 16;
+/// How long a replica must have run before it may be moved, so that its start counts.
+const MIN_RUN_BEFORE_MOVE_S: f64 = 30.0;
 
-/// Processors on all machines, and on those that the cloud does not reclaim.
+/// Free processors on all machines, and on on-demand machines alone.
 #[derive(Clone, Copy, Default)]
 struct FreeCpus {
     all: f64,
@@ -36,28 +36,29 @@
     }
 }
 
-/// A job that waits, and the processors that its tasks would take.
+/// A waiting job, and the processors that its tasks request.
 struct WaitingJob<'a> {
     job: &'a Job,
     cpus: f64,
 }
 
 impl WaitingJob<'_> {
-    /// Whether the job keeps the machine: one that may only use some keeps all of those.
-    fn keeps(&self, machine: &Machine) -> bool {
+    /// Whether the job prevents the machine's return: a job that may use only some machines prevents_return all of
+    /// these.
+    fn prevents_return(&self, machine: &Machine) -> bool {
         let spec = &self.job.spec;
         let may_use_any = spec.gpus <= 0.0 && spec.types.is_none() && spec.zone.is_none();
         !may_use_any && may_use(self.job, machine)
     }
 }
 
-/// An idle machine and its price.
+/// An idle machine, with its price.
 struct IdleMachine<'a> {
     machine: &'a Machine,
     price: f64,
 }
 
-/// Machines that are alike, as far as scaling in is concerned.
+/// The properties by which machines are equivalent for scale in.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct MachineKind<'a> {
     machine_type: &'a MachineTypeName,
@@ -65,7 +66,7 @@
     spot: bool,
 }
 
-/// Returns machines that stand idle, if what is expected fits without them.
+/// Returns idle machines if the expected and waiting tasks fit without them.
 pub(super) fn return_idle(cluster: &mut ClusterState, now: Time) {
     for name in idle_to_return(cluster, now) {
         info!(machine = %name, "returning an idle machine");
@@ -83,7 +84,7 @@
     let mut surplus_by_kind: HashMap<MachineKind, FreeCpus> = HashMap::new();
     let mut returned = FreeCpus::default();
     let mut returns = Vec::new();
-    // The dearest first.
+    // The most expensive first.
     idle.sort_by(|a, b| b.price.total_cmp(&a.price));
     for IdleMachine { machine, .. } in idle {
         let kind = MachineKind {
@@ -97,7 +98,7 @@
         let cpus = cluster.free_resources(machine).cpus;
         let is_surplus = surplus.all - returned.all >= cpus
             && (machine.spot || surplus.on_demand - returned.on_demand >= cpus);
-        if is_surplus && !waiting.iter().any(|job| job.keeps(machine)) {
+        if is_surplus && !waiting.iter().any(|job| job.prevents_return(machine)) {
             returned.add(machine, cpus);
             returns.push(machine.name.clone());
         }
@@ -105,7 +106,7 @@
     returns
 }
 
-/// Machines that have stood idle for long enough.
+/// Machines that have been idle for long enough to be returned.
 fn idle_machines(cluster: &ClusterState, now: Time) -> Vec<IdleMachine<'_>> {
     let idle_share = cluster.settings().policy.idle;
     let machines = cluster.machines();
@@ -119,13 +120,13 @@
             machine_type.price
         };
         let is_idle = now - machine.idle_since > idle_share * machine_type.boot_s;
-        let is_paid = now - machine.rented_at > MIN_CHARGE_S;
-        (is_idle && is_paid).then_some(IdleMachine { machine, price })
+        let min_charge_is_used = now - machine.rented_at > MIN_CHARGE_S;
+        (is_idle && min_charge_is_used).then_some(IdleMachine { machine, price })
     });
     idle.collect()
 }
 
-/// Free processors on all machines, beyond what the services that are expected take.
+/// Free processors on all machines, minus the requests of expected replicas.
 fn free_beyond_expected(cluster: &ClusterState, now: Time) -> FreeCpus {
     let mut free = FreeCpus::default();
     for machine in cluster.machines() {
@@ -141,11 +142,11 @@
     free
 }
 
-/// What waits, as far as quotas let it start.
+/// Waiting jobs, with the tasks that quotas allow to start.
 fn waiting_jobs(cluster: &ClusterState) -> Vec<WaitingJob<'_>> {
     let jobs = cluster.jobs().filter(|job| job.is_eligible());
     let waiting = jobs.filter_map(|job| {
-        // One that waits for its team's quota needs no machine.
+        // A job that waits for its team's quota needs no machine.
         let tasks = cluster.within_quota(job, job.unplaced_count());
         let cpus = f64::from(tasks) * job.spec.cpus;
         (tasks > 0).then_some(WaitingJob { job, cpus })
@@ -153,9 +154,9 @@
     waiting.collect()
 }
 
-/// Free processors beyond what is expected and what waits for machines like this one. With many
-/// jobs there is always one that waits for a moment, so that alone keeps no machine; nor does
-/// what fits no machine like it.
+/// Free processors beyond the requests of expected replicas and of the jobs that wait for machines like
+/// this one. A waiting job as such prevents_return no machine, because with many jobs one is always waiting
+/// briefly. Nor does a job whose tasks do not fit on such a machine.
 fn surplus(
     cluster: &ClusterState,
     free: FreeCpus,
@@ -171,22 +172,22 @@
         if !may_use(job, machine) || !total.fits(&job.request()) {
             continue;
         }
-        surplus.all -= FREE_FOR_WAITING * cpus;
+        surplus.all -= WAITING_CPU_FACTOR * cpus;
         if !job.spec.spot {
-            surplus.on_demand -= FREE_FOR_WAITING * cpus;
+            surplus.on_demand -= WAITING_CPU_FACTOR * cpus;
         }
     }
     surplus
 }
 
-/// A machine whose replicas move elsewhere.
+/// A machine to drain, and the replicas to move to other machines.
 struct Move {
     machine: MachineName,
     allocations: Vec<AllocationId>,
 }
 
-/// Moves replicas off machines that hold nothing else, where others have room for them and their
-/// images, so that these can be returned.
+/// Drains machines that have only replicas, if these fit on other machines that already have their
+/// images, so that the drained machines can be returned.
 pub(super) fn consolidate(cluster: &mut ClusterState, now: Time) {
     for Move {
         machine,
@@ -211,7 +212,7 @@
         movable.filter(|machine| !machine.is_empty() && holds_settled_replicas(machine, now));
     let mut candidates: Vec<&Machine> = movable.collect();
     candidates.sort_by(|a, b| a.used().cpus.total_cmp(&b.used().cpus));
-    // The fullest others come first: what they take leaves the emptier ones to follow.
+    // The fullest targets come first, so that the emptier machines can be drained next.
     let free_cpus = |machine: &Machine| cluster.free_resources(machine).cpus;
     targets.sort_by(|a, b| free_cpus(a).total_cmp(&free_cpus(b)));
     let mut consolidation = Consolidation {
@@ -221,7 +222,7 @@
         taken: HashMap::new(),
         moves: Vec::new(),
     };
-    for machine in candidates.into_iter().take(MOVE_CANDIDATES) {
+    for machine in candidates.into_iter().take(MAX_MOVE_CANDIDATES) {
         if consolidation.moves.len() >= max_moves {
             break;
         }
@@ -230,7 +231,7 @@
     consolidation.moves
 }
 
-/// How many more machines may be emptied now: none while tasks wait.
+/// How many more machines may be drained now; 0 while tasks wait.
 fn max_moves(cluster: &ClusterState) -> usize {
     let (mut up, mut draining) = (0, 0);
     for machine in cluster.machines() {
@@ -239,7 +240,7 @@
             draining += usize::from(machine.draining);
         }
     }
-    let max_draining = ((MOVED_SHARE * f64::from(up)) as usize).max(1);
+    let max_draining = ((MAX_DRAINING_SHARE * f64::from(up)) as usize).max(1);
     let mut jobs = cluster.jobs();
     if draining >= max_draining || jobs.any(|job| job.is_eligible() && job.unplaced_count() > 0) {
         return 0;
@@ -247,28 +248,29 @@
     max_draining - draining
 }
 
-/// Whether all on a machine are replicas that have run for long enough to count as started.
+/// Whether all tasks on a machine are replicas that have run for `MIN_RUN_BEFORE_MOVE_S` and are not
+/// being stopped.
 fn holds_settled_replicas(machine: &Machine, now: Time) -> bool {
     machine.live_allocations().all(|(_, allocation)| {
         let since = allocation.running_since;
-        let has_settled = since.is_some_and(|since| now - since > START_COUNTS_S);
+        let has_settled = since.is_some_and(|since| now - since > MIN_RUN_BEFORE_MOVE_S);
         allocation.profile.is_service() && has_settled && allocation.pending_stop.is_none()
     })
 }
 
-/// The moves that are decided, and what they take of other machines.
+/// The moves decided so far, and the resources that they use on other machines.
 struct Consolidation<'a> {
     cluster: &'a ClusterState,
-    /// Machines that may take replicas.
+    /// Machines that may receive replicas.
     targets: Vec<&'a Machine>,
     expected: Vec<ExpectedReplicas>,
-    /// What moves take of the targets, by their positions.
+    /// The resources that the moves use on the targets, by the index of the target.
     taken: HashMap<usize, Resources>,
     moves: Vec<Move>,
 }
 
 impl Consolidation<'_> {
-    /// Moves a machine's replicas to others, if they and those that are expected fit there.
+    /// Adds a move of a machine's replicas if these and the expected replicas fit on other machines.
     fn try_move(&mut self, machine: &Machine) {
         if let Some(taken) = self.fits_elsewhere(machine) {
             self.taken = taken;
@@ -280,46 +282,47 @@
         }
     }
 
-    /// What is taken of other machines if a machine's replicas move there; none if they and those that
-    /// are expected do not fit.
+    /// The resources used on the targets if the machine's replicas move there; `None` if these and the
+    /// expected replicas do not fit.
     fn fits_elsewhere(&self, machine: &Machine) -> Option<HashMap<usize, Resources>> {
         let mut taken = self.taken.clone();
         for (id, allocation) in machine.live_allocations() {
             let job = self.cluster.job(&id.job)?;
             let request = &allocation.profile.request;
             let target = (0..self.targets.len()).find(|target| {
-                self.takes_replica(*target, job, machine)
+                self.accepts_replica(*target, job, machine)
                     && self.free(*target, &taken).fits(request)
             })?;
             taken.entry(target).or_default().add(request);
         }
         let fits_expected = |expected: &ExpectedReplicas| {
-            let targets = (0..self.targets.len()).filter(|target| self.stays(*target, machine));
+            let targets =
+                (0..self.targets.len()).filter(|target| self.is_available_target(*target, machine));
             let slots = targets.map(|target| self.free(target, &taken).slots(&expected.request));
             slots.sum::<u32>() >= expected.count
         };
         self.expected.iter().all(fits_expected).then_some(taken)
     }
 
-    /// Whether a target may take a replica of a job that is on a machine.
-    fn takes_replica(&self, target: usize, job: &Job, machine: &Machine) -> bool {
+    /// Whether a target may receive a replica of a job from a machine.
+    fn accepts_replica(&self, target: usize, job: &Job, machine: &Machine) -> bool {
         let has_zone_rule = job.spec.one_zone || job.spec.spread;
-        let to = self.targets[target];
-        (!has_zone_rule || to.zone == machine.zone)
-            && may_use(job, to)
-            && to.images.contains(&job.spec.image)
-            && self.stays(target, machine)
+        let target_machine = self.targets[target];
+        (!has_zone_rule || target_machine.zone == machine.zone)
+            && may_use(job, target_machine)
+            && target_machine.images.contains(&job.spec.image)
+            && self.is_available_target(target, machine)
     }
 
-    /// Whether a target is another machine than this one, and is not to empty itself.
-    fn stays(&self, target: usize, machine: &Machine) -> bool {
+    /// Whether a target is a different machine and is not going to be drained.
+    fn is_available_target(&self, target: usize, machine: &Machine) -> bool {
         let name = &self.targets[target].name;
         *name != machine.name && self.moves.iter().all(|m| m.machine != *name)
     }
 
     fn free(&self, target: usize, taken: &HashMap<usize, Resources>) -> Resources {
         let mut free = self.cluster.free_resources(self.targets[target]);
-        free.take(&taken.get(&target).copied().unwrap_or_default());
+        free.subtract(&taken.get(&target).copied().unwrap_or_default());
         free
     }
 }
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! Which machines are rented for a demand, and what the cloud answers.
+//! Scale out: rents machines for a demand and handles the cloud's responses.
 
 use super::demand::Demand;
 use super::{Autoscaler, Offer, MIN_CHARGE_S};
@@ -8,20 +8,20 @@
 use crate::protocol::cloud::{Rent, MAX_RENTED};
 use tracing::{debug, info};
 
-/// An offer that suits a demand.
+/// An offer that satisfies a demand, with its price.
 struct PricedOffer {
     offer: Offer,
-    /// How many tasks fit one machine.
+    /// How many tasks fit on one machine.
     slots: u32,
-    /// The price for each task.
+    /// The price per task.
     task_price: f64,
 }
 
 impl Autoscaler {
-    /// Rents the cheapest machines that suit, as far as the cloud has not lately refused them.
+    /// Rents the cheapest suitable machines, as far as their offers are available.
     pub(super) fn scale_out_for(&mut self, cluster: &mut ClusterState, demand: &Demand) {
         let mut left = demand.count;
-        // An offer is asked for once at a time: its answer tells whether there is more.
+        // Each offer has at most one rental in flight: the response shows whether more is available.
         let mut tried: Vec<Offer> = self.pending_rentals.values().map(Offer::of).collect();
         while left > 0 {
             let best = self.cheapest_offer(cluster.machine_types(), demand, left, &tried);
@@ -58,7 +58,8 @@
         cluster.push_effect(Effect::RentMachines(rent));
     }
 
-    /// The offer with the lowest price for each of so many tasks, the first among equals.
+    /// The available offer with the lowest price per task if `tasks` tasks are to be placed; the first
+    /// among equals.
     fn cheapest_offer(
         &self,
         machine_types: &MachineTypes,
@@ -105,8 +106,8 @@
         best
     }
 
-    /// What the cloud answered to a rental: the machines, perhaps none; `None` when it has no
-    /// answer to give.
+    /// Handles the result of a rental request: the names of the rented machines, possibly none;
+    /// `None` if the request failed without a usable response.
     pub(crate) fn machines_rented(
         &mut self,
         cluster: &mut ClusterState,
@@ -136,7 +137,7 @@
         for name in names {
             cluster.add_rented_machine(&name, &rent, now);
         }
-        // An offer that gave all that was asked for may have more.
+        // An offer that supplied all requested machines may have more.
         self.retry_now = true;
     }
 }
--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -124,7 +124,7 @@
             return;
         };
         self.quota.release(&job.spec.team, &job.request());
-        if job.is_finished() {
+        if job.needs_final_state() {
             self.mark_finished(&id.job);
         }
         self.needs_scheduling = true;
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -164,7 +164,7 @@
                 && worker.last_heartbeat_at().is_some();
             // The answer to commands in flight brings the machine back here, and the response to its
             // next heartbeat carries what there is.
-            if worker.commands_in_flight() || !is_reachable || !worker.takes_commands(now) {
+            if worker.commands_in_flight() || !is_reachable || !worker.accepts_commands(now) {
                 continue;
             }
             let commands = self.commands(&name, None, now);
@@ -210,7 +210,7 @@
         self.machines_to_notify.insert(name.clone());
         match outcome {
             CommandOutcome::Executed(heartbeat) => {
-                worker.acknowledge(true, now);
+                worker.record_acknowledgement(true, now);
                 self.apply_answer(name, &heartbeat, now);
             }
             CommandOutcome::Rejected(Some(heartbeat)) => self.apply_answer(name, &heartbeat, now),
--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -133,7 +133,7 @@
             let dependency: JobId = name.as_str().into();
             match self.jobs.get(&dependency) {
                 Some(job) if job.will_be_cancelled() => is_cancelled = true,
-                Some(job) if job.end_recorded => continue,
+                Some(job) if job.final_state_recorded => continue,
                 Some(_) => {}
                 None => {
                     self.dependencies.unknown.insert(dependency.clone());
@@ -202,7 +202,7 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.will_be_cancelled() || job.end_recorded {
+            if job.will_be_cancelled() || job.final_state_recorded {
                 continue;
             }
             job.dependency_cancelled = true;
--- a/src/coordination/cluster/heartbeats.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -149,7 +149,7 @@
         let name: MachineName = heartbeat.machine.as_str().into();
         let mut commands = Vec::new();
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.worker.responded(token, now);
+            machine.worker.response_sent(token, now);
             commands = self.commands_for_unknown_tasks(&name, heartbeat);
         }
         commands.extend(self.commands(&name, Some(heartbeat.sequence), now));
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -129,7 +129,7 @@
             Some(task) if !is_gang => task.allocations.clone(),
             _ => Vec::new(),
         };
-        let is_finished = job.is_finished();
+        let is_finished = job.needs_final_state();
         self.attribute_failures(id);
         if is_finished {
             self.mark_finished(id);
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -3,7 +3,7 @@
 use super::heartbeat_monitor::MachineSurvey;
 use super::{ClusterState, Effect, CLOCK_DRIFT};
 use crate::coordination::state::{
-    AllocationId, JobId, Machine, MachineName, MachinePhase, MAX_WAIT_WITH_ROOM_S,
+    AllocationId, JobId, Machine, MachineName, MachinePhase, MAX_WAIT_WITH_CAPACITY_S,
 };
 use crate::coordination::Time;
 use crate::protocol::cloud::MAX_RETURNED;
@@ -75,7 +75,7 @@
             job.consecutive_failures += 1;
             let doublings = job.consecutive_failures.min(MAX_DOUBLINGS);
             let pause_s = report_s * f64::from(1 << doublings);
-            let pause_s = pause_s.min(LONGEST_PAUSE_SHARE * MAX_WAIT_WITH_ROOM_S);
+            let pause_s = pause_s.min(LONGEST_PAUSE_SHARE * MAX_WAIT_WITH_CAPACITY_S);
             job.retry_at = now + pause_s;
             // A pause and a reservation behind it must not add up: it counts as waiting with room.
             self.starvation.start(id, now);
@@ -307,7 +307,7 @@
         };
         let is_ready = |machine: &&Machine| {
             let worker = &machine.worker;
-            let is_idle = !worker.commands_in_flight() && worker.takes_commands(now);
+            let is_idle = !worker.commands_in_flight() && worker.accepts_commands(now);
             is_idle && machine.endpoint.is_some()
         };
         let machines = || self.machines.values();
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -226,7 +226,7 @@
             return Resources::default();
         };
         let mut free = Resources::of_type(machine_type);
-        free.take(&machine.used());
+        free.subtract(&machine.used());
         free
     }
 
--- a/src/coordination/cluster/placement_records.rs
+++ b/src/coordination/cluster/placement_records.rs
@@ -159,7 +159,7 @@
     /// Notes that a placement went from one record to another. Until that is written, the old record
     /// stays as it is: what it told must not be forgotten in between.
     pub(super) fn moved(&mut self, from: usize, to: usize, now: Time) {
-        self.records[from].shrinks_after.insert(to);
+        self.records[from].pending_move_targets.insert(to);
         self.shrinking.insert(from);
         self.records[from].dirty_since.get_or_insert(now);
     }
@@ -234,8 +234,8 @@
         self.records[record].version = version;
         let records = &mut self.records;
         self.shrinking.retain(|number| {
-            records[*number].shrinks_after.remove(&record);
-            !records[*number].shrinks_after.is_empty()
+            records[*number].pending_move_targets.remove(&record);
+            !records[*number].pending_move_targets.is_empty()
         });
         for placement in &sent.pending {
             self.records[record].mark_stored(placement);
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -144,7 +144,7 @@
             self.machines_to_notify.insert(name.clone());
         }
         if launched_by_response {
-            machine.worker.acknowledge(true, now);
+            machine.worker.record_acknowledgement(true, now);
         }
         if has_started {
             debug!(task = %id, machine = %name, "task runs");
@@ -228,7 +228,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let reported_sequence = machine.worker.reported_sequence();
+        let reported_sequence = machine.worker.unsolicited_sequence();
         // A response carried a launch, and a heartbeat after it shows nothing of that.
         let is_unacknowledged = machine.allocations().iter().any(|(id, a)| {
             let sequence = a.launch_response_sequence;
@@ -237,14 +237,14 @@
             is_launching && is_answered && !shown.contains(id)
         });
         if is_unacknowledged {
-            machine.worker.acknowledge(false, now);
+            machine.worker.record_acknowledgement(false, now);
         }
         let mut lost = Vec::new();
         machine.retain_allocations(|id, allocation| {
             if shown.contains(id) {
                 return true;
             }
-            let launches_are_over = allocation.launches_are_over(token, reported_sequence);
+            let launches_are_over = allocation.no_launch_in_flight(token, reported_sequence);
             if matches!(allocation.state, AllocationState::Exited(_)) {
                 // The worker forgot it as it was told.
                 return !launches_are_over;
--- a/src/coordination/cluster/starvation.rs
+++ b/src/coordination/cluster/starvation.rs
@@ -1,6 +1,6 @@
 //! Jobs that only the head's reservation, or a pause after failures, keeps from free resources.
 
-use crate::coordination::state::{JobId, MAX_WAIT_WITH_ROOM_S};
+use crate::coordination::state::{JobId, MAX_WAIT_WITH_CAPACITY_S};
 use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,6 +38,6 @@
     /// wrong for ever, and nobody is to wait for long while there is room.
     pub(crate) fn is_starved(&self, job: &JobId, now: Time) -> bool {
         let since = self.since.get(job);
-        since.is_some_and(|since| now - since > STARVED_SHARE * MAX_WAIT_WITH_ROOM_S)
+        since.is_some_and(|since| now - since > STARVED_SHARE * MAX_WAIT_WITH_CAPACITY_S)
     }
 }
--- a/src/coordination/cluster/writes/completions.rs
+++ b/src/coordination/cluster/writes/completions.rs
@@ -149,7 +149,10 @@
 
 /// Whether a record is to be written at all; a job that is finished is closed instead.
 fn is_due(job: &Job, outdated: &OutdatedCompletions) -> bool {
-    let is_open = !job.cancelled && !job.end_in_flight && !job.end_recorded && !job.is_finished();
+    let is_open = !job.cancelled
+        && !job.final_state_in_flight
+        && !job.final_state_recorded
+        && !job.needs_final_state();
     is_open && job.completion_records[outdated.record.shard].dirty_since == Some(outdated.since)
 }
 
@@ -164,6 +167,6 @@
         let record = job
             .completion_records
             .get(task as usize / shards.tasks_per_shard);
-        !job.end_recorded && record.is_some_and(|r| r.dirty_since.is_some() || r.in_flight)
+        !job.final_state_recorded && record.is_some_and(|r| r.dirty_since.is_some() || r.in_flight)
     })
 }
--- a/src/coordination/cluster/writes/ends.rs
+++ b/src/coordination/cluster/writes/ends.rs
@@ -34,7 +34,7 @@
         };
         let at_ms = self.clock.wall_ms(now);
         let job = self.jobs.get_mut(&finished.job);
-        let Some(job) = job.filter(|job| job.is_finished()) else {
+        let Some(job) = job.filter(|job| job.needs_final_state()) else {
             self.finished_jobs.remove(&finished);
             return true;
         };
@@ -46,7 +46,7 @@
         if !self.writes.spend(operations, now) {
             return false;
         }
-        job.end_in_flight = true;
+        job.final_state_in_flight = true;
         let end = (!job.cancelled).then(|| EndRecord {
             state: end_state(job),
             at_ms: Some(at_ms),
@@ -75,7 +75,7 @@
     /// Takes in what became of the write of an end.
     pub(super) fn end_written(&mut self, id: &JobId, applied: Option<u64>, now: Time) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.end_in_flight = false;
+            job.final_state_in_flight = false;
             self.mark_finished(id);
         }
         if applied.is_some() {
@@ -86,10 +86,14 @@
     /// A job's end is recorded. What may still be of it on a machine, such as a copy of a task that
     /// completed elsewhere, counts until it is proven gone.
     pub(super) fn job_ended(&mut self, id: &JobId, now: Time) {
-        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.end_recorded) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| !job.final_state_recorded)
+        else {
             return;
         };
-        job.end_recorded = true;
+        job.final_state_recorded = true;
         let was_announced = job.cancelled;
         job.cancelled |= job.dependency_cancelled;
         let state = end_state(job);
@@ -120,7 +124,7 @@
     /// Drops a job whose end is recorded, once no machine may hold anything of it.
     pub(crate) fn drop_ended_job(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
-        if job.is_some_and(|job| job.end_recorded && job.allocated() == 0) {
+        if job.is_some_and(|job| job.final_state_recorded && job.allocated() == 0) {
             self.jobs.remove(id);
         }
     }
@@ -128,7 +132,7 @@
 
 fn has_write_in_flight(job: &Job) -> bool {
     let mut completions = job.completion_records.iter();
-    job.end_in_flight || completions.any(|record| record.in_flight)
+    job.final_state_in_flight || completions.any(|record| record.in_flight)
 }
 
 fn log_completion(job: &Job, now: Time) {
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -1,9 +1,9 @@
-//! The manager of the cluster: what the leading controller does for as long as its term lasts.
+//! The cluster manager, which the leader runs during its term.
 //!
-//! Events come in with their time: heartbeats, answers of the store, the cloud and the workers,
-//! accepted and ended jobs. [`ClusterManager::step`] and [`ClusterManager::tick`] let time pass: they
-//! run scheduling cycles and the autoscaler on the state of the cluster and apply what these decide.
-//! What other actors are to do goes out as [`Effect`]s.
+//! Events arrive with their time: heartbeats, responses of the key-value store, the cloud and the
+//! workers, accepted and finished jobs. [`ClusterManager::step`] and [`ClusterManager::tick`] advance
+//! the time: they run scheduling cycles and the autoscaler on the state of the cluster and apply their
+//! decisions. Actions for other actors are returned as [`Effect`]s.
 
 use super::autoscaling::Autoscaler;
 use super::cluster::heartbeats::HeartbeatSource;
@@ -22,38 +22,38 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Seconds between scheduling cycles while nothing is known to have changed, and between checks of
-/// leases and machines.
-const CYCLE_PAUSE_S: f64 = 0.5;
-/// Seconds between summaries in the log.
-const SUMMARY_PAUSE_S: f64 = 5.0;
-/// How many times as long as a scheduling cycle took the next one waits.
-const CYCLE_PACE: f64 = 5.0;
+/// Seconds between scheduling cycles while no change is known, and between checks of leases and
+/// machines.
+const CYCLE_INTERVAL_S: f64 = 0.5;
+/// Seconds between log summaries.
+const SUMMARY_INTERVAL_S: f64 = 5.0;
+/// The pause after a scheduling cycle, as a multiple of the cycle's duration.
+const CYCLE_PAUSE_FACTOR: f64 = 5.0;
 
-/// When scheduling cycles ran, and when the next one may.
+/// Timing of scheduling cycles, maintenance and log summaries.
 #[derive(Default)]
-struct SchedulingPace {
+struct CycleTiming {
     last_cycle_at: Time,
-    /// Before then a cycle would cost too much.
+    /// No cycle runs before this time, to limit the share of time that cycles take.
     next_cycle_at: Time,
     last_maintenance_at: Time,
     last_summary_at: Time,
-    /// How many machines and allocations cycles have examined.
+    /// How many machines and allocations the cycles have examined.
     examined: u64,
 }
 
-impl SchedulingPace {
+impl CycleTiming {
     fn maintenance_is_due(&mut self, now: Time) -> bool {
-        let is_due = now - self.last_maintenance_at >= CYCLE_PAUSE_S;
+        let is_due = now - self.last_maintenance_at >= CYCLE_INTERVAL_S;
         if is_due {
             self.last_maintenance_at = now;
         }
         is_due
     }
 
-    /// Whether a cycle may run, where something has changed (`is_requested`) or not.
+    /// Whether a cycle is due: immediately after a change (`is_requested`), else at intervals.
     fn cycle_is_due(&mut self, is_requested: bool, now: Time) -> bool {
-        let is_due = is_requested || now - self.last_cycle_at >= CYCLE_PAUSE_S;
+        let is_due = is_requested || now - self.last_cycle_at >= CYCLE_INTERVAL_S;
         let runs = is_due && now >= self.next_cycle_at;
         if runs {
             self.last_cycle_at = now;
@@ -62,7 +62,7 @@
     }
 
     fn summary_is_due(&mut self, now: Time) -> bool {
-        let is_due = now - self.last_summary_at >= SUMMARY_PAUSE_S;
+        let is_due = now - self.last_summary_at >= SUMMARY_INTERVAL_S;
         if is_due {
             self.last_summary_at = now;
         }
@@ -74,32 +74,32 @@
 pub struct ClusterManager {
     cluster: ClusterState,
     autoscaler: Autoscaler,
-    pace: SchedulingPace,
+    timing: CycleTiming,
 }
 
-/// What time decides.
+/// Progress with time.
 impl ClusterManager {
-    /// The manager of a leader that was elected with a fencing token, before it has read any record.
+    /// The manager of a leader that was elected with this fencing token, before it has read any record.
     pub fn new(settings: Arc<Settings>, token: FencingToken, now: Time) -> ClusterManager {
         ClusterManager {
             cluster: ClusterState::new(settings, token, now),
             autoscaler: Autoscaler::default(),
-            pace: SchedulingPace::default(),
+            timing: CycleTiming::default(),
         }
     }
 
-    /// Lets time pass: decides what can be decided, and writes and sends what is due. Returns
-    /// whether a scheduling cycle was run.
+    /// Runs maintenance, scale out and a scheduling cycle if they are due, then flushes writes and sends
+    /// commands. Returns whether a scheduling cycle ran.
     pub fn step(&mut self, now: Time) -> bool {
-        let mut has_run = false;
+        let mut cycle_ran = false;
         if self.is_leader(now) {
-            if self.pace.maintenance_is_due(now) {
+            if self.timing.maintenance_is_due(now) {
                 self.cluster.maintain(now);
             }
             self.autoscaler.continue_scale_out(&mut self.cluster, now);
             let is_requested = self.cluster.needs_scheduling();
-            has_run = self.pace.cycle_is_due(is_requested, now);
-            if has_run {
+            cycle_ran = self.timing.cycle_is_due(is_requested, now);
+            if cycle_ran {
                 self.cluster.take_scheduling_request();
                 self.schedule(now);
             }
@@ -107,19 +107,19 @@
         self.cluster.request_unknown_ends(now);
         self.cluster.flush_writes(now);
         self.cluster.send_commands(now);
-        has_run
+        cycle_ran
     }
 
-    /// How long a scheduling cycle took, so that the next one waits for long enough.
-    pub fn cycle_took(&mut self, seconds: f64, now: Time) {
-        self.pace.next_cycle_at = now + CYCLE_PACE * seconds;
+    /// Records the duration of a scheduling cycle, which determines the pause before the next one.
+    pub fn record_cycle_duration(&mut self, seconds: f64, now: Time) {
+        self.timing.next_cycle_at = now + CYCLE_PAUSE_FACTOR * seconds;
     }
 
-    /// Slower decisions, about once a second.
+    /// Runs the autoscaler and logs summaries; called about once a second.
     pub fn tick(&mut self, now: Time) {
         if self.is_leader(now) {
             self.autoscaler.run(&mut self.cluster, now);
-            if self.pace.summary_is_due(now) {
+            if self.timing.summary_is_due(now) {
                 self.cluster.log_summary(now);
             }
         }
@@ -128,12 +128,12 @@
 
     fn schedule(&mut self, now: Time) {
         if let Some(plan) = run_cycle(&self.cluster, now) {
-            self.pace.examined += plan.examined;
+            self.timing.examined += plan.examined;
             self.apply(plan, now);
         }
     }
 
-    /// Carries a plan out: its allocations are recorded before any launch is sent.
+    /// Applies a plan: its allocations are recorded before any launch is sent.
     fn apply(&mut self, plan: SchedulingPlan, now: Time) {
         self.cluster.update_starvation(&plan.starved, now);
         for preemption in plan.preemptions {
@@ -143,12 +143,12 @@
         }
         let mut attempt_of_gang: HashMap<JobId, u64> = HashMap::new();
         for planned in plan.allocations {
-            let fresh = self.cluster.leadership_mut().next_id();
+            let new_attempt = self.cluster.leadership_mut().next_id();
             let attempt = if planned.is_gang {
                 let attempt = attempt_of_gang.entry(planned.job.clone());
-                *attempt.or_insert(fresh)
+                *attempt.or_insert(new_attempt)
             } else {
-                fresh
+                new_attempt
             };
             let id = AllocationId::new(planned.job, planned.task, attempt);
             self.cluster
@@ -156,20 +156,20 @@
         }
     }
 
-    /// Takes what other actors are to do.
+    /// Removes and returns the pending actions for other actors.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.cluster.take_effects()
     }
 }
 
-/// The term of leadership.
+/// The leadership term.
 impl ClusterManager {
-    /// Whether the leader may start tasks and write records.
+    /// Whether this controller is the leader and may start tasks and write records.
     pub fn is_leader(&self, now: Time) -> bool {
         self.cluster.leadership().is_leader(now)
     }
 
-    /// Whether the leadership is over, whatever the lease says.
+    /// Whether the term is over, even if the leadership lease has not expired.
     pub fn is_deposed(&self) -> bool {
         self.cluster.leadership().is_deposed()
     }
@@ -189,37 +189,37 @@
         self.cluster.leadership().first_token()
     }
 
-    /// Until when the leader's lease certainly holds.
+    /// Until when the leadership lease is guaranteed to be valid.
     pub fn lease_valid_until(&self) -> Time {
         self.cluster.leadership().lease_valid_until()
     }
 
-    /// Notes until when the leader's lease certainly holds.
+    /// Records until when the leadership lease is guaranteed to be valid.
     pub fn set_lease_valid_until(&mut self, until: Time) {
         self.cluster.leadership_mut().set_lease_valid_until(until);
     }
 
-    /// What may be written at the active cluster version.
+    /// The write fence, which determines what may be written at the active cluster version.
     pub fn write_fence(&self) -> &WriteFence {
         self.cluster.leadership().write_fence()
     }
 
-    /// Replaces what may be written, as the active cluster version was read anew.
+    /// Replaces the write fence after the active cluster version was read again.
     pub fn set_write_fence(&mut self, write_fence: WriteFence) {
         self.cluster.leadership_mut().set_write_fence(write_fence);
     }
 
-    /// A higher token was drawn; `None` if that failed.
+    /// Handles the result of a request for a higher fencing token; `None` if the request failed.
     pub fn token_raised(&mut self, token: Option<FencingToken>, now: Time) {
         self.cluster.token_raised(token, now);
     }
 
-    /// Every other controller has promised to answer no heartbeat with a lower token.
+    /// Handles that all peers have promised not to respond to heartbeats with a lower token.
     pub fn peers_promised(&mut self, now: Time) {
         self.cluster.peers_promised(now);
     }
 
-    /// Loads what earlier leaders recorded.
+    /// Restores the state from the records of earlier leaders.
     pub fn recover(&mut self, records: Records, wall_ms: u64, now: Time) {
         self.cluster.recover(records, wall_ms, now);
     }
@@ -227,12 +227,13 @@
 
 /// Workers and machines.
 impl ClusterManager {
-    /// Applies a heartbeat that its worker sent to this node, and responds to it.
+    /// Applies a heartbeat that a worker sent to this controller; returns the response.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Time) -> HeartbeatOutcome {
         self.heartbeat_from(HeartbeatSource::Worker, heartbeat, now)
     }
 
-    /// Applies a worker's own heartbeat, sent here or forwarded, and responds to it.
+    /// Applies an unsolicited heartbeat, received from the worker or forwarded by a peer; returns the
+    /// response.
     pub fn heartbeat_from(
         &mut self,
         source: HeartbeatSource,
@@ -242,91 +243,95 @@
         self.cluster.heartbeat_from(source, heartbeat, now)
     }
 
-    /// Applies the heartbeat that answered a direct command; returns whether it is news.
+    /// Applies a heartbeat that a worker sent in response to a direct command; returns whether the heartbeat
+    /// is newer than earlier ones.
     pub fn apply_command_response(&mut self, heartbeat: &Heartbeat, now: Time) -> bool {
         self.cluster.apply_command_response(heartbeat, now)
     }
 
-    /// Takes in what became of commands that were sent directly.
+    /// Handles the outcome of commands that were sent directly.
     pub fn commands_answered(&mut self, machine: &MachineName, outcome: CommandOutcome, now: Time) {
         self.cluster.commands_answered(machine, outcome, now);
     }
 
-    /// Whether no worker sends heartbeats to this node itself, though there are machines.
+    /// Whether this controller receives no heartbeats directly from workers although there are machines.
     pub fn receives_no_heartbeats(&self, now: Time) -> bool {
         self.cluster.receives_no_heartbeats(now)
     }
 
-    /// Takes in the machine types that the cloud offers.
+    /// Replaces the catalog of machine types.
     pub fn set_machine_types(&mut self, types: Vec<MachineType>) {
         self.cluster.set_machine_types(types);
     }
 
-    /// What the cloud answered to a rental; `None` when it has no answer to give.
+    /// Handles the result of a rental request: the names of the rented machines, possibly none; `None` if
+    /// the request failed without a usable response.
     pub fn machines_rented(&mut self, request: &str, machines: Option<Vec<String>>, now: Time) {
         self.autoscaler
             .machines_rented(&mut self.cluster, request, machines, now);
     }
 
-    /// What the cloud answered to a return: a 200 proves that the machines are gone.
+    /// Handles the result of a return request; `confirmed` is a 200 response, which proves that the
+    /// machines are gone.
     pub fn machines_returned(&mut self, names: &[String], confirmed: bool, now: Time) {
         self.cluster.machines_returned(names, confirmed, now);
     }
 
-    /// Takes in the cloud's list of machines.
+    /// Applies the cloud's list of machines.
     pub fn machines_listed(&mut self, list: &[ListedMachine], now: Time) {
         self.cluster.machines_listed(list, now);
     }
 
-    /// How many machines there are.
+    /// The number of machines.
     pub fn machine_count(&self) -> usize {
         self.cluster.machine_count()
     }
 
-    /// How many machines and allocations scheduling cycles have examined in this term.
+    /// The number of machines and allocations that scheduling cycles have examined in this term.
     pub fn machines_examined(&self) -> u64 {
-        self.pace.examined
+        self.timing.examined
     }
 }
 
 /// Jobs and records.
 impl ClusterManager {
-    /// A job was accepted at some time of day, or its user has cancelled it, as its record tells.
+    /// Handles the record of an open job, which is newly accepted or cancelled by its user.
     pub fn job_accepted(&mut self, record: OpenRecord, version: u64, wall_ms: u64, now: Time) {
         self.cluster.job_accepted(record, version, wall_ms, now);
     }
 
-    /// A job's user has cancelled it.
+    /// Handles the cancellation of a job by its user.
     pub fn cancel(&mut self, id: &str, now: Time) {
         self.cluster.cancel(id, now);
     }
 
-    /// A job's end is on record, as some node has read.
-    pub fn job_end_recorded(&mut self, id: &str, state: JobState, now: Time) {
+    /// Handles that a controller has read the recorded final state of a job.
+    pub fn job_final_state_recorded(&mut self, id: &str, state: JobState, now: Time) {
         self.cluster.job_end_recorded(id, state, now);
     }
 
-    /// The ends that were read; none for a job whose end is not on record, or could not be read.
-    pub fn ends_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
+    /// Handles the result of reading final states; `None` for a job whose final state is not recorded or
+    /// could not be read.
+    pub fn final_states_found(&mut self, ends: Vec<(JobId, Option<EndRecord>)>, now: Time) {
         self.cluster.ends_found(ends, now);
     }
 
-    /// What a user is told of a job; `None` where this leader cannot be sure.
+    /// The status of a job for its user; `None` if this leader cannot be certain of it.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
         self.cluster.status(id)
     }
 
-    /// How many jobs there are.
+    /// The number of jobs.
     pub fn job_count(&self) -> usize {
         self.cluster.job_count()
     }
 
-    /// Takes in what became of a write.
+    /// Handles the outcome of a write.
     pub fn write_finished(&mut self, id: u64, outcome: WriteOutcome, now: Time) {
         self.cluster.write_finished(id, outcome, now);
     }
 
-    /// The store accepts fewer changes than before.
+    /// Lowers the write rate to the key-value store's next limit.
     pub fn lower_write_rate(&mut self) {
         self.cluster.lower_write_rate();
     }
--- a/src/coordination/prediction.rs
+++ b/src/coordination/prediction.rs
@@ -1,14 +1,14 @@
 //! Run times predicted by regression, as in section 4 of the paper.
 //!
-//! A polynomial of degree 2 over few features, learned on-line by the Normalized Adaptive Gradient
-//! with an l2 penalty, so that features may come in any scale. The loss is the paper's Eq. 3 with
-//! the weight log(q·p): errors above the real run time are squared, those below count linearly.
+//! The model is a polynomial of degree 2 over a few features. It is learned online by Normalized
+//! Adaptive Gradient descent with an l2 penalty, so that features need not be scaled. The loss is the
+//! paper's Eq. 3 with the weight log(q·p): overestimates are squared, underestimates count linearly.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Predictions stay between this and the owner's estimate.
+/// The lower bound of predictions, whose upper bound is the owner's estimate.
 const MIN_PREDICTION_S: f64 = 60.0;
-/// The paper's steps by which the prediction of an overrunning job rises.
+/// The paper's steps by which the prediction for an overrunning job is raised.
 const CORRECTION_STEPS_S: [f64; 11] = [
     60.0, 300.0, 900.0, 1800.0, 3600.0, 7200.0, 18000.0, 36000.0, 72000.0, 180000.0, 360000.0,
 ];
@@ -16,34 +16,34 @@
 const LEARNING_RATE: f64 = 0.5;
 /// The weight of the l2 penalty.
 const L2_PENALTY: f64 = 1e-4;
-/// The least weight of a job: the logarithm of a small job's area may be negative.
+/// The lower bound of a job's weight: the logarithm of a small job's area may be negative.
 const MIN_WEIGHT: f64 = 0.1;
-/// The estimate, the size, the recent run times and their mean.
+/// The number of features: estimate, size, `RECENT_RUNS` recent run times and their mean.
 const FEATURES: usize = 6;
-/// Terms of a polynomial of degree 2 over the features.
+/// The number of terms of a polynomial of degree 2 over the features.
 const TERMS: usize = 1 + FEATURES + FEATURES * (FEATURES + 1) / 2;
-/// Run times of an owner that are remembered.
+/// How many recent run times are kept for each owner.
 const RECENT_RUNS: usize = 3;
 
-/// The run times of an owner's jobs that have finished.
+/// The run times of an owner's finished jobs.
 #[derive(Default, Clone, Debug)]
 struct RunTimeHistory {
-    /// The latest, the newest first.
+    /// The most recent run times, newest first.
     recent: VecDeque<f64>,
-    /// How many there were.
+    /// How many run times were observed.
     count: u64,
 }
 
-/// The learner, with the recent run times of each team's classes of jobs.
+/// An online learner of run times, with the recent run times of each owner (a team's class of jobs).
 pub struct Predictor {
     weights: [f64; TERMS],
     /// The largest absolute value of each term so far.
     scales: [f64; TERMS],
     /// The sum of the squared gradients of each term.
     gradients: [f64; TERMS],
-    /// The sum of all normalized terms, squared.
+    /// The sum of the squares of all normalized terms.
     norm: f64,
-    /// How many jobs were learned from.
+    /// How many jobs the model was trained on.
     steps: f64,
     owners: BTreeMap<String, RunTimeHistory>,
 }
@@ -90,7 +90,7 @@
         self.weights.iter().zip(terms).map(|(w, x)| w * x).sum()
     }
 
-    /// The predicted run time; the estimate until some of the owner's jobs have finished.
+    /// The predicted run time; the estimate until a job of the owner has finished.
     pub fn predict(&self, owner: &str, estimate_s: f64, size: f64) -> f64 {
         if self.owners.get(owner).is_none_or(|h| h.count == 0) {
             return estimate_s;
@@ -102,7 +102,7 @@
         value.max(MIN_PREDICTION_S).min(estimate_s)
     }
 
-    /// Learns from a job that ended by itself.
+    /// Updates the model with the run time of a completed job.
     pub fn learn(&mut self, owner: &str, estimate_s: f64, size: f64, run_s: f64) {
         let terms = self.terms(owner, estimate_s, size);
         self.steps += 1.0;
@@ -143,8 +143,8 @@
     }
 }
 
-/// What is predicted of a job that has run for `elapsed_s`: raised by the paper's steps while it
-/// overruns, and never above the estimate.
+/// The prediction for a job that has run for `elapsed_s`: raised by the paper's steps while the job
+/// overruns it, and never above the estimate.
 pub fn corrected(predicted_s: f64, elapsed_s: f64, estimate_s: f64) -> f64 {
     let mut prediction = predicted_s;
     for step in CORRECTION_STEPS_S {
--- a/src/coordination/scheduling/backfill.rs
+++ b/src/coordination/scheduling/backfill.rs
@@ -1,54 +1,54 @@
-//! The head's reservation, and what may be started without delaying it.
+//! The reservation of the queue's head, and which tasks may start without delaying it.
 
 use crate::coordination::state::Resources;
 use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Resources that come free at a predicted end.
+/// Resources that a task frees at its predicted end.
 #[derive(Clone, Copy, Debug)]
 pub struct FutureRelease {
-    /// The predicted end.
+    /// The predicted end of the task.
     pub at: Time,
-    /// What comes free then.
+    /// The resources that the task frees.
     pub freed: Resources,
 }
 
-/// A machine as the reservation sees it: what is free now and what comes free when.
+/// The free resources of a machine, now and at the predicted ends of its tasks.
 pub struct FutureResources {
     /// The machine's position in the cycle.
     pub machine: usize,
-    /// What is free now.
+    /// The resources that are free now.
     pub free: Resources,
-    /// What its tasks free at their predicted ends.
+    /// The resources that the machine's tasks free at their predicted ends.
     pub releases: Vec<FutureRelease>,
 }
 
-/// A machine that is held for a task of the head.
+/// A machine that is reserved for a task of the head.
 #[derive(Clone, Debug, PartialEq)]
-struct HeldMachine {
-    /// When the task starts.
+struct ReservedMachine {
+    /// When the head's task starts.
     at: Time,
-    /// What is left over by then.
+    /// The resources that remain free when the task has started.
     spare: Resources,
 }
 
-/// Where and when the queue's head starts, by the predictions at hand.
+/// Where and when the queue's head starts, by the current predictions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// When its next task starts.
+    /// When the head's next task starts.
     pub at: Time,
-    /// The machines that are held for its tasks.
-    held: BTreeMap<usize, HeldMachine>,
-    /// For a gang: it needs room on many machines at once, so all that it may use are held for it.
-    held_for_gang: BTreeSet<usize>,
+    /// The machines that are reserved for the head's tasks.
+    reserved: BTreeMap<usize, ReservedMachine>,
+    /// For a gang, all machines that it may use are reserved, because it needs many of them at once.
+    reserved_for_gang: BTreeSet<usize>,
 }
 
-/// When and how a machine can take a task that may not fit now; `None` if it never can.
+/// The earliest start of a task on a machine, on which it may not fit now; `None` if it never fits.
 fn earliest_start(
     now: Time,
     request: &Resources,
     machine: &mut FutureResources,
-) -> Option<HeldMachine> {
+) -> Option<ReservedMachine> {
     machine.releases.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut free = machine.free;
     let mut at = now;
@@ -58,22 +58,22 @@
         at = at.max(release.at);
         free.add(&release.freed);
     }
-    // What ends by then as well is spare too.
+    // Resources of other tasks that end by then are spare too.
     for release in releases.filter(|release| release.at <= at) {
         free.add(&release.freed);
     }
-    free.take(request);
-    Some(HeldMachine { at, spare: free })
+    free.subtract(request);
+    Some(ReservedMachine { at, spare: free })
 }
 
-/// The earliest starts of so many tasks, one a machine, that fit nowhere now.
+/// The earliest starts of `tasks` tasks that fit nowhere now, one task per machine.
 pub fn reserve(
     now: Time,
     request: &Resources,
     tasks: usize,
     machines: Vec<FutureResources>,
 ) -> Option<Reservation> {
-    let mut starts: Vec<(usize, HeldMachine)> = Vec::new();
+    let mut starts: Vec<(usize, ReservedMachine)> = Vec::new();
     for mut machine in machines {
         if let Some(start) = earliest_start(now, request, &mut machine) {
             starts.push((machine.machine, start));
@@ -84,13 +84,13 @@
     });
     Some(Reservation {
         at: starts.first()?.1.at,
-        held: starts.into_iter().take(tasks).collect(),
-        held_for_gang: BTreeSet::new(),
+        reserved: starts.into_iter().take(tasks).collect(),
+        reserved_for_gang: BTreeSet::new(),
     })
 }
 
-/// The earliest start of so many tasks at once, of which each zone may hold so many, by the
-/// predicted ends of what runs on the machines of these zones.
+/// The earliest time at which all `tasks` tasks can start together, with at most `max_per_zone` in each
+/// zone, by the predicted ends of the tasks that run on the machines of these zones.
 pub fn reserve_gang(
     now: Time,
     request: &Resources,
@@ -99,13 +99,13 @@
     zones: &[Vec<FutureResources>],
 ) -> Option<Reservation> {
     let mut slots: Vec<u32> = Vec::new();
-    // Of each machine: its zone and what is free.
+    // The zone and the free resources of each machine.
     let mut machines: Vec<(usize, Resources)> = Vec::new();
-    // With the position of the machine in `machines`.
+    // Each release, with the index of its machine in `machines`.
     let mut releases: Vec<(usize, FutureRelease)> = Vec::new();
-    for (zone, of_zone) in zones.iter().enumerate() {
-        slots.push(of_zone.iter().map(|m| m.free.slots(request)).sum());
-        for machine in of_zone {
+    for (zone, machines_of_zone) in zones.iter().enumerate() {
+        slots.push(machines_of_zone.iter().map(|m| m.free.slots(request)).sum());
+        for machine in machines_of_zone {
             let position = machines.len();
             releases.extend(machine.releases.iter().map(|release| (position, *release)));
             machines.push((zone, machine.free));
@@ -125,25 +125,25 @@
     }
     Some(Reservation {
         at,
-        held: BTreeMap::new(),
-        held_for_gang: zones.iter().flatten().map(|m| m.machine).collect(),
+        reserved: BTreeMap::new(),
+        reserved_for_gang: zones.iter().flatten().map(|m| m.machine).collect(),
     })
 }
 
 impl Reservation {
-    /// Whether a task that is started now on `machine`, and ends at `end`, leaves it undelayed.
+    /// Whether a task that starts now on `machine` and ends at `end` does not delay the reservation.
     pub fn allows(&self, machine: usize, request: &Resources, end: Time) -> bool {
-        match self.held.get(&machine) {
-            Some(held) => end <= held.at || held.spare.fits(request),
-            None => !self.held_for_gang.contains(&machine) || end <= self.at,
+        match self.reserved.get(&machine) {
+            Some(reserved) => end <= reserved.at || reserved.spare.fits(request),
+            None => !self.reserved_for_gang.contains(&machine) || end <= self.at,
         }
     }
 
-    /// Accounts for a task that was let pass.
+    /// Accounts for a task that is backfilled on a machine.
     pub fn admit(&mut self, machine: usize, request: &Resources, end: Time) {
-        if let Some(held) = self.held.get_mut(&machine) {
-            if end > held.at {
-                held.spare.take(request);
+        if let Some(reserved) = self.reserved.get_mut(&machine) {
+            if end > reserved.at {
+                reserved.spare.subtract(request);
             }
         }
     }
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -1,5 +1,5 @@
-//! One scheduling cycle's working copy of the cluster: resources and quotas as they will be once its
-//! plan is carried out.
+//! The working copy of a scheduling cycle: resources and quotas as they will be once the plan is
+//! applied.
 
 use super::plan::{PlannedAllocation, SchedulingPlan};
 use crate::coordination::cluster::ClusterState;
@@ -11,75 +11,77 @@
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
 
-/// Seconds of waiting that a machine where the job has failed counts for: more than any fetch takes.
+/// Cost, in seconds of waiting, of a machine on which the job has failed: more than any image fetch takes.
 const FAILED_PENALTY_S: f64 = 1e6;
-/// Seconds of waiting that a machine where several other jobs have failed counts for.
+/// Cost, in seconds of waiting, of a machine on which several other jobs have failed.
 const SUSPECT_PENALTY_S: f64 = 1e5;
-/// Jobs that have failed on a machine since one last completed there, before it comes last.
+/// How many jobs must have failed on a machine, since a task last completed on it, for
+/// `SUSPECT_PENALTY_S` to apply.
 const SUSPECT_JOBS: usize = 2;
 
-/// A machine as the cycle sees it.
+/// A machine in the cycle's working copy.
 pub(super) struct CycleMachine<'a> {
     pub(super) machine: &'a Machine,
     pub(super) machine_type: Option<&'a MachineType>,
-    /// Whether new tasks may be placed on it.
+    /// Whether new tasks may be placed on the machine.
     pub(super) accepts_tasks: bool,
-    /// What is free, after all that the cycle has planned.
+    /// The free resources, after everything that the cycle has planned.
     pub(super) free: Resources,
-    /// What is reserved for replicas that are expected.
+    /// Resources that are reserved for expected replicas.
     pub(super) reserved: Resources,
-    /// The order in which machines fill, from 0 to 1: what comes last empties first, and can be
-    /// returned.
+    /// The position in the order in which machines are filled, from 0 to 1. Machines at the end of the
+    /// order become empty first and can be returned.
     pub(super) fill_rank: f64,
 }
 
 impl CycleMachine<'_> {
-    /// What batches may use of what is free.
+    /// The free resources that arrays and gangs may use.
     pub(super) fn free_for_batches(&self) -> Resources {
         let mut free = self.free;
-        free.take(&self.reserved);
+        free.subtract(&self.reserved);
         free
     }
 
-    /// The share of its processors that is free.
+    /// The share of the machine's processors that is free.
     pub(super) fn free_share(&self) -> f64 {
         let total = self.machine_type.map_or(1.0, |t| t.cpus);
         (self.free.cpus / total.max(1e-3)).clamp(0.0, 1.0)
     }
 }
 
-/// A shape of tasks that has found no room in this cycle.
-pub(super) struct FullFor {
+/// A request that fitted on no machine in this cycle.
+pub(super) struct RejectedRequest {
     pub(super) request: Resources,
-    /// Whether it could have used machines that the cloud may reclaim.
+    /// Whether spot machines were allowed.
     pub(super) spot: bool,
 }
 
-impl FullFor {
-    /// Whether tasks of the job can find no room either: they are no smaller, and may use no more.
-    pub(super) fn covers(&self, job: &Job, request: &Resources) -> bool {
+impl RejectedRequest {
+    /// Whether the job's tasks cannot fit either: they request at least as much, and may use no other
+    /// machines.
+    pub(super) fn rules_out(&self, job: &Job, request: &Resources) -> bool {
         request.fits(&self.request) && (self.spot || !job.spec.spot)
     }
 }
 
-/// One scheduling cycle. Machines are named by their position in it.
+/// One scheduling cycle. Machines are identified by their index in `machines`.
 pub(super) struct SchedulingCycle<'a> {
     pub(super) cluster: &'a ClusterState,
     pub(super) now: Time,
     pub(super) machines: Vec<CycleMachine<'a>>,
     quota: QuotaUsageByTeam,
-    /// How many tasks of a job are in each zone, for jobs with a rule about zones.
+    /// How many tasks of a job are in each zone, for jobs with a zone constraint.
     tasks_by_zone: HashMap<JobId, HashMap<ZoneName, u32>>,
     pub(super) preempted: HashSet<AllocationId>,
-    pub(super) full_for: Vec<FullFor>,
-    /// How many tasks of each job the cycle has planned.
+    pub(super) rejected_requests: Vec<RejectedRequest>,
+    /// How many tasks of each job the cycle has placed.
     pub(super) planned: HashMap<JobId, usize>,
     pub(super) plan: SchedulingPlan,
     examined: Cell<u64>,
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// A cycle in which nothing is planned yet.
+    /// A cycle with an empty plan.
     pub(super) fn new(cluster: &'a ClusterState, now: Time) -> SchedulingCycle<'a> {
         let with_type = |machine: &'a Machine| {
             let machine_type = cluster.machine_types().get(&machine.machine_type);
@@ -102,14 +104,14 @@
             quota: cluster.quota().clone(),
             tasks_by_zone: HashMap::new(),
             preempted: HashSet::new(),
-            full_for: Vec::new(),
+            rejected_requests: Vec::new(),
             planned: HashMap::new(),
             plan: SchedulingPlan::default(),
             examined,
         }
     }
 
-    /// What the cycle has decided.
+    /// The finished plan.
     pub(super) fn finish(self) -> SchedulingPlan {
         SchedulingPlan {
             examined: self.examined.get(),
@@ -117,12 +119,12 @@
         }
     }
 
-    /// Counts machines or allocations that are examined.
+    /// Adds to the count of examined machines and allocations.
     pub(super) fn count_examined(&self, count: usize) {
         self.examined.set(self.examined.get() + count as u64);
     }
 
-    /// Processors of all machines that accept tasks.
+    /// The number of processors on all machines that accept tasks.
     pub(super) fn cpus(&self) -> f64 {
         let accepting = self.machines.iter().filter(|m| m.accepts_tasks);
         accepting
@@ -130,7 +132,7 @@
             .sum()
     }
 
-    /// Machines that may take a task of the job at all.
+    /// Machines that accept tasks and that the job may use, whether or not a task fits now.
     pub(super) fn allowed<'b>(&'b self, job: &'b Job) -> impl Iterator<Item = usize> + 'b {
         let machines = self.machines.iter().enumerate();
         machines
@@ -138,7 +140,7 @@
             .map(|(i, _)| i)
     }
 
-    /// Whether so many more tasks of the job stay within its team's quota.
+    /// Whether `tasks` more tasks of the job stay within its team's quota.
     pub(super) fn within_quota(&self, job: &Job, tasks: u32) -> bool {
         let team = self.cluster.team(&job.spec.team);
         team.is_some_and(|team| self.quota.allows(team, &job.request(), tasks))
@@ -157,7 +159,7 @@
         })
     }
 
-    /// Whether the job's rules about zones allow another task in a zone.
+    /// Whether the job's zone constraints allow another task in a zone.
     pub(super) fn zone_allowed(&mut self, job: &Job, zone: &ZoneName) -> bool {
         let (one_zone, spread) = (job.spec.one_zone, job.spec.spread);
         if !one_zone && !spread {
@@ -165,22 +167,22 @@
         }
         let max_per_zone = job.max_per_zone();
         let zones = self.tasks_by_zone(job);
-        // The zone of a machine that is known by its name only may be any.
+        // A machine of which only the name is known may be in any zone.
         let unknown = zones.get("").copied().unwrap_or(0);
-        let here = unknown + zones.get(zone).copied().unwrap_or(0);
-        let is_elsewhere = zones.iter().any(|(z, n)| z != zone && *n > 0);
-        !(one_zone && is_elsewhere || spread && here >= max_per_zone)
+        let in_zone = unknown + zones.get(zone).copied().unwrap_or(0);
+        let in_other_zone = zones.iter().any(|(z, n)| z != zone && *n > 0);
+        !(one_zone && in_other_zone || spread && in_zone >= max_per_zone)
     }
 
-    /// Seconds until a task could start on a machine. Where the job or several others have failed
-    /// before comes last, but stays allowed: there may be no other machine.
+    /// Seconds until a task could start on a machine, plus the penalty for failures. Machines on which
+    /// the job or several others have failed come last but stay allowed: there may be no other machine.
     pub(super) fn delay_s(&self, job: &Job, i: usize) -> f64 {
         failure_penalty_s(job, self.machines[i].machine) + self.fetch_s(job, i)
     }
 
-    /// While many machines fail together, one that has not been heard since may have failed with them:
-    /// seconds until its heartbeat would tell.
-    pub(super) fn unheard_penalty_s(&self, i: usize) -> f64 {
+    /// During a mass failure, the time until the next heartbeat is due, in seconds, for a machine without
+    /// a heartbeat since the failure began: that machine may have failed too.
+    pub(super) fn stale_heartbeat_penalty_s(&self, i: usize) -> f64 {
         let report_s = self.cluster.settings().cluster.workers.report_s;
         let last_heartbeat_at = self.machines[i].machine.worker.last_heartbeat_at();
         match (self.cluster.mass_failure_since(), last_heartbeat_at) {
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Seconds until a machine has the job's image.
+    /// Seconds that a machine needs to fetch the job's image.
     pub(super) fn fetch_s(&self, job: &Job, i: usize) -> f64 {
         let machine = &self.machines[i];
         if machine.machine.images.contains(&job.spec.image) {
@@ -199,13 +201,13 @@
         job.spec.image_gb / rate.max(1e-3)
     }
 
-    /// Plans a task on a machine.
+    /// Adds the placement of a task on a machine to the plan.
     pub(super) fn allocate(&mut self, job: &Job, task: u32, i: usize) {
         let request = job.request();
-        self.machines[i].free.take(&request);
+        self.machines[i].free.subtract(&request);
         self.quota.allocate(&job.spec.team, &request);
         let machine = self.machines[i].machine;
-        // Other jobs' zones are never asked for.
+        // The counts by zone are needed only for jobs with a zone constraint.
         if job.spec.one_zone || job.spec.spread {
             let tasks_by_zone = self.tasks_by_zone(job);
             *tasks_by_zone.entry(machine.zone.clone()).or_default() += 1;
@@ -219,7 +221,7 @@
         });
     }
 
-    /// Notes that only the reservation keeps the job from free resources.
+    /// Marks a job as starved: only the head's reservation keeps its tasks from free resources.
     pub(super) fn mark_starved(&mut self, job: &Job) {
         if job.allocated() == 0 {
             self.plan.starved.insert(job.id.clone());
@@ -227,7 +229,7 @@
     }
 }
 
-/// What failures on a machine count for, in seconds of waiting.
+/// The cost of earlier failures on a machine, in seconds of waiting.
 pub(super) fn failure_penalty_s(job: &Job, machine: &Machine) -> f64 {
     if job.failed_on.contains_key(&machine.name) {
         FAILED_PENALTY_S
@@ -238,8 +240,8 @@
     }
 }
 
-/// Ranks machines: those that the cloud may reclaim first, as only batches can use them, then by the
-/// price of a processor, then by age.
+/// Sets the fill order: spot machines first, because only jobs that allow them can use them, then by
+/// price per processor, then by name.
 fn rank_by_fill_order(machines: &mut [CycleMachine]) {
     let cpu_price = |m: &CycleMachine| {
         m.machine_type.map_or(0.0, |t| {
@@ -252,7 +254,7 @@
         })
     };
     let prices: Vec<f64> = machines.iter().map(cpu_price).collect();
-    // They come by name, and a stable sort leaves equals so.
+    // The machines are in the order of their names, which a stable sort keeps among equals.
     let mut order: Vec<usize> = (0..machines.len()).collect();
     order.sort_by(|a, b| {
         let spot_first = machines[*b].machine.spot.cmp(&machines[*a].machine.spot);
--- a/src/coordination/scheduling/deadlines.rs
+++ b/src/coordination/scheduling/deadlines.rs
@@ -1,30 +1,30 @@
-//! Which deadlines can still be met, and which jobs must therefore come first.
+//! Determines which deadlines can still be met.
 //!
-//! When more is due than the machines can do, jobs in the order of their deadlines would all be
-//! late by a little. So the largest of those that cannot all be met yield: Moore's rule, which
-//! keeps the number of late jobs least when each needs all machines, as large arrays nearly do.
+//! Under overload, running jobs in the order of their deadlines would make all of them slightly late.
+//! So the largest of the jobs that cannot all be on time are dropped (Moore's algorithm), which
+//! minimizes the number of late jobs if each job needs all machines, as large arrays nearly do.
 
 use crate::coordination::Time;
 use std::collections::BinaryHeap;
 
-/// What is left of a job that has a deadline.
+/// The remaining work of a job that has a deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct RemainingWork {
-    /// When it must be done.
+    /// When the job must be done.
     pub due_at: Time,
-    /// Its work, in processor seconds.
+    /// The remaining work, in processor seconds.
     pub cpu_seconds: f64,
-    /// The least time that it takes with all machines to itself, in seconds.
+    /// The minimum duration if the job had all machines to itself, in seconds.
     pub min_duration_s: f64,
 }
 
-/// Of jobs in the order of their deadlines, which can be met on so many processors, of which
-/// `taken` processor seconds are spoken for.
-pub fn feasible(jobs: &[RemainingWork], now: Time, cpus: f64, taken: f64) -> Vec<bool> {
+/// Whether each deadline can be met on `cpus` processors; `jobs` must be in the order of their
+/// deadlines. `committed` is the work, in processor seconds, that comes before these jobs.
+pub fn feasible(jobs: &[RemainingWork], now: Time, cpus: f64, committed: f64) -> Vec<bool> {
     let mut feasible = vec![false; jobs.len()];
-    // The largest on top, to a thousandth of a processor second.
+    // A max-heap by work, in thousandths of a processor second.
     let mut kept: BinaryHeap<(u64, usize)> = BinaryHeap::new();
-    let mut before = taken;
+    let mut work_before = committed;
     let rate = cpus.max(1.0);
     for (i, job) in jobs.iter().enumerate() {
         if now + job.min_duration_s > job.due_at {
@@ -32,13 +32,13 @@
         }
         feasible[i] = true;
         kept.push(((1000.0 * job.cpu_seconds) as u64, i));
-        let alone_s = job.min_duration_s.max(job.cpu_seconds / rate);
-        before += job.cpu_seconds;
-        let end = now + (before - job.cpu_seconds) / rate + alone_s;
+        let duration_s = job.min_duration_s.max(job.cpu_seconds / rate);
+        work_before += job.cpu_seconds;
+        let end = now + (work_before - job.cpu_seconds) / rate + duration_s;
         if end > job.due_at {
             if let Some((_, largest)) = kept.pop() {
                 feasible[largest] = false;
-                before -= jobs[largest].cpu_seconds;
+                work_before -= jobs[largest].cpu_seconds;
             }
         }
     }
--- a/src/coordination/scheduling/head_reservation.rs
+++ b/src/coordination/scheduling/head_reservation.rs
@@ -1,4 +1,4 @@
-//! The reservation of the first job that finds no room.
+//! The reservation of the first blocked job.
 
 use super::backfill::{reserve, reserve_gang, FutureRelease, FutureResources, Reservation};
 use super::cycle::SchedulingCycle;
@@ -6,23 +6,24 @@
 use std::collections::BTreeMap;
 use tracing::debug;
 
-/// The first job that found no room, and its reservation: computed only when another job has found
-/// room, as on a full cluster it would hold nobody up and cost the most of a cycle.
+/// The blocked jobs and the reservation of the first of them. The reservation is computed only when
+/// another job could be placed: on a full cluster no job would be affected by it, and computing it
+/// would take most of the cycle.
 #[derive(Default)]
 pub(super) struct HeadReservation<'a> {
     blocked: Vec<&'a Job>,
-    /// For how many of them a reservation was computed.
+    /// How many of the blocked jobs a reservation was tried for.
     tried: usize,
     found: Option<Reservation>,
 }
 
 impl<'a> HeadReservation<'a> {
-    /// Notes a job that found no room.
+    /// Adds a job for which no machine has enough free resources.
     pub(super) fn push_blocked(&mut self, job: &'a Job) {
         self.blocked.push(job);
     }
 
-    /// The reservation of the first blocked job that can have one.
+    /// The reservation of the first blocked job for which one is possible.
     pub(super) fn get(&mut self, cycle: &SchedulingCycle) -> Option<&mut Reservation> {
         while self.found.is_none() && self.tried < self.blocked.len() {
             self.found = reservation(cycle, self.blocked[self.tried]);
@@ -32,12 +33,13 @@
     }
 }
 
-/// Where a job starts, by the predicted ends of what runs.
+/// Computes a job's reservation from the predicted ends of running tasks.
 fn reservation(cycle: &SchedulingCycle, job: &Job) -> Option<Reservation> {
     let found = if job.is_gang() {
         gang_reservation(cycle, job)
     } else {
-        // At one task a reservation would hold nothing among hundreds of machines.
+        // One machine is reserved for each unplaced task: a single reserved machine among hundreds would
+        // protect nothing.
         let machines = cycle.allowed(job).map(|i| future_resources(cycle, i));
         let waiting = job.unplaced_count() as usize;
         reserve(cycle.now, &job.request(), waiting, machines.collect())
@@ -49,7 +51,8 @@
     found
 }
 
-/// A gang that must be in one zone reserves in the zone in which it starts first.
+/// Computes a gang's reservation; a gang that must be in one zone reserves machines of the zone in which
+/// it can start first.
 fn gang_reservation(cycle: &SchedulingCycle, job: &Job) -> Option<Reservation> {
     let mut by_zone: BTreeMap<&ZoneName, Vec<FutureResources>> = BTreeMap::new();
     for i in cycle.allowed(job) {
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -1,13 +1,13 @@
-//! EASY backfilling: which waiting task runs on which machine.
+//! EASY backfilling: decides which waiting task runs on which machine.
 //!
-//! `run_cycle` reads a snapshot of the cluster and returns a plan; it changes nothing itself.
+//! `run_cycle` reads the state of the cluster and returns a plan; it changes nothing.
 //!
-//! - `queue`: one scheduling cycle; `queue_order`: the order of its jobs;
-//! - `head_reservation`, [`backfill`]: what the first blocked job reserves;
+//! - `queue`: one scheduling cycle; `queue_order`: the order of the waiting jobs;
+//! - `head_reservation`, [`backfill`]: the reservation of the first blocked job;
 //! - [`deadlines`]: which deadlines can still be met;
-//! - `cycle`: the cycle's working copy of the cluster;
-//! - `placement`: which machines services, arrays and gangs get;
-//! - `plan`: what a cycle decides.
+//! - `cycle`: the cycle's working copy of free resources and quotas;
+//! - `placement`: the choice of machines for services, arrays and gangs;
+//! - `plan`: the result of a cycle.
 
 pub mod backfill;
 mod cycle;
--- a/src/coordination/scheduling/placement/arrays.rs
+++ b/src/coordination/scheduling/placement/arrays.rs
@@ -1,17 +1,17 @@
-//! Where the tasks of arrays go.
+//! Placement of the tasks of arrays.
 
 use crate::coordination::scheduling::backfill::Reservation;
-use crate::coordination::scheduling::cycle::{FullFor, SchedulingCycle};
+use crate::coordination::scheduling::cycle::{RejectedRequest, SchedulingCycle};
 use crate::coordination::scheduling::plan::Blocked;
 use crate::coordination::state::Job;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Seconds of waiting that are accepted to fill the machines in their order: what comes last then
-/// empties and can be returned.
+/// Seconds of waiting that are accepted to fill the machines in the fill order, so that machines at the
+/// end of the order become empty and can be returned.
 const FILL_ORDER_PENALTY_S: f64 = 2.0;
 
-/// A machine with room for a task, and what it costs to place one there, in seconds.
+/// A machine on which a task fits, and the cost of placing it there, in seconds.
 struct ArrayCandidate {
     cost_s: f64,
     machine: usize,
@@ -38,12 +38,12 @@
 
 impl Eq for ArrayCandidate {}
 
-/// The machines that have room for a task, the best first. A job takes few of them, so that they are
-/// put in order only as far as it asks.
+/// The machines on which a task fits, cheapest first. A heap, because a job uses few of them and sorting
+/// all of them would be wasted work.
 pub(in crate::coordination::scheduling) struct MachinesByCost(BinaryHeap<Reverse<ArrayCandidate>>);
 
 impl MachinesByCost {
-    /// Whether no machine has room.
+    /// Whether the task fits on no machine.
     pub(in crate::coordination::scheduling) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -53,32 +53,36 @@
     }
 }
 
-/// How tasks of an array are placed.
+/// The parameters for placing tasks of an array.
 pub(in crate::coordination::scheduling) struct ArrayPlacement<'a> {
-    /// The machines with room, the best first.
+    /// The machines on which a task fits, cheapest first.
     pub(in crate::coordination::scheduling) machines: MachinesByCost,
-    /// The reservation that must not be delayed.
+    /// The head's reservation, which must not be delayed.
     pub(in crate::coordination::scheduling) head: Option<&'a mut Reservation>,
-    /// Whether the job goes past the reservation all the same.
+    /// Whether the job ignores the reservation.
     pub(in crate::coordination::scheduling) is_guaranteed: bool,
-    /// How many tasks may be placed at the most.
+    /// The maximum number of tasks to place.
     pub(in crate::coordination::scheduling) max_tasks: usize,
 }
 
 impl SchedulingCycle<'_> {
-    /// The machines that have room for a task of an array. They come by where its image is, else in
-    /// the order in which machines fill.
+    /// The machines on which a task of an array fits, ordered by failures and image fetch time, then by
+    /// the fill order.
     pub(in crate::coordination::scheduling) fn machines_for(
         &mut self,
         job: &Job,
     ) -> Result<MachinesByCost, Blocked> {
-        // A job at its team's limit waits for that, and must not come to hold the reservation.
+        // A job at its team's limit waits for the quota and must not get the reservation.
         if !self.within_quota(job, 1) {
             return Err(Blocked::Policy);
         }
         let request = job.request();
-        // The smallest tasks that found no room show what larger ones need not try.
-        if self.full_for.iter().any(|full| full.covers(job, &request)) {
+        // Larger requests than one that fitted nowhere need not be tried.
+        if self
+            .rejected_requests
+            .iter()
+            .any(|rejected| rejected.rules_out(job, &request))
+        {
             return Err(Blocked::Capacity);
         }
         let allowed: Vec<usize> = self.allowed(job).collect();
@@ -95,7 +99,7 @@
         });
         let candidates: Vec<Reverse<ArrayCandidate>> = candidates.collect();
         if candidates.is_empty() && job.spec.types.is_none() && job.spec.zone.is_none() {
-            self.full_for.push(FullFor {
+            self.rejected_requests.push(RejectedRequest {
                 request,
                 spot: job.spec.spot,
             });
@@ -103,7 +107,7 @@
         Ok(MachinesByCost(BinaryHeap::from(candidates)))
     }
 
-    /// Places as many tasks of an array as can be, on machines that have room for one.
+    /// Places as many tasks of an array as possible.
     pub(in crate::coordination::scheduling) fn place_array(
         &mut self,
         job: &Job,
@@ -111,8 +115,8 @@
     ) -> Result<(), Blocked> {
         let request = job.request();
         let mut is_zone_blocked = false;
-        let mut is_held_back = false;
-        // What this cycle has planned of the job already is not waiting any more.
+        let mut is_blocked_by_reservation = false;
+        // Tasks of the job that this cycle has already placed are skipped.
         let planned = self.planned.get(&job.id).copied().unwrap_or(0);
         let tasks = job.unplaced().skip(planned).take(placement.max_tasks);
         let mut tasks = tasks.peekable();
@@ -136,7 +140,7 @@
                 let head = placement.head.as_deref();
                 let delays_head = head.is_some_and(|head| !head.allows(i, &request, end));
                 if delays_head && !placement.is_guaranteed {
-                    is_held_back = true;
+                    is_blocked_by_reservation = true;
                     break;
                 }
                 if let Some(head) = placement.head.as_deref_mut() {
@@ -147,7 +151,7 @@
             }
         }
         let waits = tasks.peek().is_some();
-        if is_held_back && !self.planned.contains_key(&job.id) {
+        if is_blocked_by_reservation && !self.planned.contains_key(&job.id) {
             self.mark_starved(job);
         }
         if !waits {
--- a/src/coordination/scheduling/placement/gangs.rs
+++ b/src/coordination/scheduling/placement/gangs.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of gangs go: all at once, or none.
+//! Placement of the tasks of gangs: all of them or none.
 
 use crate::coordination::scheduling::backfill::Reservation;
 use crate::coordination::scheduling::cycle::{failure_penalty_s, SchedulingCycle};
@@ -38,15 +38,15 @@
         Ok(())
     }
 
-    /// A machine for each of so many tasks of a gang, in zones that allow it and without delaying the
-    /// reservation.
+    /// A machine for each of `tasks` tasks of a gang, within the zone constraints and without delaying
+    /// the reservation; `None` if the tasks do not fit.
     fn fit_gang(&self, job: &Job, tasks: usize, head: Option<&Reservation>) -> Option<Vec<usize>> {
         let (request, end) = (job.request(), self.now + job.predicted_s);
         let mut machines: Vec<usize> = self
             .allowed(job)
             .filter(|i| head.is_none_or(|head| head.allows(*i, &request, end)))
             .collect();
-        // Where it has failed comes last.
+        // Machines on which the gang has failed come last.
         machines.sort_by(|a, b| {
             let failures = |i: usize| failure_penalty_s(job, self.machines[i].machine);
             let slots = |i: usize| self.machines[i].free_for_batches().slots(&request);
@@ -59,24 +59,24 @@
         let zone_of = |i: usize| &self.machines[i].machine.zone;
         let zones: BTreeSet<&ZoneName> = machines.iter().map(|i| zone_of(*i)).collect();
         zones.into_iter().find_map(|zone| {
-            let here = machines.iter().copied().filter(|i| zone_of(*i) == zone);
-            let here: Vec<usize> = here.collect();
-            self.fill(job, tasks, &here)
+            let of_zone = machines.iter().copied().filter(|i| zone_of(*i) == zone);
+            let of_zone: Vec<usize> = of_zone.collect();
+            self.fill(job, tasks, &of_zone)
         })
     }
 
-    /// Takes machines in this order until so many tasks have one each.
+    /// Assigns `tasks` tasks to the machines in this order; `None` if they do not all fit.
     fn fill(&self, job: &Job, tasks: usize, machines: &[usize]) -> Option<Vec<usize>> {
         let request = job.request();
         let mut chosen = Vec::new();
         let mut in_zone: HashMap<&ZoneName, u32> = HashMap::new();
         for i in machines {
             let machine = &self.machines[*i];
-            let here = in_zone.entry(&machine.machine.zone).or_default();
+            let count_in_zone = in_zone.entry(&machine.machine.zone).or_default();
             let slots = machine.free_for_batches().slots(&request);
-            let slots = slots.min(job.max_per_zone() - *here);
+            let slots = slots.min(job.max_per_zone() - *count_in_zone);
             let count = (slots as usize).min(tasks - chosen.len());
-            *here += count as u32;
+            *count_in_zone += count as u32;
             chosen.extend(std::iter::repeat_n(*i, count));
         }
         (chosen.len() == tasks).then_some(chosen)
--- a/src/coordination/scheduling/placement/mod.rs
+++ b/src/coordination/scheduling/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which machine takes a task: types, zones, quotas, images and free resources.
+//! The choice of a machine for a task, by type, zone, quota, image and free resources.
 
 pub(super) mod arrays;
 mod gangs;
--- a/src/coordination/scheduling/placement/services.rs
+++ b/src/coordination/scheduling/placement/services.rs
@@ -1,26 +1,26 @@
-//! Where replicas of services go, and what is reserved for those to come.
+//! Placement of replicas of services, and reservations for expected replicas.
 
 use crate::coordination::scheduling::cycle::SchedulingCycle;
 use crate::coordination::scheduling::plan::{Blocked, Preemption};
 use crate::coordination::state::{Allocation, AllocationId, AllocationState, Job, Resources};
 use crate::protocol::job::Priority;
 
-/// Seconds of waiting that a free start is worth against preempting other work.
+/// Seconds of waiting that are accepted to avoid preempting other tasks.
 const PREEMPTION_PENALTY_S: f64 = 1.0;
-/// Seconds of waiting that are accepted to keep services together, so that few machines are left
-/// with a replica each when the batches end.
-const APART_PENALTY_S: f64 = 1.0;
-/// Seconds of waiting that a machine with nothing on it counts for: among equals the fullest comes
-/// first, so that others can empty and be returned.
+/// Seconds of waiting that are accepted to place replicas on machines that already have replicas, so
+/// that few machines are kept by a single replica when their other tasks have completed.
+const NO_SERVICES_PENALTY_S: f64 = 1.0;
+/// Cost, in seconds of waiting, of an entirely free machine: among otherwise equal machines the fullest
+/// one comes first, so that others become empty and can be returned.
 const FREE_SHARE_PENALTY_S: f64 = 0.1;
-/// Seconds of waiting that a second of preempted work counts for.
+/// Cost, in seconds of waiting, of each second of run time that preemption discards.
 const LOST_WORK_PENALTY: f64 = 0.01;
 
-/// A machine for a replica, and what it costs to place it there, in seconds.
+/// A machine for a replica, and the cost of placing it there, in seconds.
 struct ServiceCandidate {
     cost_s: f64,
     machine: usize,
-    /// What must be preempted for it.
+    /// Allocations that must be preempted first.
     victims: Vec<AllocationId>,
 }
 
@@ -31,13 +31,14 @@
     }
 }
 
-/// Whether work may be preempted for other work of a higher priority.
-fn preempts(priority: Priority, other: Priority) -> bool {
+/// Whether a job of one priority may preempt tasks of another priority.
+fn may_preempt(priority: Priority, other: Priority) -> bool {
     priority > other
 }
 
 impl SchedulingCycle<'_> {
-    /// Places a replica where it starts soonest; lesser work is preempted where that is sooner.
+    /// Places a replica on the machine with the lowest cost; tasks of lower priority are preempted if
+    /// the replica starts sooner that way.
     pub(in crate::coordination::scheduling) fn place_service(
         &mut self,
         job: &Job,
@@ -50,7 +51,7 @@
         self.count_examined(candidates.len());
         let mut best = None;
         for i in &candidates {
-            if let Some(candidate) = self.candidate_with_room(job, *i) {
+            if let Some(candidate) = self.candidate_without_preemption(job, *i) {
                 keep_cheaper(&mut best, candidate);
             }
         }
@@ -69,15 +70,15 @@
         Ok(())
     }
 
-    fn candidate_with_room(&mut self, job: &Job, i: usize) -> Option<ServiceCandidate> {
+    fn candidate_without_preemption(&mut self, job: &Job, i: usize) -> Option<ServiceCandidate> {
         let machine = self.machines[i].machine;
         let fits = self.machines[i].free.fits(&job.request());
         if !fits || !self.zone_allowed(job, &machine.zone) {
             return None;
         }
         let packing_s =
-            FREE_SHARE_PENALTY_S * self.machines[i].free_share() + self.apart_penalty_s(i);
-        let delay_s = self.delay_s(job, i) + self.unheard_penalty_s(i);
+            FREE_SHARE_PENALTY_S * self.machines[i].free_share() + self.no_services_penalty_s(i);
+        let delay_s = self.delay_s(job, i) + self.stale_heartbeat_penalty_s(i);
         Some(ServiceCandidate {
             cost_s: delay_s + packing_s,
             machine: i,
@@ -91,12 +92,14 @@
         i: usize,
         best: Option<&ServiceCandidate>,
     ) -> Option<ServiceCandidate> {
-        // Preempting work costs at least this much: most machines need not be looked into.
-        let delay_s = self.delay_s(job, i) + self.unheard_penalty_s(i) + self.apart_penalty_s(i);
+        // A lower bound for the cost with preemption, so that most machines need not be examined.
+        let delay_s = self.delay_s(job, i)
+            + self.stale_heartbeat_penalty_s(i)
+            + self.no_services_penalty_s(i);
         let min_cost_s = delay_s + PREEMPTION_PENALTY_S;
         let request = job.request();
-        let is_dearer = best.is_some_and(|best| best.cost_s <= min_cost_s);
-        if is_dearer || self.machines[i].free.fits(&request) {
+        let is_costlier = best.is_some_and(|best| best.cost_s <= min_cost_s);
+        if is_costlier || self.machines[i].free.fits(&request) {
             return None;
         }
         let machine = self.machines[i].machine;
@@ -125,15 +128,15 @@
         });
     }
 
-    fn apart_penalty_s(&self, i: usize) -> f64 {
+    fn no_services_penalty_s(&self, i: usize) -> f64 {
         if self.machines[i].machine.holds_services() {
             0.0
         } else {
-            APART_PENALTY_S
+            NO_SERVICES_PENALTY_S
         }
     }
 
-    /// For how long the victims have run, all together, in seconds.
+    /// The total run time of the victims so far, in seconds.
     fn lost_work_s(&self, i: usize, victims: &[AllocationId]) -> f64 {
         let allocations = self.machines[i].machine.allocations();
         let ran_s = |id: &AllocationId| {
@@ -143,7 +146,8 @@
         victims.iter().map(ran_s).sum()
     }
 
-    /// Which lesser work to preempt so that the request fits: none, if it does already.
+    /// The tasks of lower priority to preempt so that the request fits; empty if it fits already, `None`
+    /// if preemption does not suffice.
     fn choose_victims(
         &self,
         job: &Job,
@@ -156,21 +160,21 @@
             return Some(victims);
         }
         let allocations = self.machines[i].machine.live_allocations();
-        let may_preempt = |(id, allocation): &(&AllocationId, &Allocation)| {
-            // What writes a checkpoint before it stops, or is not certainly there, does not free its
-            // resources now.
+        let is_victim = |(id, allocation): &(&AllocationId, &Allocation)| {
+            // A task that writes a checkpoint before it stops, or that no heartbeat has listed yet, does
+            // not free its resources immediately.
             let frees_now = matches!(allocation.state, AllocationState::Observed(_))
                 && allocation.pending_stop.is_none();
             frees_now
                 && allocation.profile.is_preemptible
-                && preempts(job.priority, allocation.profile.priority)
+                && may_preempt(job.priority, allocation.profile.priority)
                 && !self.preempted.contains(*id)
         };
-        let mut lesser: Vec<(&AllocationId, &Allocation)> =
-            allocations.filter(may_preempt).collect();
-        // The youngest first: they lose the least.
-        lesser.sort_by(|a, b| b.1.planned_at.total_cmp(&a.1.planned_at));
-        for (id, allocation) in lesser {
+        let mut lower_priority: Vec<(&AllocationId, &Allocation)> =
+            allocations.filter(is_victim).collect();
+        // The most recently placed tasks come first: they lose the least work.
+        lower_priority.sort_by(|a, b| b.1.planned_at.total_cmp(&a.1.planned_at));
+        for (id, allocation) in lower_priority {
             free.add(&allocation.profile.request);
             victims.push(id.clone());
             if free.fits(request) {
@@ -180,18 +184,18 @@
         None
     }
 
-    /// Reserves resources for the replicas that are expected before a machine could be rented: where
-    /// their image is, and on the fullest machines.
+    /// Reserves resources for the replicas that are expected before a machine could be rented for them:
+    /// preferably on machines that have the image, then on the fullest machines.
     pub(in crate::coordination::scheduling) fn reserve_for_expected_replicas(&mut self) {
         for expected in self.cluster.expected_replicas(self.now) {
             let request = expected.request;
             let machines = self.machines.iter().enumerate();
-            let with_room = machines.filter(|(_, m)| {
+            let with_capacity = machines.filter(|(_, m)| {
                 m.accepts_tasks && !m.machine.spot && m.free_for_batches().fits(&request)
             });
-            let ranked = with_room.map(|(i, m)| {
-                let is_cold = !m.machine.images.contains(&expected.image);
-                (is_cold, m.free_share(), i)
+            let ranked = with_capacity.map(|(i, m)| {
+                let lacks_image = !m.machine.images.contains(&expected.image);
+                (lacks_image, m.free_share(), i)
             });
             let mut ranked: Vec<(bool, f64, usize)> = ranked.collect();
             ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
--- a/src/coordination/scheduling/plan.rs
+++ b/src/coordination/scheduling/plan.rs
@@ -1,4 +1,4 @@
-//! What a scheduling cycle decides.
+//! The result of a scheduling cycle.
 
 use crate::coordination::state::{AllocationId, JobId, MachineName};
 use std::collections::BTreeSet;
@@ -6,41 +6,41 @@
 /// Why a job's next task was not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Blocked {
-    /// Its team's quota, a rule about zones, or a pause after failures: it holds up nobody else.
+    /// The team's quota or a zone constraint; such a job does not block the jobs behind it.
     Policy,
-    /// No machine has the resources that it requests.
+    /// No machine has the requested resources free.
     Capacity,
 }
 
-/// A task that is to be placed on a machine.
+/// A task to place on a machine.
 pub(crate) struct PlannedAllocation {
-    /// Its job.
+    /// The job of the task.
     pub(crate) job: JobId,
-    /// Its number in the job.
+    /// The number of the task in the job.
     pub(crate) task: u32,
-    /// The machine.
+    /// The machine to place the task on.
     pub(crate) machine: MachineName,
-    /// Whether the job is a gang, whose tasks share their attempt.
+    /// Whether the job is a gang, whose tasks share an attempt number.
     pub(crate) is_gang: bool,
 }
 
-/// A task that is to be stopped for work of a higher priority.
+/// A task to stop in favor of a job with a higher priority.
 pub(crate) struct Preemption {
-    /// The machine that it is on.
+    /// The machine of the allocation.
     pub(crate) machine: MachineName,
-    /// Its allocation.
+    /// The allocation of the task.
     pub(crate) allocation: AllocationId,
 }
 
-/// What a scheduling cycle decides.
+/// The decisions of a scheduling cycle.
 #[derive(Default)]
 pub(crate) struct SchedulingPlan {
-    /// Tasks to place, in this order.
+    /// Tasks to place, in order.
     pub(crate) allocations: Vec<PlannedAllocation>,
-    /// Tasks to stop before that.
+    /// Tasks to stop first.
     pub(crate) preemptions: Vec<Preemption>,
-    /// Jobs of which nothing runs, and that only the reservation keeps from free resources.
+    /// Jobs without allocations that only the head's reservation keeps from free resources.
     pub(crate) starved: BTreeSet<JobId>,
-    /// How many machines and allocations the cycle has examined.
+    /// How many machines and allocations the cycle examined.
     pub(crate) examined: u64,
 }
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -1,4 +1,4 @@
-//! The scheduling cycle: services first, then the queue in its order with backfilling.
+//! The scheduling cycle: services first, then the queue in order, with backfilling.
 
 use super::cycle::SchedulingCycle;
 use super::head_reservation::HeadReservation;
@@ -10,8 +10,8 @@
 use crate::coordination::Time;
 use std::cmp::Reverse;
 
-/// Decides what to place now; `None` if nothing waits, or no machine type is known. The plan is
-/// recorded before any launch is sent.
+/// Runs a scheduling cycle; `None` if no task waits or no machine type is known. The plan is recorded
+/// before any launch is sent.
 pub(crate) fn run_cycle(cluster: &ClusterState, now: Time) -> Option<SchedulingPlan> {
     let is_anything_waiting = cluster.jobs().any(|job| job.is_waiting(now));
     if cluster.machine_types().is_empty() || !is_anything_waiting {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Processors of machines that accept tasks and that no service holds.
+/// The number of processors, on machines that accept tasks, that no service uses.
 fn batch_cpus(cycle: &SchedulingCycle) -> f64 {
     let services = cycle.cluster.jobs().filter(|job| job.is_service());
     let held = services.map(|job| f64::from(job.allocated()) * job.spec.cpus);
@@ -62,7 +62,8 @@
     }
 }
 
-/// Whatever a job yields to, it begins: one task of it, the longest waiting first.
+/// Places one task of each overdue or starved job, and all tasks of a gang, in the order of arrival and
+/// regardless of the queue order, so that every job starts.
 fn place_overdue<'a>(
     cycle: &mut SchedulingCycle,
     queue: &[&'a Job],
@@ -82,9 +83,9 @@
     }
 }
 
-/// Places the jobs behind the head, the shortest predicted first, as far as they leave its
-/// reservation undelayed. Guaranteed work need not wait on other teams, hence not on their
-/// reservation.
+/// Places the jobs behind the head, those with the shortest predicted run time first, as far as they do
+/// not delay its reservation. Guaranteed jobs come before them and ignore the reservation, because
+/// they need not wait for jobs of other teams.
 fn backfill<'a>(
     cycle: &mut SchedulingCycle,
     jobs: &[&'a Job],
@@ -103,7 +104,7 @@
     }
 }
 
-/// Places as many tasks of a job as can be, and at most so many.
+/// Places as many tasks of a job as possible, at most `max_tasks`.
 fn place_job(
     cycle: &mut SchedulingCycle,
     job: &Job,
--- a/src/coordination/scheduling/queue_order.rs
+++ b/src/coordination/scheduling/queue_order.rs
@@ -1,4 +1,4 @@
-//! The order of the queue: guaranteed work, priority, then deadlines and arrival.
+//! The order of the queue: guaranteed jobs first, then by priority, deadline and arrival.
 
 use super::deadlines::{feasible, RemainingWork};
 use crate::coordination::cluster::ClusterState;
@@ -7,12 +7,12 @@
 use std::cmp::Ordering;
 use std::collections::HashMap;
 
-/// A job's position among those of its priority.
+/// A job's position among the jobs of its priority.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct QueuePosition {
-    /// The tier of lateness that it can still meet; the first comes first.
+    /// The lowest lateness tier that the job can still meet; lower tiers come first.
     tier: usize,
-    /// Its time in the tier: the latest start that meets its deadline, or when it was ready.
+    /// The order within the tier: the latest start that meets the deadline, or when the job was ready.
     time: Time,
 }
 
@@ -23,16 +23,16 @@
     }
 }
 
-/// A job with a deadline that has no position yet.
+/// A job with a deadline and without a position so far.
 struct Unpositioned<'a> {
     job: &'a Job,
     deadline: &'a Deadline,
-    /// By which factors it may be late, by the service-level objectives, in rising order.
+    /// The factors by which the deadline may be exceeded, by the service-level objectives, ascending.
     lateness: Vec<f64>,
 }
 
 impl Unpositioned<'_> {
-    /// When it must be done to count in a tier of lateness.
+    /// When the job must be done to meet a lateness tier; infinity beyond the last tier.
     fn due_at(&self, tier: usize) -> Time {
         let factor = self.lateness.get(tier);
         factor.map_or(f64::INFINITY, |factor| self.deadline.at(*factor))
@@ -64,9 +64,10 @@
 }
 
 impl QueueOrder {
-    /// The order of the jobs that wait, on so many processors. Jobs without a deadline come in the
-    /// order of arrival. A deadline brings a job forward to the latest start that meets it; what can
-    /// no longer be met yields to what can, in tiers of lateness.
+    /// The order of the waiting jobs on a cluster with `cpus` processors. Jobs without a deadline are
+    /// ordered by the time at which they became ready, jobs with a deadline by the latest start that
+    /// meets it. Jobs whose deadline can no longer be met come after those whose deadline can, in
+    /// tiers of lateness.
     pub(super) fn new(cluster: &ClusterState, queue: &[&Job], cpus: f64, now: Time) -> QueueOrder {
         QueueOrder {
             positions: positions(cluster, queue, cpus, now),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether a job fits into its team's guarantee: it need not wait on other teams.
+    /// Whether a job fits into its team's guarantee, so that it need not wait for other teams' jobs.
     pub(super) fn is_guaranteed(&self, job: &Job) -> bool {
         self.guaranteed.get(&job.id).copied().unwrap_or(false)
     }
@@ -122,7 +123,7 @@
             lateness: allowed_lateness(cluster, &deadline.class),
         });
     }
-    let mut taken = 0.0;
+    let mut committed = 0.0;
     let mut tier = 0;
     while !left.is_empty() {
         left.sort_by(|a, b| {
@@ -130,14 +131,14 @@
             by_due_time.then(a.job.arrival_order.cmp(&b.job.arrival_order))
         });
         let work: Vec<RemainingWork> = left.iter().map(|u| u.remaining_work(tier)).collect();
-        let feasible = feasible(&work, now, cpus, taken);
+        let feasible = feasible(&work, now, cpus, committed);
         let mut rest = Vec::new();
         for (i, unpositioned) in left.into_iter().enumerate() {
             if !feasible[i] {
                 rest.push(unpositioned);
                 continue;
             }
-            taken += work[i].cpu_seconds;
+            committed += work[i].cpu_seconds;
             let id = unpositioned.job.id.clone();
             positions.insert(id, unpositioned.position(tier));
         }
@@ -147,7 +148,7 @@
     positions
 }
 
-/// By which factors jobs of a class may exceed their deadline, by the service-level objectives.
+/// The factors by which jobs of a class may exceed their deadline, by the service-level objectives.
 fn allowed_lateness(cluster: &ClusterState, class: &str) -> Vec<f64> {
     let objectives = cluster.settings().cluster.objectives.iter();
     let of_class = objectives.filter(|o| o.kind == "deadline" && o.class.as_deref() == Some(class));
@@ -160,7 +161,7 @@
     }
 }
 
-/// Which jobs fit into their team's guarantee along with its earlier unfinished ones.
+/// Whether each job fits into its team's guarantee together with the team's earlier open jobs.
 fn within_guarantee(cluster: &ClusterState) -> HashMap<JobId, bool> {
     let teams = &cluster.settings().cluster.teams;
     if teams.iter().all(|team| team.cpus <= 0.0) {
--- a/src/coordination/state/allocation.rs
+++ b/src/coordination/state/allocation.rs
@@ -1,4 +1,4 @@
-//! Allocations: one attempt of a task on one machine.
+//! Allocations: attempts of tasks on machines.
 
 use super::{JobId, Resources};
 use crate::coordination::prediction::corrected;
@@ -11,16 +11,16 @@
 /// Identifies an allocation on a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AllocationId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
     /// The number of the task in the job.
     pub task: u32,
-    /// The attempt; all tasks of a gang that start together share theirs.
+    /// The attempt; all tasks of a gang that start together have the same attempt number.
     pub attempt: u64,
 }
 
 impl AllocationId {
-    /// The allocation of one attempt of a task.
+    /// The id of one attempt of a task.
     pub fn new(job: JobId, task: u32, attempt: u64) -> AllocationId {
         AllocationId { job, task, attempt }
     }
@@ -37,47 +37,47 @@
     }
 }
 
-/// How far an allocation has come, as far as is known.
+/// The last known state of an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllocationState {
-    /// Decided, and not yet recorded: no launch has been sent.
+    /// Decided but not yet recorded: no launch has been sent.
     Pending,
-    /// Recorded: a launch may have been sent, and no heartbeat has shown the task yet.
+    /// Recorded: a launch may have been sent, but no heartbeat has listed the task yet.
     Launching,
-    /// A heartbeat has shown the task in this state.
+    /// A heartbeat has listed the task in this state.
     Observed(TaskState),
-    /// The task has ended; the worker still remembers it.
+    /// The task has exited; the worker still lists it.
     Exited(Cause),
 }
 
-/// A stop that was sent for an allocation, or is to be.
+/// A stop command for an allocation, sent or still to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingStop {
-    /// Seconds that the task has to write its checkpoint.
+    /// The time that the task gets to write its checkpoint, in seconds.
     pub grace_s: f64,
-    /// Whether a stop was sent.
+    /// Whether the stop was sent.
     pub sent: bool,
 }
 
 /// The predicted and the estimated run time of a batch task, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RunTime {
-    /// What the predictor expects.
+    /// The predicted run time.
     pub predicted_s: f64,
-    /// What the job's owner estimated: an upper bound.
+    /// The job owner's estimate: an upper bound.
     pub estimate_s: f64,
 }
 
-/// What scheduling asks of an allocation, so that it need not look up the job.
+/// The properties of a task that scheduling needs, copied so that it need not look up the job.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskProfile {
-    /// What the task takes of the machine.
+    /// The resources that the task requests.
     pub request: Resources,
     /// The job's effective priority when the task was placed.
     pub priority: Priority,
-    /// Its run time; none for a service, whose resources never come free by themselves.
+    /// The task's run time; `None` for a replica of a service, which runs until it is stopped.
     pub run_time: Option<RunTime>,
-    /// Whether it may be preempted, which frees its resources at once.
+    /// Whether the task may be preempted, which frees its resources immediately.
     pub is_preemptible: bool,
 }
 
@@ -91,29 +91,30 @@
 /// A task that is or may be on a machine.
 #[derive(Clone, Debug)]
 pub struct Allocation {
-    /// How far it has come.
+    /// The last known state of the allocation.
     pub state: AllocationState,
-    /// When it was decided, or restored from the records.
+    /// When the allocation was decided, or restored from the records.
     pub planned_at: Time,
-    /// Since when a heartbeat has shown the task running.
+    /// When a heartbeat first listed the task as running.
     pub running_since: Option<Time>,
-    /// Whether an earlier leader may have launched it.
+    /// Whether an earlier leader may have launched the task.
     pub is_recovered: bool,
-    /// The fencing token under which a launch was sent directly to the worker: a copy of it may
+    /// The fencing token with which a launch was sent directly to the worker: a delayed launch may
     /// still arrive until the worker has seen a higher token.
     pub direct_launch_token: Option<FencingToken>,
     /// The sequence number of the heartbeat whose response last carried the launch.
     pub launch_response_sequence: Option<HeartbeatSequence>,
-    /// The stop that was or is to be sent.
+    /// The stop that was sent or is still to be sent.
     pub pending_stop: Option<PendingStop>,
-    /// A heartbeat showed it once and shows it no longer, but a launch may still arrive.
+    /// Whether an earlier heartbeat listed the task and the latest one did not, while a launch may still
+    /// arrive.
     pub is_missing: bool,
-    /// What scheduling needs to know of the task.
+    /// The properties of the task that scheduling needs.
     pub profile: TaskProfile,
 }
 
 impl Allocation {
-    /// An allocation as it is decided or restored.
+    /// A newly decided or restored allocation.
     pub fn new(state: AllocationState, profile: TaskProfile, now: Time) -> Allocation {
         Allocation {
             state,
@@ -128,37 +129,37 @@
         }
     }
 
-    /// Whether its task may be on the machine.
+    /// Whether the task may still be on the machine.
     pub fn is_live(&self) -> bool {
         !matches!(self.state, AllocationState::Exited(_))
     }
 
-    /// Whether its task is known to have run.
+    /// Whether the task is known to have run.
     pub fn has_run(&self) -> bool {
         self.running_since.is_some()
     }
 
-    /// Whether a launch was sent, by whichever way.
+    /// Whether a launch was sent, either directly or in a heartbeat response.
     pub fn launch_was_sent(&self) -> bool {
         self.direct_launch_token.is_some() || self.launch_response_sequence.is_some()
     }
 
-    /// Whether no launch that was sent can still reach the worker, given the token that it has
-    /// acknowledged and the sequence number of its newest own heartbeat: until it sends another, it
-    /// may yet receive the response to that one.
-    pub fn launches_are_over(
+    /// Whether no launch that was sent can still reach the worker, given the token that the worker has
+    /// acknowledged and the sequence number of its newest unsolicited heartbeat: until the worker sends
+    /// the next one, it may still receive the response to this one.
+    pub fn no_launch_in_flight(
         &self,
         acknowledged_token: FencingToken,
-        reported_sequence: HeartbeatSequence,
+        unsolicited_sequence: HeartbeatSequence,
     ) -> bool {
         self.direct_launch_token
             .is_none_or(|token| acknowledged_token > token)
             && self
                 .launch_response_sequence
-                .is_none_or(|sequence| reported_sequence > sequence)
+                .is_none_or(|sequence| unsolicited_sequence > sequence)
     }
 
-    /// When its resources are predicted to come free; never, for a service.
+    /// When the task is predicted to free its resources; infinity for a replica of a service.
     pub fn predicted_end(&self, now: Time) -> Time {
         let Some(run_time) = self.profile.run_time else {
             return f64::INFINITY;
@@ -168,7 +169,8 @@
         (start + run_s).max(now)
     }
 
-    /// Whether its resources are free as soon as a command sent now is carried out.
+    /// Whether the pending stop frees the resources as soon as the worker executes it, without time for
+    /// a checkpoint.
     pub fn frees_at_once(&self) -> bool {
         self.pending_stop.is_some_and(|stop| stop.grace_s <= 0.0)
             && matches!(self.state, AllocationState::Observed(_))
--- a/src/coordination/state/eligibility.rs
+++ b/src/coordination/state/eligibility.rs
@@ -1,10 +1,10 @@
-//! Which machines and machine types a job's description allows.
+//! Which machines and machine types a job's specification allows.
 
 use super::{Job, Machine, Resources};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
 
-/// Whether a job's description lets its tasks use a machine.
+/// Whether a job's specification allows its tasks to use a machine.
 pub(crate) fn may_use(job: &Job, machine: &Machine) -> bool {
     let spec = &job.spec;
     let types = spec.types.as_ref();
@@ -13,7 +13,7 @@
     type_allowed && zone_allowed && (spec.spot || !machine.spot)
 }
 
-/// Whether a job's description lets its tasks use a machine type, and one of them fits.
+/// Whether a job's specification allows its tasks to use a machine type, and one task fits on it.
 pub(crate) fn may_use_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let types = spec.types.as_ref();
     let allowed = types.is_none_or(|types| types.contains(&machine_type.name));
--- a/src/coordination/state/ids.rs
+++ b/src/coordination/state/ids.rs
@@ -1,11 +1,11 @@
-//! Names of jobs, machines, zones, machine types and classes, which can't be mixed up.
+//! Distinct string types for the names of jobs, machines, zones, machine types and job classes.
 
 use std::borrow::Borrow;
 use std::fmt;
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// Defines a name: a shared string of a type of its own.
+/// Defines a name type: a newtype around a shared string.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -59,17 +59,17 @@
 }
 
 name_type! {
-    /// The name of a machine, which is never used again.
+    /// The name of a machine; names are never reused.
     MachineName
 }
 
 name_type! {
-    /// The name of a zone; empty where it is not known.
+    /// The name of a zone; empty while unknown.
     ZoneName
 }
 
 name_type! {
-    /// The name of a machine type; empty where it is not known.
+    /// The name of a machine type; empty while unknown.
     MachineTypeName
 }
 
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, from their acceptance to their end.
+//! Jobs, from acceptance until their final state is recorded and no machine has a task of theirs.
 
 use super::{
     AllocationRef, CompletionRecord, Deadline, JobId, MachineName, Resources, RunTime, Task,
@@ -9,70 +9,72 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The users' check at the end of a day: a class's largest jobs begin within this time.
-const BEGINS_WITHIN_S: f64 = 240.0;
+/// Service level that users check at the end of a day: the largest jobs of a class start within this time.
+const MAX_START_DELAY_S: f64 = 240.0;
 
-/// The share of that time after which a job that has not begun goes before others.
+/// The share of `MAX_START_DELAY_S` after which a job that has not started is placed before others.
 const OVERDUE_SHARE: f64 = 0.5;
 
-/// The users' check: no job waits for this long while a machine that fits has room.
-pub(crate) const MAX_WAIT_WITH_ROOM_S: f64 = 90.0;
+/// Service level that users check: no job waits for this long while a machine that it may use has the
+/// free resources.
+pub(crate) const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
 
-/// The share of that time for which a job that has failed wherever it ran, and completed nothing, runs
-/// one task at a time after a pause: it may have been submitted with a mistake.
+/// The share of `MAX_WAIT_WITH_CAPACITY_S` for which a job without a completed task runs one task at a
+/// time after the pause that follows failures: its specification may be wrong.
 const TRIAL_SHARE: f64 = 0.2;
 
-/// An open job, or one that has ended and of which a machine may still hold a task.
+/// An open job, or a finished job of which a machine may still have a task.
 pub struct Job {
-    /// The description as its user submitted it.
+    /// The specification that the user submitted.
     pub spec: Arc<JobSpec>,
-    /// Its id.
+    /// The job's id.
     pub id: JobId,
-    /// The version of its record when it was accepted: the order of arrival, equal for every leader.
+    /// The version of the job's record when the job was accepted. It gives the order of arrival, which is
+    /// the same for every leader.
     pub arrival_order: u64,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub arrived_at: Time,
-    /// Jobs that must be done before it begins, and whose end is not known yet.
+    /// Dependencies whose final state is not known yet; the job starts only when all of them are done.
     pub unmet_dependencies: BTreeSet<JobId>,
-    /// Since when it depends on no other job's end.
+    /// Since when no dependency has been unmet.
     pub ready_at: Time,
-    /// Whether a job that it depends on is cancelled: so is it, once that is recorded.
+    /// Whether a dependency is cancelled: this job is then recorded as cancelled too.
     pub dependency_cancelled: bool,
-    /// The highest priority of it and of the jobs that depend on it.
+    /// The highest priority of the job and its dependents.
     pub priority: Priority,
-    /// The most urgent deadline of it and of the jobs that depend on it.
+    /// The most urgent deadline of the job and its dependents.
     pub deadline: Option<Deadline>,
-    /// Its records of completed tasks, one for each shard.
+    /// The job's completion records, one for each shard.
     pub completion_records: Vec<CompletionRecord>,
-    /// Numbers of completion records in other shardings, which other versions wrote; they are removed
-    /// when it ends.
+    /// Numbers of completion records that other versions wrote with a different number of shards; they are
+    /// deleted when the job is finished.
     pub foreign_shards: Vec<usize>,
-    /// Whether its user has cancelled it; its allocations are being released.
+    /// Whether the user has cancelled the job; its allocations are being released.
     pub cancelled: bool,
-    /// Whether a write of its end is in flight.
-    pub end_in_flight: bool,
-    /// Whether its end is recorded; a machine may still hold one of its tasks.
-    pub end_recorded: bool,
+    /// Whether a write of the job's final state is in flight.
+    pub final_state_in_flight: bool,
+    /// Whether the job's final state is recorded; a machine may still have one of its tasks.
+    pub final_state_recorded: bool,
     /// The predicted run time of a task, in seconds.
     pub predicted_s: f64,
-    /// Machines on which its tasks have failed since one last completed, and when.
+    /// Machines on which tasks of the job have failed since a task last completed, with the time.
     pub failed_on: BTreeMap<MachineName, Time>,
-    /// Until when it pauses after failures.
+    /// No task is placed before this time, after failures.
     pub retry_at: Time,
-    /// Failures in a row that made it pause.
+    /// Consecutive failures, each of which made the job pause.
     pub consecutive_failures: u32,
     tasks: Vec<Task>,
     completed: u32,
     allocated: u32,
     running: u32,
-    /// No task before this one is unplaced.
+    /// All tasks with a lower number are placed or completed.
     first_unplaced: usize,
     first_started_at: Option<Time>,
     last_released_at: Option<Time>,
 }
 
 impl Job {
-    /// A job without allocations, as it arrives.
+    /// A newly accepted job without allocations.
     pub fn new(
         spec: Arc<JobSpec>,
         arrival_order: u64,
@@ -96,8 +98,8 @@
             completion_records: vec![CompletionRecord::default(); completion_records],
             foreign_shards: Vec::new(),
             cancelled: false,
-            end_in_flight: false,
-            end_recorded: false,
+            final_state_in_flight: false,
+            final_state_recorded: false,
             predicted_s,
             failed_on: BTreeMap::new(),
             retry_at: 0.0,
@@ -109,12 +111,12 @@
         }
     }
 
-    /// What one of its tasks requests.
+    /// The request of each task of the job.
     pub fn request(&self) -> Resources {
         Resources::of(&self.spec)
     }
 
-    /// What an allocation of one of its tasks needs to know of it.
+    /// The profile for an allocation of one of the job's tasks.
     pub fn profile(&self) -> TaskProfile {
         let run_time = RunTime {
             predicted_s: self.predicted_s,
@@ -128,37 +130,37 @@
         }
     }
 
-    /// Its tasks, in the order of their numbers.
+    /// The job's tasks, ordered by number.
     pub fn tasks(&self) -> &[Task] {
         &self.tasks
     }
 
-    /// One of its tasks.
+    /// The task with this number.
     pub fn task(&self, number: u32) -> Option<&Task> {
         self.tasks.get(number as usize)
     }
 
-    /// How many of its tasks have completed.
+    /// How many tasks of the job have completed.
     pub fn completed(&self) -> u32 {
         self.completed
     }
 
-    /// How many allocations it has.
+    /// How many allocations the job has.
     pub fn allocated(&self) -> u32 {
         self.allocated
     }
 
-    /// How many of its tasks are known to run.
+    /// How many tasks of the job are known to be running.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// When its first task started to run, as far as this leader knows.
+    /// When the first task of the job started to run, as far as this leader knows.
     pub fn first_started_at(&self) -> Option<Time> {
         self.first_started_at
     }
 
-    /// Adds an allocation of a task; returns whether there is such a task.
+    /// Adds an allocation of a task; returns whether the task exists.
     pub fn add_allocation(&mut self, task: u32, allocation: AllocationRef) -> bool {
         let Some(task) = self.tasks.get_mut(task as usize) else {
             return false;
@@ -168,7 +170,8 @@
         true
     }
 
-    /// Releases an allocation of a task, which `has_run` or not; returns it if there was one.
+    /// Releases an allocation of a task; `has_run` is whether the task was counted as running. Returns the
+    /// allocation if it existed.
     pub fn release_allocation(
         &mut self,
         task: u32,
@@ -188,7 +191,7 @@
         Some(released)
     }
 
-    /// Notes that another placement record holds an allocation now.
+    /// Updates the number of the placement record that contains an allocation.
     pub fn move_allocation(
         &mut self,
         task: u32,
@@ -204,13 +207,13 @@
         }
     }
 
-    /// Counts a task that has started to run.
+    /// Counts a task as running.
     pub fn task_started(&mut self, now: Time) {
         self.running += 1;
         self.first_started_at.get_or_insert(now);
     }
 
-    /// Counts a task as completed; returns whether it was not before.
+    /// Marks a task as completed; returns whether the task was not completed before.
     pub fn complete_task(&mut self, number: u32) -> bool {
         let task = self.tasks.get_mut(number as usize);
         let Some(task) = task.filter(|task| !task.done) else {
@@ -221,37 +224,40 @@
         true
     }
 
-    /// Whether nothing of it has begun for so long that it goes before others, whatever it yields to.
+    /// Whether no task of the job has started for so long that the job is placed before others, regardless
+    /// of the queue order.
     pub fn is_overdue(&self, now: Time) -> bool {
         let waits = self.first_started_at.is_none() && self.allocated == 0 && self.completed == 0;
-        waits && now - self.ready_at > BEGINS_WITHIN_S * OVERDUE_SHARE
+        waits && now - self.ready_at > MAX_START_DELAY_S * OVERDUE_SHARE
     }
 
-    /// Whether nothing of it has been on any machine for as long. It gets machines of its own then, but
-    /// goes before no others: under overload most jobs would.
+    /// Whether the job has had unplaced tasks and no allocation for the time after which a job is overdue.
+    /// Machines are rented for such a job, but it is not placed before others: under overload most jobs
+    /// would be.
     pub fn lacks_machines(&self, now: Time) -> bool {
         let since = self.last_released_at.unwrap_or(self.ready_at);
         let waited_s = now - since.max(self.ready_at);
         self.allocated == 0
             && self.unplaced_count() > 0
-            && waited_s > BEGINS_WITHIN_S * OVERDUE_SHARE
+            && waited_s > MAX_START_DELAY_S * OVERDUE_SHARE
     }
 
-    /// Whether it runs one task at a time, to show whether it fails again.
+    /// Whether the job runs one task at a time, to find out whether it fails again.
     pub fn is_on_trial(&self, now: Time) -> bool {
         let failed = self.consecutive_failures > 0 && self.completed == 0;
-        failed && now < self.retry_at + TRIAL_SHARE * MAX_WAIT_WITH_ROOM_S
+        failed && now < self.retry_at + TRIAL_SHARE * MAX_WAIT_WITH_CAPACITY_S
     }
 
-    /// The processor seconds that are left, by its prediction; what runs is half done on average.
+    /// The remaining work by the predicted run time, in processor seconds. Allocated tasks are assumed to be
+    /// half done on average.
     pub fn work_left(&self) -> f64 {
         let tasks = f64::from(self.unplaced_count()) + f64::from(self.allocated) / 2.0;
         tasks * self.predicted_s * self.spec.cpus
     }
 
-    /// Whether nothing is left of it but to record its end.
-    pub fn is_finished(&self) -> bool {
-        if self.end_recorded {
+    /// Whether all that is left to do for the job is to record its final state.
+    pub fn needs_final_state(&self) -> bool {
+        if self.final_state_recorded {
             return false;
         }
         if self.cancelled || self.dependency_cancelled {
@@ -260,32 +266,32 @@
         !self.is_service() && self.completed as usize == self.tasks.len()
     }
 
-    /// Whether it, or a job that it depends on, is cancelled.
+    /// Whether the job or one of its dependencies is cancelled.
     pub fn will_be_cancelled(&self) -> bool {
         self.cancelled || self.dependency_cancelled
     }
 
-    /// Whether its tasks may be placed, as far as other jobs are concerned.
+    /// Whether the job's tasks may be placed: it is not cancelled and all dependencies are done.
     pub fn is_eligible(&self) -> bool {
         !self.will_be_cancelled() && self.unmet_dependencies.is_empty()
     }
 
-    /// Whether any of its tasks is to be placed now.
+    /// Whether the job has tasks that may be placed now.
     pub fn is_waiting(&self, now: Time) -> bool {
         self.is_eligible() && now >= self.retry_at && self.unplaced_count() > 0
     }
 
-    /// Whether it is a service, which runs until it is cancelled.
+    /// Whether the job is a service, which runs until it is cancelled.
     pub fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
-    /// Whether its tasks start and end together.
+    /// Whether the job is a gang, whose tasks start and stop together.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// How many of its tasks may be in one zone.
+    /// How many tasks of the job may be in one zone.
     pub fn max_per_zone(&self) -> u32 {
         if self.spec.spread {
             self.spec.tasks.div_ceil(2)
@@ -294,7 +300,7 @@
         }
     }
 
-    /// The numbers of its unplaced tasks, in order.
+    /// The numbers of the job's unplaced tasks, in order.
     pub fn unplaced(&self) -> impl Iterator<Item = u32> + '_ {
         let candidates = self.tasks[self.first_unplaced..].iter().enumerate();
         candidates
@@ -302,7 +308,7 @@
             .map(|(i, _)| (self.first_unplaced + i) as u32)
     }
 
-    /// How many of its tasks have neither completed nor any allocation.
+    /// How many tasks of the job have neither completed nor an allocation.
     pub fn unplaced_count(&self) -> u32 {
         (self.tasks.len() as u32)
             .saturating_sub(self.completed)
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -1,4 +1,4 @@
-//! Machines with their workers and allocations.
+//! Machines, with their worker sessions and allocations.
 
 use super::worker_session::WorkerSession;
 use super::{
@@ -12,70 +12,71 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a machine's life.
+/// The lifecycle phase of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Rented, and no heartbeat has arrived yet.
+    /// Rented; no heartbeat has been received yet.
     Booting,
     /// Its worker has sent heartbeats.
     Up,
-    /// Its return is decided; it is gone once the cloud has confirmed that with a 200.
+    /// The machine is being returned; it is gone once the cloud has confirmed the return with a 200.
     Returning,
 }
 
-/// Which jobs have failed on a machine.
+/// The failures of jobs on a machine.
 #[derive(Clone, Debug, Default)]
 pub struct FailureHistory {
-    /// Jobs of which tasks failed here since one last completed here.
+    /// Jobs whose tasks have failed on this machine since a task last completed on it.
     pub jobs_failed_here: BTreeSet<JobId>,
-    /// Those of these jobs that have completed tasks elsewhere since.
+    /// The jobs in `jobs_failed_here` that have since completed tasks on other machines.
     pub jobs_completed_elsewhere: BTreeSet<JobId>,
-    /// Whether the machine is held to be faulty and gets no more tasks.
+    /// Whether the machine is considered faulty and gets no new tasks.
     pub quarantined: bool,
 }
 
-/// A machine, its worker, and the allocations on it.
+/// A machine, its worker session and its allocations.
 pub struct Machine {
-    /// Its name, which is never used again.
+    /// The machine's name, which is never reused.
     pub name: MachineName,
-    /// Where its worker takes direct commands.
+    /// The address at which the worker accepts direct commands.
     pub endpoint: Option<String>,
-    /// The name of its type; empty while a record has told no more than its name.
+    /// The machine's type; empty while only its name is known, from a record.
     pub machine_type: MachineTypeName,
-    /// Its zone; empty likewise.
+    /// The machine's zone; empty while only its name is known.
     pub zone: ZoneName,
-    /// Whether the cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// What is known of its life.
+    /// The lifecycle phase.
     pub phase: MachinePhase,
-    /// When it was rented.
+    /// When the machine was rented.
     pub rented_at: Time,
-    /// Whether this leader rented it, so that no earlier one can have sent anything to its worker.
+    /// Whether this leader rented the machine, so that no earlier leader can have sent anything to its
+    /// worker.
     pub rented_by_this_leader: bool,
-    /// When the cloud reclaims it.
+    /// When the cloud reclaims the machine, if that is announced.
     pub reclaim_at: Option<Time>,
-    /// The exchange with its worker.
+    /// The session with the machine's worker.
     pub worker: WorkerSession,
-    /// Images that it has, as far as its tasks show.
+    /// Images on the machine, as far as known from its tasks.
     pub images: BTreeSet<String>,
-    /// Since when no task has been on it.
+    /// Since when no task has been on the machine.
     pub idle_since: Time,
-    /// Which jobs have failed on it.
+    /// The failures of jobs on the machine.
     pub failures: FailureHistory,
-    /// Whether its replicas are being moved elsewhere, so that it can be returned.
+    /// Whether the machine's replicas are being moved to other machines, so that it can be returned.
     pub draining: bool,
-    /// Whether a request to return it is in flight.
+    /// Whether a request to return the machine is in flight.
     pub return_in_flight: bool,
-    /// Whether the cloud lists it as failed.
+    /// Whether the cloud lists the machine as failed.
     pub listed_failed: bool,
     allocations: BTreeMap<AllocationId, Allocation>,
-    /// What its allocations take, until one changes.
+    /// The cached result of `used`, cleared when an allocation changes.
     used: Cell<Option<Resources>>,
     services: Cell<usize>,
 }
 
 impl Machine {
-    /// A machine that boots.
+    /// A newly rented machine.
     pub fn new(
         name: MachineName,
         machine_type: MachineTypeName,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Sets its type and zone where a record has told no more than its name.
+    /// Sets the machine's type, zone and spot flag if only its name is known.
     pub fn describe(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if self.machine_type.is_empty() {
             self.machine_type = machine_type.into();
@@ -115,23 +116,23 @@
         }
     }
 
-    /// Its allocations, those included whose task has exited.
+    /// All allocations on the machine, including those whose task has exited.
     pub fn allocations(&self) -> &BTreeMap<AllocationId, Allocation> {
         &self.allocations
     }
 
-    /// Its allocations whose tasks may be on it.
+    /// The allocations whose tasks may still be on the machine.
     pub fn live_allocations(&self) -> impl Iterator<Item = (&AllocationId, &Allocation)> {
         self.allocations.iter().filter(|(_, a)| a.is_live())
     }
 
-    /// An allocation, to be changed.
+    /// Mutable access to an allocation.
     pub fn allocation_mut(&mut self, id: &AllocationId) -> Option<&mut Allocation> {
         self.used.set(None);
         self.allocations.get_mut(id)
     }
 
-    /// All allocations, to be changed.
+    /// Mutable access to all allocations.
     pub fn allocations_mut(
         &mut self,
     ) -> impl Iterator<Item = (&AllocationId, &mut Allocation)> + '_ {
@@ -151,13 +152,14 @@
         self.allocations.remove(id)
     }
 
-    /// Keeps those allocations for which `keep` says so.
+    /// Keeps the allocations for which `keep` returns true.
     pub fn retain_allocations(&mut self, keep: impl FnMut(&AllocationId, &mut Allocation) -> bool) {
         self.used.set(None);
         self.allocations.retain(keep);
     }
 
-    /// What is or may be on it takes, but for what a stop in the same message ends at once.
+    /// The resources of all tasks that are or may be on the machine, except those that a stop in the next
+    /// command batch frees immediately.
     pub fn used(&self) -> Resources {
         if let Some(used) = self.used.get() {
             return used;
@@ -176,13 +178,13 @@
         used
     }
 
-    /// Whether a replica of a service is or may be on it.
+    /// Whether a replica of a service is or may be on the machine.
     pub fn holds_services(&self) -> bool {
         self.used();
         self.services.get() > 0
     }
 
-    /// Whether a heartbeat that shows a task in this state tells nothing new of its allocation.
+    /// Whether a heartbeat that lists a task in this state changes nothing about its allocation.
     pub fn is_unchanged(&self, id: &AllocationId, state: TaskState) -> bool {
         self.allocations.get(id).is_some_and(|allocation| {
             let runs = state != TaskState::Running || allocation.has_run();
@@ -192,15 +194,16 @@
         })
     }
 
-    /// Whether no task is or may be on it.
+    /// Whether no task is or may be on the machine.
     pub fn is_empty(&self) -> bool {
         self.live_allocations().next().is_none()
     }
 
-    /// Whether new tasks may be placed on it. A heartbeat alone is no sign that responses reach the
-    /// worker: it may be a late copy, or the way to the worker may be cut. So the worker must have
-    /// shown a token of this leadership, unless nobody else can have sent anything to it. Responses to
-    /// direct commands do not renew its lease, so it must have sent heartbeats by itself of late.
+    /// Whether new tasks may be placed on the machine. A heartbeat alone does not prove that responses
+    /// reach the worker: it may be a delayed duplicate, or the connection may work in one direction only.
+    /// So the worker must have acknowledged a token of this leader's term, unless no other leader can
+    /// have sent anything to it. Responses to direct commands do not renew the worker's lease, so the
+    /// leader must also have responded to a heartbeat within the heartbeat timeout.
     pub fn accepts_tasks(
         &self,
         now: Time,
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs, machines, and the allocations that tasks have or may have on machines.
+//! Data model of the cluster: jobs, tasks, machines, allocations and the records of them.
 
 mod allocation;
 mod deadline;
@@ -20,7 +20,7 @@
 pub(crate) use eligibility::{may_use, may_use_type};
 pub use ids::{ClassName, JobId, MachineName, MachineTypeName, ZoneName};
 pub use job::Job;
-pub(crate) use job::MAX_WAIT_WITH_ROOM_S;
+pub(crate) use job::MAX_WAIT_WITH_CAPACITY_S;
 pub use machine::{FailureHistory, Machine, MachinePhase};
 pub use machine_types::MachineTypes;
 pub use placement_record::{Placement, PlacementRecord, WriteUrgency};
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -1,4 +1,4 @@
-//! Placement records: which tasks are on which machines, as the store tells it.
+//! Placement records: the stored mapping of tasks to machines.
 
 use super::{AllocationId, JobId, MachineName};
 use crate::coordination::Time;
@@ -6,47 +6,49 @@
 use crate::storage::records::{job_bytes, place_bytes, EMPTY_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An allocation with its machine, as a placement record holds it.
+/// An allocation and its machine: one entry of a placement record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Placement {
     /// The allocation.
     pub allocation: AllocationId,
-    /// The machine that it is on.
+    /// The machine of the allocation.
     pub machine: MachineName,
 }
 
-/// What waits for a placement record to be written: the higher is written first.
+/// How urgent the write of a placement record is; the record with the higher urgency is written first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct WriteUrgency {
-    /// The highest priority of the launches that wait for it.
+    /// The highest priority of the launches that wait for the write.
     pub priority: Option<Priority>,
-    /// For how long all of them have waited together, in seconds.
+    /// The total waiting time of these launches, in seconds.
     pub waited_s: f64,
 }
 
-/// A placement record. Placements of many jobs share one, as each launch costs a change of its record.
+/// A placement record. Placements of many jobs share a record, because each launch requires a write
+/// of its record.
 #[derive(Debug, Default)]
 pub struct PlacementRecord {
-    /// The version that the store last told; 0 where nothing is stored.
+    /// The last known version of the record's key; 0 if the key does not exist.
     pub version: u64,
-    /// Since when the stored record holds what is gone, or lacks what no launch waits for.
+    /// Since when the stored record has contained released placements, or has lacked placements whose
+    /// launches do not wait for the write.
     pub dirty_since: Option<Time>,
-    /// Whether a write of it is in flight.
+    /// Whether a write of the record is in flight.
     pub in_flight: bool,
-    /// Other records that take over placements of this one. Until those are written, the stored record
-    /// must stay as it is.
-    pub shrinks_after: BTreeSet<usize>,
+    /// Other records to which placements of this record move. Until those records are written, the
+    /// stored version of this record must not change.
+    pub pending_move_targets: BTreeSet<usize>,
     placements: BTreeSet<Placement>,
-    /// The size of the stored record, beyond that of an empty one.
+    /// The size of the stored record, minus that of an empty record.
     bytes: usize,
-    /// Placements that are not stored yet, whose launches wait for that.
+    /// Placements that are not stored yet and whose launches wait for the write.
     pending: BTreeMap<Placement, Priority>,
-    /// Since when there are any.
+    /// Since when `pending` has been non-empty.
     pending_since: Time,
 }
 
 impl PlacementRecord {
-    /// What it holds, in order.
+    /// The placements in this record, in order.
     pub fn placements(&self) -> &BTreeSet<Placement> {
         &self.placements
     }
@@ -66,7 +68,7 @@
         self.placements.insert(placement);
     }
 
-    /// Removes a placement; returns whether it was held.
+    /// Removes a placement; returns whether the record contained it.
     pub fn remove(&mut self, placement: &Placement) -> bool {
         let held = self.placements.remove(placement);
         self.pending.remove(placement);
@@ -76,7 +78,7 @@
         held
     }
 
-    /// Notes that the launch of a placement waits for this record.
+    /// Marks a placement as pending: its launch waits until this record is written.
     pub fn add_pending(&mut self, placement: Placement, priority: Priority, now: Time) {
         if self.pending.is_empty() {
             self.pending_since = now;
@@ -84,22 +86,22 @@
         self.pending.insert(placement, priority);
     }
 
-    /// Notes that a placement is stored now.
+    /// Marks a placement as stored.
     pub fn mark_stored(&mut self, placement: &Placement) {
         self.pending.remove(placement);
     }
 
-    /// Whether the launch of a placement waits for this record.
+    /// Whether the launch of a placement waits for the write of this record.
     pub fn is_pending(&self, placement: &Placement) -> bool {
         self.pending.contains_key(placement)
     }
 
-    /// Whether any launch waits for this record.
+    /// Whether any launch waits for the write of this record.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// How urgent its write is.
+    /// How urgent the write of this record is.
     pub fn urgency(&self, now: Time) -> WriteUrgency {
         WriteUrgency {
             priority: self.pending.values().max().copied(),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// How much a new placement adds to the stored record, in bytes.
+    /// The number of bytes that a new placement adds to the stored record.
     pub fn bytes_for(&self, placement: &Placement) -> usize {
         let allocation = &placement.allocation;
         let job = if self.holds_job(&allocation.job) {
@@ -118,13 +120,13 @@
         job + place_bytes(&placement.machine, allocation.task, allocation.attempt)
     }
 
-    /// The size of the stored record at the most, in bytes.
+    /// An upper bound for the size of the stored record, in bytes.
     pub fn bytes(&self) -> usize {
         EMPTY_BYTES + self.bytes
     }
 
-    /// Whether it can be written now.
+    /// Whether the record can be written now.
     pub fn is_idle(&self) -> bool {
-        !self.in_flight && self.shrinks_after.is_empty()
+        !self.in_flight && self.pending_move_targets.is_empty()
     }
 }
--- a/src/coordination/state/quota.rs
+++ b/src/coordination/state/quota.rs
@@ -1,14 +1,14 @@
-//! How much each team uses, against its quota.
+//! The resources that each team uses, and checks against the team's quota.
 
 use super::resources::ROUNDING_SLACK;
 use super::Resources;
 use crate::settings::Team;
 use std::collections::HashMap;
 
-/// Amounts that differ by less count as equal where a quota is compared.
+/// Tolerance for rounding errors when usage is compared with a quota.
 const QUOTA_SLACK: f64 = 1e-9;
 
-/// What a team's tasks hold, or would hold.
+/// Resources that a team's tasks use, or would use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaUsage {
     /// Processors.
@@ -18,33 +18,33 @@
 }
 
 impl QuotaUsage {
-    /// Adds what so many tasks request.
+    /// Adds the requests of `tasks` tasks.
     pub fn add(&mut self, request: &Resources, tasks: f64) {
         self.cpus += tasks * request.cpus;
         self.gpus += tasks * request.gpus;
     }
 }
 
-/// The usage of all teams. What is or may be on a machine counts.
+/// The usage of all teams. Every task that is or may be on a machine counts.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaUsageByTeam {
     usage: HashMap<String, QuotaUsage>,
 }
 
 impl QuotaUsageByTeam {
-    /// What a team uses.
+    /// The usage of a team.
     pub fn of(&self, team: &str) -> QuotaUsage {
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Counts a task that was allocated.
+    /// Adds the request of an allocated task.
     pub fn allocate(&mut self, team: &str, request: &Resources) {
         let usage = self.usage.entry(team.to_string()).or_default();
         usage.cpus += request.cpus;
         usage.gpus += request.gpus;
     }
 
-    /// Counts a task no longer that was released.
+    /// Subtracts the request of a released task.
     pub fn release(&mut self, team: &str, request: &Resources) {
         if let Some(usage) = self.usage.get_mut(team) {
             usage.cpus -= request.cpus;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether so many more tasks stay within a team's limits; a limit of 0 is none.
+    /// Whether `tasks` more tasks stay within a team's limits; a limit of 0 means unlimited.
     pub fn allows(&self, team: &Team, request: &Resources, tasks: u32) -> bool {
         let used = self.of(&team.name);
         let fits = |used: f64, requested: f64, limit: f64| {
@@ -62,7 +62,7 @@
         fits(used.cpus, request.cpus, team.cpus_max) && fits(used.gpus, request.gpus, team.gpus_max)
     }
 
-    /// As many of so many tasks as the team's limit of processors lets run.
+    /// The number of tasks, at most `tasks`, that the team's processor limit allows in addition.
     pub fn cap(&self, team: &Team, request: &Resources, tasks: u32) -> u32 {
         if team.cpus_max <= 0.0 || request.cpus <= 0.0 {
             return tasks;
--- a/src/coordination/state/resources.rs
+++ b/src/coordination/state/resources.rs
@@ -3,7 +3,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
 
-/// What a task requests of a machine, or what a machine has.
+/// The resources that a task requests, or that a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// Processors.
@@ -14,11 +14,11 @@
     pub memory_gb: f64,
 }
 
-/// Amounts are decimal fractions: sums may be off by a little.
+/// Tolerance for rounding errors in sums of amounts, which are decimal fractions.
 pub(crate) const ROUNDING_SLACK: f64 = 1e-6;
 
 impl Resources {
-    /// What one task of a job requests.
+    /// The request of one task of a job.
     pub fn of(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// What a machine of a type has.
+    /// The capacity of a machine of a type.
     pub fn of_type(machine_type: &MachineType) -> Resources {
         Resources {
             cpus: machine_type.cpus,
@@ -43,21 +43,21 @@
             && self.memory_gb + ROUNDING_SLACK >= request.memory_gb
     }
 
-    /// Adds resources to these.
+    /// Adds `other` to these resources.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Takes resources from these.
-    pub fn take(&mut self, other: &Resources) {
+    /// Subtracts `other` from these resources.
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// How many tasks with a request fit.
+    /// How many tasks with this request fit into these resources.
     pub fn slots(&self, request: &Resources) -> u32 {
         let ratio = |have: f64, want: f64| {
             if want > 0.0 {
--- a/src/coordination/state/task.rs
+++ b/src/coordination/state/task.rs
@@ -1,42 +1,42 @@
-//! Tasks, their allocations, and the records of which have completed.
+//! Tasks, references to their allocations, and completion records.
 
 use super::MachineName;
 use crate::coordination::Time;
 
-/// A task with its allocations. It may be placed only while it has none.
+/// A task with its allocations. A task may be placed only while it has no allocation.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    /// Whether it has completed.
+    /// Whether the task has completed.
     pub done: bool,
-    /// Where it is or may be.
+    /// The allocations on which the task runs or may run.
     pub allocations: Vec<AllocationRef>,
 }
 
 impl Task {
-    /// Whether it may be placed: it has neither completed nor any allocation.
+    /// Whether the task may be placed: it has not completed and has no allocation.
     pub fn is_unplaced(&self) -> bool {
         !self.done && self.allocations.is_empty()
     }
 }
 
-/// A reference from a task to its allocation.
+/// A reference from a task to one of its allocations.
 #[derive(Clone, Debug)]
 pub struct AllocationRef {
-    /// The machine.
+    /// The machine of the allocation.
     pub machine: MachineName,
-    /// The attempt.
+    /// The attempt of the allocation.
     pub attempt: u64,
-    /// The number of the placement record that holds it.
+    /// The number of the placement record that contains the allocation.
     pub placement_record: usize,
 }
 
-/// The record of which tasks of one shard have completed.
+/// The write state of a completion record, which lists the completed tasks of one shard of a job.
 #[derive(Clone, Debug, Default)]
 pub struct CompletionRecord {
-    /// The version that the store last told; 0 where nothing is stored.
+    /// The last known version of the record's key; 0 if the key does not exist.
     pub version: u64,
-    /// Since when the stored record is out of date.
+    /// Since when the stored record has been out of date.
     pub dirty_since: Option<Time>,
-    /// Whether a write of it is in flight.
+    /// Whether a write of the record is in flight.
     pub in_flight: bool,
 }
--- a/src/coordination/state/worker_session.rs
+++ b/src/coordination/state/worker_session.rs
@@ -1,10 +1,10 @@
-//! What is known of the worker on a machine: its incarnation, heartbeats and responses to them.
+//! The leader's view of the worker on a machine: incarnation, heartbeats, responses and commands.
 
 use crate::coordination::Time;
 use crate::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
 use crate::protocol::worker::Heartbeat;
 
-/// Responses in a row without effect after which a worker counts as unresponsive.
+/// Consecutive unacknowledged responses after which a worker counts as unresponsive.
 pub const MAX_UNACKNOWLEDGED: u32 = 2;
 
 /// The exchange of heartbeats, responses and commands with one worker.
@@ -12,36 +12,37 @@
 pub struct WorkerSession {
     /// The incarnation of the worker's process; 0 until one is known.
     incarnation: Incarnation,
-    /// The sequence number of the newest heartbeat in this incarnation, whatever it came with.
+    /// The sequence number of the newest heartbeat in this incarnation, unsolicited or in response to a
+    /// command.
     sequence: HeartbeatSequence,
-    /// The sequence number of the newest heartbeat that the worker sent by itself in this
-    /// incarnation; responses to direct commands have later numbers too.
-    reported_sequence: HeartbeatSequence,
-    /// The highest fencing token that the worker has shown.
+    /// The sequence number of the newest unsolicited heartbeat in this incarnation; responses to direct
+    /// commands use numbers of the same sequence.
+    unsolicited_sequence: HeartbeatSequence,
+    /// The highest fencing token in any heartbeat of the worker.
     acknowledged_token: FencingToken,
     /// The highest fencing token that was sent to this incarnation.
     sent_token: FencingToken,
     last_heartbeat_at: Option<Time>,
-    /// When a heartbeat was last responded to, which renews the worker's lease.
+    /// When the leader last responded to a heartbeat, which renews the worker's lease.
     last_response_at: Time,
-    /// Responses in a row that later heartbeats show to have had no effect.
+    /// Consecutive responses that the worker's later heartbeats did not acknowledge.
     unacknowledged: u32,
-    /// Since when the worker counts as unresponsive by that.
+    /// Since when the worker has counted as unresponsive because of `unacknowledged`.
     unresponsive_since: Option<Time>,
     commands_in_flight: bool,
-    /// When the worker last left a command unanswered, since its last heartbeat.
+    /// When a command last went unanswered; `None` again after the next heartbeat.
     command_unanswered_since: Option<Time>,
-    /// Until when no commands are sent directly.
+    /// No commands are sent directly before this time.
     no_commands_until: Time,
 }
 
 impl WorkerSession {
-    /// A worker of which nothing is known.
+    /// The session of a worker that has not sent a heartbeat yet.
     pub fn new(now: Time) -> WorkerSession {
         WorkerSession {
             incarnation: Incarnation::default(),
             sequence: HeartbeatSequence::default(),
-            reported_sequence: HeartbeatSequence::default(),
+            unsolicited_sequence: HeartbeatSequence::default(),
             acknowledged_token: FencingToken::default(),
             sent_token: FencingToken::default(),
             last_heartbeat_at: None,
@@ -59,32 +60,32 @@
         self.incarnation
     }
 
-    /// The highest fencing token that the worker has shown.
+    /// The highest fencing token in any heartbeat of the worker.
     pub fn acknowledged_token(&self) -> FencingToken {
         self.acknowledged_token
     }
 
-    /// The sequence number of the newest heartbeat that the worker sent by itself.
-    pub fn reported_sequence(&self) -> HeartbeatSequence {
-        self.reported_sequence
+    /// The sequence number of the newest unsolicited heartbeat.
+    pub fn unsolicited_sequence(&self) -> HeartbeatSequence {
+        self.unsolicited_sequence
     }
 
-    /// When a heartbeat last arrived.
+    /// When a heartbeat was last received.
     pub fn last_heartbeat_at(&self) -> Option<Time> {
         self.last_heartbeat_at
     }
 
-    /// When a heartbeat was last responded to.
+    /// When the leader last responded to a heartbeat.
     pub fn last_response_at(&self) -> Time {
         self.last_response_at
     }
 
-    /// Since when the worker counts as unresponsive, as responses have no effect on it.
+    /// Since when the worker has counted as unresponsive because it does not acknowledge responses.
     pub fn unresponsive_since(&self) -> Option<Time> {
         self.unresponsive_since
     }
 
-    /// When the worker last left a command unanswered, since its last heartbeat.
+    /// When a command last went unanswered; `None` again after the next heartbeat.
     pub fn command_unanswered_since(&self) -> Option<Time> {
         self.command_unanswered_since
     }
@@ -94,45 +95,46 @@
         self.commands_in_flight
     }
 
-    /// Whether commands may be sent directly, after ones that failed.
-    pub fn takes_commands(&self, now: Time) -> bool {
+    /// Whether commands may be sent directly: the pause after an unanswered command is over.
+    pub fn accepts_commands(&self, now: Time) -> bool {
         now >= self.no_commands_until
     }
 
-    /// Whether the worker acknowledges responses to its heartbeats.
+    /// Whether the worker acknowledges heartbeat responses and answers direct commands.
     pub fn is_responsive(&self) -> bool {
         self.unacknowledged < MAX_UNACKNOWLEDGED && self.command_unanswered_since.is_none()
     }
 
-    /// Whether a heartbeat is newer than all before it. A worker keeps the highest token that it has
-    /// seen: with a lower one it is from before its process ended, or a new process that must first
-    /// prove itself; its counters do not tell which.
+    /// Whether a heartbeat is newer than all earlier ones. A worker keeps the highest token that it has
+    /// seen, so a heartbeat with a lower token was sent before the worker's process exited, or by a new
+    /// process that has not acknowledged a token yet. Incarnation and sequence number do not tell these
+    /// cases apart.
     pub fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         let number = (heartbeat.incarnation, heartbeat.sequence);
         number > (self.incarnation, self.sequence) && heartbeat.token >= self.acknowledged_token
     }
 
-    /// Whether a heartbeat begins another incarnation than the one that is known.
+    /// Whether a heartbeat belongs to a newer incarnation than the known one.
     pub fn begins_incarnation(&self, heartbeat: &Heartbeat) -> bool {
         self.incarnation != Incarnation::default() && heartbeat.incarnation > self.incarnation
     }
 
-    /// Applies a newer heartbeat, which the worker sent by itself (`is_own`) or in response to a
-    /// command.
-    pub fn apply(&mut self, heartbeat: &Heartbeat, is_own: bool, lease_s: f64, now: Time) {
+    /// Applies a newer heartbeat, which was unsolicited (`is_unsolicited`) or the response to a command.
+    pub fn apply(&mut self, heartbeat: &Heartbeat, is_unsolicited: bool, lease_s: f64, now: Time) {
         if self.begins_incarnation(heartbeat) {
-            // Its lease ran out though its heartbeats were responded to: the responses don't reach it.
+            // The worker's lease expired although the leader responded to its heartbeats: the responses
+            // do not reach the worker.
             if self.sent_token > FencingToken::default() && now - self.last_response_at < lease_s {
                 self.unacknowledged = MAX_UNACKNOWLEDGED;
-                self.acknowledge(false, now);
+                self.record_acknowledgement(false, now);
             }
             self.sent_token = FencingToken::default();
-            self.reported_sequence = HeartbeatSequence::default();
+            self.unsolicited_sequence = HeartbeatSequence::default();
         } else if self.sent_token > self.acknowledged_token {
-            self.acknowledge(heartbeat.token >= self.sent_token, now);
+            self.record_acknowledgement(heartbeat.token >= self.sent_token, now);
         }
-        if is_own {
-            self.reported_sequence = heartbeat.sequence;
+        if is_unsolicited {
+            self.unsolicited_sequence = heartbeat.sequence;
         }
         self.incarnation = heartbeat.incarnation;
         self.sequence = heartbeat.sequence;
@@ -142,8 +144,8 @@
         self.command_unanswered_since = None;
     }
 
-    /// Notes whether the worker has done what the last response told it.
-    pub fn acknowledge(&mut self, acknowledged: bool, now: Time) {
+    /// Records whether the worker has acknowledged the last response.
+    pub fn record_acknowledgement(&mut self, acknowledged: bool, now: Time) {
         if acknowledged {
             self.unacknowledged = 0;
             self.unresponsive_since = None;
@@ -155,34 +157,35 @@
         }
     }
 
-    /// Notes that a heartbeat is responded to under a fencing token.
-    pub fn responded(&mut self, token: FencingToken, now: Time) {
+    /// Records that a heartbeat was responded to with a fencing token.
+    pub fn response_sent(&mut self, token: FencingToken, now: Time) {
         self.last_response_at = now;
         self.sent_token = self.sent_token.max(token);
     }
 
-    /// Notes that commands are sent directly.
+    /// Records that commands were sent directly.
     pub fn commands_sent(&mut self) {
         self.commands_in_flight = true;
     }
 
-    /// Notes that the exchange of direct commands is over.
+    /// Records that the request with direct commands has finished.
     pub fn commands_finished(&mut self) {
         self.commands_in_flight = false;
     }
 
-    /// Notes that commands got no answer; none are sent directly for a while.
+    /// Records that commands went unanswered; no commands are sent directly for `pause_s`.
     pub fn commands_unanswered(&mut self, pause_s: f64, now: Time) {
         self.no_commands_until = now + pause_s;
         self.command_unanswered_since = Some(now);
     }
 
-    /// The worker's lease is over: whatever it says of this incarnation is of the past. Nothing is
-    /// sent to the next one before it is known: when it begins, and so when its lease ends, is not.
+    /// Ends the current incarnation because the worker's lease has expired: later heartbeats of this
+    /// incarnation are stale. Nothing is sent to the next incarnation before its first heartbeat,
+    /// because its start, and so the expiry of its lease, is unknown until then.
     pub fn expire(&mut self) {
         self.incarnation = Incarnation(self.incarnation.0 + 1);
         self.sequence = HeartbeatSequence::default();
-        self.reported_sequence = HeartbeatSequence::default();
+        self.unsolicited_sequence = HeartbeatSequence::default();
         self.last_heartbeat_at = None;
     }
 }
--- a/src/service/controller/message_handler.rs
+++ b/src/service/controller/message_handler.rs
@@ -54,7 +54,7 @@
             IoOutcome::CommandsAnswered { machine, outcome } => {
                 manager.commands_answered(&machine, outcome, now);
             }
-            IoOutcome::EndsRead { ends } => manager.ends_found(ends, now),
+            IoOutcome::EndsRead { ends } => manager.final_states_found(ends, now),
             IoOutcome::MachinesRented { request, machines } => {
                 manager.machines_rented(&request, machines, now);
             }
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -193,7 +193,7 @@
         };
         let started_at = Instant::now();
         if manager.step(now) {
-            manager.cycle_took(
+            manager.record_cycle_duration(
                 started_at.elapsed().as_secs_f64(),
                 self.epoch.elapsed().as_secs_f64(),
             );
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -93,7 +93,7 @@
             Effect::JobEnded { id, state } => self.check_told_end(&id, state),
             Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
-                self.with_controller(from, |manager| manager.ends_found(ends, now));
+                self.with_controller(from, |manager| manager.final_states_found(ends, now));
             }
         }
     }
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -237,7 +237,8 @@
         let state = JobState::Cancelled;
         match &mut self.network {
             Some(network) => network.announce(now, Message::JobsEnded(id.to_string(), state)),
-            None => self.announcement_arrives(|manager| manager.job_end_recorded(id, state, now)),
+            None => self
+                .announcement_arrives(|manager| manager.job_final_state_recorded(id, state, now)),
         }
     }
 
@@ -401,7 +402,9 @@
                 manager.job_accepted(*record, version, 0, now);
             }),
             Message::JobsEnded(id, state) => {
-                self.announcement_arrives(|manager| manager.job_end_recorded(&id, state, now));
+                self.announcement_arrives(|manager| {
+                    manager.job_final_state_recorded(&id, state, now)
+                });
             }
         }
     }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -76,7 +76,8 @@
             .put(end_key(id), json!({"state": "cancelled"}))
             .put(open_key(id), record);
         self.store.commit(&txn).unwrap();
-        self.manager.job_end_recorded(id, JobState::Cancelled, now);
+        self.manager
+            .job_final_state_recorded(id, JobState::Cancelled, now);
     }
 
     /// Lets the leader decide; writes, reads and ends are carried out.
@@ -102,7 +103,7 @@
                 sought.extend(ids.iter().map(|id| id.to_string()));
                 let unread = || ids.iter().map(|id| (id.clone(), None)).collect();
                 let ends = if *reads { store.ends(&ids) } else { unread() };
-                manager.ends_found(ends, now);
+                manager.final_states_found(ends, now);
             }
             Effect::SendCommands {
                 commands: batch, ..
@@ -275,7 +276,7 @@
     leader.act(0.0);
     leader
         .manager
-        .job_end_recorded("req-1", JobState::Done, 1.0);
+        .job_final_state_recorded("req-1", JobState::Done, 1.0);
     assert!(leader.has_launched("req-2"));
     assert_eq!(leader.end("req-2"), None);
 }
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -118,7 +118,7 @@
             }
             Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
-                self.manager().ends_found(ends, now);
+                self.manager().final_states_found(ends, now);
             }
             Effect::ReturnMachines(names) => {
                 let taken = self.cloud.takes_back;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -94,7 +94,7 @@
         );
         if manager.step(now) {
             passes += 1;
-            manager.cycle_took(0.05, now);
+            manager.record_cycle_duration(0.05, now);
         }
     }
     // Two seconds, and a quarter of a second from one pass to the next.
