--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -138,14 +138,14 @@
     /// than the mean boot time.
     fn cpus_taken(&self, jobs: &[&Job]) -> f64 {
         let until = self.now + self.cluster.machine_types().mean_boot_s();
-        let own: HashSet<&JobId> = jobs.iter().map(|job| &job.id).collect();
+        let own_jobs: HashSet<&JobId> = jobs.iter().map(|job| &job.id).collect();
         let machines = self.cluster.machines();
         let suitable =
             machines.filter(|m| self.cluster.accepts_tasks(m, self.now) && may_use(jobs[0], m));
         let others = suitable.flat_map(Machine::live_allocations);
         let others = others.filter(|(id, allocation)| {
             let is_batch = !allocation.profile.is_service();
-            is_batch && !own.contains(&id.job) && allocation.predicted_end(self.now) > until
+            is_batch && !own_jobs.contains(&id.job) && allocation.predicted_end(self.now) > until
         });
         others.map(|(_, a)| a.profile.request.cpus).sum()
     }
--- a/src/coordination/autoscaling/demand/mod.rs
+++ b/src/coordination/autoscaling/demand/mod.rs
@@ -61,7 +61,7 @@
 
 impl PendingMachines {
     /// Assigns `count` tasks to these machines; returns the number of tasks that do not fit.
-    fn absorb(&mut self, request: &Resources, spot: bool, count: u32) -> u32 {
+    fn assign(&mut self, request: &Resources, spot: bool, count: u32) -> u32 {
         let mut left = count;
         for machine in self.0.iter_mut().filter(|machine| spot || !machine.spot) {
             while left > 0 && machine.free.fits(request) {
@@ -143,7 +143,7 @@
         let services = jobs.filter(|job| job.is_service() && job.is_eligible());
         let demands = services.filter_map(|job| {
             let count = self.cluster.within_quota(job, job.unplaced_count());
-            let left = pending.absorb(&job.request(), job.spec.spot, count);
+            let left = pending.assign(&job.request(), job.spec.spot, count);
             (left > 0).then(|| Demand {
                 spec: job.spec.clone(),
                 count: left,
@@ -162,7 +162,7 @@
             let on_demand = machines.filter(|m| !m.spot && self.cluster.accepts_tasks(m, self.now));
             let slots = on_demand.map(|m| self.cluster.free_resources(m).slots(&request));
             let count = expected.count.saturating_sub(slots.sum());
-            let left = pending.absorb(&request, false, count);
+            let left = pending.assign(&request, false, count);
             let spec = self.cluster.service_arrivals().spec_with_request(&request);
             if let (Some(spec), true) = (spec, left > 0) {
                 demands.push(Demand {
@@ -188,7 +188,7 @@
     fn overdue_demand(&self, job: &Job, pending: &mut PendingMachines) -> Option<Demand> {
         let tasks = if job.is_gang() { job.spec.tasks } else { 1 };
         let count = self.cluster.within_quota(job, tasks);
-        let left = pending.absorb(&job.request(), job.spec.spot, count);
+        let left = pending.assign(&job.request(), job.spec.spot, count);
         (left > 0).then(|| Demand {
             spec: job.spec.clone(),
             count: left,
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -120,8 +120,8 @@
             machine_type.price
         };
         let is_idle = now - machine.idle_since > idle_share * machine_type.boot_s;
-        let min_charge_is_used = now - machine.rented_at > MIN_CHARGE_S;
-        (is_idle && min_charge_is_used).then_some(IdleMachine { machine, price })
+        let past_min_charge = now - machine.rented_at > MIN_CHARGE_S;
+        (is_idle && past_min_charge).then_some(IdleMachine { machine, price })
     });
     idle.collect()
 }
@@ -155,8 +155,8 @@
 }
 
 /// Free processors beyond the requests of expected replicas and of the jobs that wait for machines like
-/// this one. A waiting job as such prevents_return no machine, because with many jobs one is always waiting
-/// briefly. Nor does a job whose tasks do not fit on such a machine.
+/// this one. The mere presence of waiting jobs does not prevent a return, because with many jobs one is
+/// always waiting briefly. Jobs whose tasks do not fit on such a machine do not count either.
 fn surplus(
     cluster: &ClusterState,
     free: FreeCpus,
@@ -306,9 +306,9 @@
 
     /// Whether a target may receive a replica of a job from a machine.
     fn accepts_replica(&self, target: usize, job: &Job, machine: &Machine) -> bool {
-        let has_zone_rule = job.spec.one_zone || job.spec.spread;
+        let has_zone_constraint = job.spec.one_zone || job.spec.spread;
         let target_machine = self.targets[target];
-        (!has_zone_rule || target_machine.zone == machine.zone)
+        (!has_zone_constraint || target_machine.zone == machine.zone)
             && may_use(job, target_machine)
             && target_machine.images.contains(&job.spec.image)
             && self.is_available_target(target, machine)
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -26,7 +26,7 @@
         while left > 0 {
             let best = self.cheapest_offer(cluster.machine_types(), demand, left, &tried);
             let Some(best) = best else {
-                debug!(job = %demand.spec.id, tasks = left, "no machines are available");
+                debug!(job = %demand.spec.id, tasks = left, "no suitable machines are available to rent");
                 return;
             };
             let count = left.div_ceil(best.slots).min(MAX_RENTED);
@@ -78,12 +78,14 @@
             }
             let zones = machine_type.zones.iter();
             let zones = zones.filter(|zone| spec.zone.as_ref().is_none_or(|z| z == *zone));
-            let kinds: &[bool] = if demand.spot {
+            let spot_options: &[bool] = if demand.spot {
                 &[true, false]
             } else {
                 &[false]
             };
-            for (zone, spot) in zones.flat_map(|zone| kinds.iter().map(move |spot| (zone, *spot))) {
+            for (zone, spot) in
+                zones.flat_map(|zone| spot_options.iter().map(move |spot| (zone, *spot)))
+            {
                 let offer = Offer::new(&machine_type.name, zone, spot);
                 if !self.is_available(&offer) || tried.contains(&offer) {
                     continue;
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -45,8 +45,8 @@
     /// A task has completed on a machine.
     pub(super) fn task_succeeded_on(&mut self, name: &MachineName, image: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.failures.jobs_failed_here.clear();
-            machine.failures.jobs_completed_elsewhere.clear();
+            machine.failures.failed_jobs.clear();
+            machine.failures.completed_elsewhere.clear();
             machine.images.insert(image.to_string());
         }
     }
@@ -63,7 +63,7 @@
     ) {
         let report_s = self.settings.cluster.workers.report_s;
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.failures.jobs_failed_here.insert(id.clone());
+            machine.failures.failed_jobs.insert(id.clone());
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -103,8 +103,8 @@
                 continue;
             };
             let failures = &mut machine.failures;
-            failures.jobs_completed_elsewhere.insert(id.clone());
-            let jobs = failures.jobs_completed_elsewhere.len();
+            failures.completed_elsewhere.insert(id.clone());
+            let jobs = failures.completed_elsewhere.len();
             if jobs >= FAULTY_MACHINE_JOBS && !failures.quarantined {
                 warn!(machine = %name, jobs, "machine quarantined, tasks of several jobs failed");
                 failures.quarantined = true;
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// The leader's manager of the cluster.
+/// Runs scheduling, autoscaling and maintenance of the cluster for the leader.
 pub struct ClusterManager {
     cluster: ClusterState,
     autoscaler: Autoscaler,
--- a/src/coordination/prediction.rs
+++ b/src/coordination/prediction.rs
@@ -1,4 +1,4 @@
-//! Run times predicted by regression, as in section 4 of the paper.
+//! Predicts run times by regression, as in section 4 of the paper.
 //!
 //! The model is a polynomial of degree 2 over a few features. It is learned online by Normalized
 //! Adaptive Gradient descent with an l2 penalty, so that features need not be scaled. The loss is the
--- a/src/coordination/scheduling/backfill.rs
+++ b/src/coordination/scheduling/backfill.rs
@@ -15,7 +15,7 @@
 
 /// The free resources of a machine, now and at the predicted ends of its tasks.
 pub struct FutureResources {
-    /// The machine's position in the cycle.
+    /// The machine's index in the cycle.
     pub machine: usize,
     /// The resources that are free now.
     pub free: Resources,
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -180,8 +180,8 @@
         failure_penalty_s(job, self.machines[i].machine) + self.fetch_s(job, i)
     }
 
-    /// During a mass failure, the time until the next heartbeat is due, in seconds, for a machine without
-    /// a heartbeat since the failure began: that machine may have failed too.
+    /// The penalty, during a mass failure, for a machine without a heartbeat since the failure began, which
+    /// may have failed too: one heartbeat interval, after which a heartbeat would have shown that.
     pub(super) fn stale_heartbeat_penalty_s(&self, i: usize) -> f64 {
         let report_s = self.cluster.settings().cluster.workers.report_s;
         let last_heartbeat_at = self.machines[i].machine.worker.last_heartbeat_at();
@@ -233,7 +233,7 @@
 pub(super) fn failure_penalty_s(job: &Job, machine: &Machine) -> f64 {
     if job.failed_on.contains_key(&machine.name) {
         FAILED_PENALTY_S
-    } else if machine.failures.jobs_failed_here.len() >= SUSPECT_JOBS {
+    } else if machine.failures.failed_jobs.len() >= SUSPECT_JOBS {
         SUSPECT_PENALTY_S
     } else {
         0.0
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -181,8 +181,8 @@
         now: Time,
     ) -> Option<AllocationRef> {
         let allocations = &mut self.tasks.get_mut(task as usize)?.allocations;
-        let held = |a: &AllocationRef| a.machine == *machine && a.attempt == attempt;
-        let position = allocations.iter().position(held)?;
+        let matches = |a: &AllocationRef| a.machine == *machine && a.attempt == attempt;
+        let position = allocations.iter().position(matches)?;
         let released = allocations.swap_remove(position);
         self.allocated -= 1;
         self.last_released_at = Some(now);
@@ -199,9 +199,9 @@
         attempt: u64,
         placement_record: usize,
     ) {
-        let held = |a: &&mut AllocationRef| a.machine == *machine && a.attempt == attempt;
+        let matches = |a: &&mut AllocationRef| a.machine == *machine && a.attempt == attempt;
         let task = self.tasks.get_mut(task as usize);
-        let allocation = task.and_then(|t| t.allocations.iter_mut().find(held));
+        let allocation = task.and_then(|t| t.allocations.iter_mut().find(matches));
         if let Some(allocation) = allocation {
             allocation.placement_record = placement_record;
         }
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -17,7 +17,7 @@
 pub enum MachinePhase {
     /// Rented; no heartbeat has been received yet.
     Booting,
-    /// Its worker has sent heartbeats.
+    /// The machine's worker has sent heartbeats.
     Up,
     /// The machine is being returned; it is gone once the cloud has confirmed the return with a 200.
     Returning,
@@ -27,9 +27,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct FailureHistory {
     /// Jobs whose tasks have failed on this machine since a task last completed on it.
-    pub jobs_failed_here: BTreeSet<JobId>,
-    /// The jobs in `jobs_failed_here` that have since completed tasks on other machines.
-    pub jobs_completed_elsewhere: BTreeSet<JobId>,
+    pub failed_jobs: BTreeSet<JobId>,
+    /// The jobs in `failed_jobs` that have since completed tasks on other machines.
+    pub completed_elsewhere: BTreeSet<JobId>,
     /// Whether the machine is considered faulty and gets no new tasks.
     pub quarantined: bool,
 }
--- a/src/coordination/state/placement_record.rs
+++ b/src/coordination/state/placement_record.rs
@@ -70,12 +70,12 @@
 
     /// Removes a placement; returns whether the record contained it.
     pub fn remove(&mut self, placement: &Placement) -> bool {
-        let held = self.placements.remove(placement);
+        let removed = self.placements.remove(placement);
         self.pending.remove(placement);
-        if held {
+        if removed {
             self.bytes -= self.bytes_for(placement);
         }
-        held
+        removed
     }
 
     /// Marks a placement as pending: its launch waits until this record is written.
