--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -43,7 +43,7 @@
 }
 
 impl WaitingJob<'_> {
-    /// Whether the job prevents the machine's return: a job that may use only some machines prevents_return all of
+    /// Whether the job prevents the machine's return: a job that may use only some machines keeps all of
     /// these.
     fn prevents_return(&self, machine: &Machine) -> bool {
         let spec = &self.job.spec;
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -305,8 +305,8 @@
         self.cluster.cancel(id, now);
     }
 
-    /// Handles that a controller has read the recorded final state of a job.
-    pub fn job_final_state_recorded(&mut self, id: &str, state: JobState, now: Time) {
+    /// Handles the recorded final state of a job, which some controller has read.
+    pub fn job_finished(&mut self, id: &str, state: JobState, now: Time) {
         self.cluster.job_end_recorded(id, state, now);
     }
 
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -35,9 +35,7 @@
         let mut unknown = Vec::new();
         for id in ids {
             match (self.recorded_ends.get(&id).copied(), &mut self.role) {
-                (Some(state), Role::Leading(manager)) => {
-                    manager.job_final_state_recorded(&id, state, now)
-                }
+                (Some(state), Role::Leading(manager)) => manager.job_finished(&id, state, now),
                 _ => unknown.push(id),
             }
         }
--- a/src/service/controller/jobs.rs
+++ b/src/service/controller/jobs.rs
@@ -58,7 +58,7 @@
         let now = self.now();
         self.recorded_ends.insert(id, state);
         if let Some(manager) = self.role.manager_mut() {
-            manager.job_final_state_recorded(id, state, now);
+            manager.job_finished(id, state, now);
         }
     }
 }
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -137,7 +137,7 @@
     let (mut manager, attempts) = running_on_one();
     manager.commands_answered(&"m-1".into(), CommandOutcome::Unknown, 1.0);
     manager.set_lease_valid_until(1.0);
-    manager.job_final_state_recorded("req-1", JobState::Cancelled, 8.0);
+    manager.job_finished("req-1", JobState::Cancelled, 8.0);
     manager.step(8.0);
     let mut stopped = Vec::new();
     for effect in manager.take_effects() {
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -64,8 +64,7 @@
                 continue;
             };
             for job in &answer.page.jobs {
-                self.manager
-                    .job_final_state_recorded(job, JobState::Cancelled, now);
+                self.manager.job_finished(job, JobState::Cancelled, now);
             }
             self.evidence.peer_answered(&answer);
         }
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -237,8 +237,7 @@
         let state = JobState::Cancelled;
         match &mut self.network {
             Some(network) => network.announce(now, Message::JobsEnded(id.to_string(), state)),
-            None => self
-                .announcement_arrives(|manager| manager.job_final_state_recorded(id, state, now)),
+            None => self.announcement_arrives(|manager| manager.job_finished(id, state, now)),
         }
     }
 
@@ -402,9 +401,7 @@
                 manager.job_accepted(*record, version, 0, now);
             }),
             Message::JobsEnded(id, state) => {
-                self.announcement_arrives(|manager| {
-                    manager.job_final_state_recorded(&id, state, now)
-                });
+                self.announcement_arrives(|manager| manager.job_finished(&id, state, now));
             }
         }
     }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -76,8 +76,7 @@
             .put(end_key(id), json!({"state": "cancelled"}))
             .put(open_key(id), record);
         self.store.commit(&txn).unwrap();
-        self.manager
-            .job_final_state_recorded(id, JobState::Cancelled, now);
+        self.manager.job_finished(id, JobState::Cancelled, now);
     }
 
     /// Lets the leader decide; writes, reads and ends are carried out.
@@ -274,9 +273,7 @@
         .insert(end_key("req-1"), (json!({"state": "done"}), 1));
     leader.heartbeat(1, &[], 0.0);
     leader.act(0.0);
-    leader
-        .manager
-        .job_final_state_recorded("req-1", JobState::Done, 1.0);
+    leader.manager.job_finished("req-1", JobState::Done, 1.0);
     assert!(leader.has_launched("req-2"));
     assert_eq!(leader.end("req-2"), None);
 }
