--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -86,17 +86,17 @@
             // Jobs that may use every machine are part of the overall demand below.
             if suitable.clone().count() < supply.len() {
                 let cpus: f64 = suitable.map(|s| s.for_batches.cpus).sum();
-                let have = cpus - self.cpus_taken(jobs);
+                let available_cpus = cpus - self.cpus_used_by_others(jobs);
                 let backlog = Backlog::new(&running, RestrictedGroups::default());
-                let shortage = self.shortage(jobs, have, backlog);
+                let shortage = self.shortage(jobs, available_cpus, backlog);
                 groups.add(jobs, cpus + shortage.as_ref().map_or(0.0, Demand::cpus));
                 demands.extend(shortage);
             }
         }
-        let wanted = demands.iter().map(Demand::cpus);
-        let have = supply.iter().map(|s| s.for_batches.cpus).chain(wanted);
+        let demanded = demands.iter().map(Demand::cpus);
+        let available_cpus = supply.iter().map(|s| s.for_batches.cpus).chain(demanded);
         let backlog = Backlog::new(&running, groups);
-        demands.extend(self.shortage(&batches, have.sum(), backlog));
+        demands.extend(self.shortage(&batches, available_cpus.sum(), backlog));
         demands
     }
 
@@ -136,7 +136,7 @@
 
     /// The number of processors, on machines that these jobs may use, that other batches use for longer
     /// than the mean boot time.
-    fn cpus_taken(&self, jobs: &[&Job]) -> f64 {
+    fn cpus_used_by_others(&self, jobs: &[&Job]) -> f64 {
         let until = self.now + self.cluster.machine_types().mean_boot_s();
         let own_jobs: HashSet<&JobId> = jobs.iter().map(|job| &job.id).collect();
         let machines = self.cluster.machines();
@@ -150,9 +150,9 @@
         others.map(|(_, a)| a.profile.request.cpus).sum()
     }
 
-    /// The largest shortage of processors over the jobs in queue order, given `have` processors. New
+    /// The largest shortage of processors over the jobs in queue order, given `available_cpus`. New
     /// machines contribute only after they have booted, and work done until then needs no new machine.
-    fn shortage(&self, jobs: &[&Job], have: f64, mut backlog: Backlog) -> Option<Demand> {
+    fn shortage(&self, jobs: &[&Job], available_cpus: f64, mut backlog: Backlog) -> Option<Demand> {
         let boot_s = self.cluster.machine_types().mean_boot_s();
         let mut largest: Option<(f64, &Job)> = None;
         for job in jobs {
@@ -162,7 +162,8 @@
             }
             let min_s = boot_s + job.predicted_s;
             let within_s = self.horizon_s(job).max(min_s);
-            let cpus = (backlog.work_within(within_s) - have * within_s) / (within_s - boot_s);
+            let cpus =
+                (backlog.work_within(within_s) - available_cpus * within_s) / (within_s - boot_s);
             if cpus > 0.0 && largest.is_none_or(|(most, _)| cpus > most) {
                 largest = Some((cpus, job));
             }
--- a/src/coordination/autoscaling/demand/gangs.rs
+++ b/src/coordination/autoscaling/demand/gangs.rs
@@ -33,10 +33,10 @@
         } else if job.spec.spread {
             self.shortages_by_zone(job, slots)
         } else {
-            let have = slots.values().sum();
+            let available_slots = slots.values().sum();
             vec![GangShortage {
                 zone: None,
-                count: job.spec.tasks.saturating_sub(have),
+                count: job.spec.tasks.saturating_sub(available_slots),
             }]
         };
         let shortages = shortages.into_iter().filter(|shortage| shortage.count > 0);
@@ -64,10 +64,10 @@
         slots: &BTreeMap<&str, u32>,
     ) -> Option<GangShortage<'b>> {
         let zone = self.zone_for(job, slots)?;
-        let have = slots.get(zone).copied().unwrap_or(0);
+        let available_slots = slots.get(zone).copied().unwrap_or(0);
         Some(GangShortage {
             zone: Some(zone),
-            count: job.spec.tasks.saturating_sub(have),
+            count: job.spec.tasks.saturating_sub(available_slots),
         })
     }
 
@@ -80,8 +80,8 @@
     ) -> Vec<GangShortage<'b>> {
         let max_per_zone = job.max_per_zone();
         let usable = |zone: &str| slots.get(zone).map_or(0, |n| (*n).min(max_per_zone));
-        let have: u32 = slots.keys().map(|zone| usable(zone)).sum();
-        let mut left = job.spec.tasks.saturating_sub(have);
+        let available_slots: u32 = slots.keys().map(|zone| usable(zone)).sum();
+        let mut left = job.spec.tasks.saturating_sub(available_slots);
         let offers = self.offers(&job.spec);
         let available = offers.filter(|(t, zone)| self.is_available(&job.spec, t, zone));
         let zones: BTreeSet<&str> = available.map(|(_, zone)| zone).collect();
--- a/src/coordination/autoscaling/demand/supply.rs
+++ b/src/coordination/autoscaling/demand/supply.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// The choice of machines that a job has.
+/// The set of machines that a group of jobs may use.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineChoice<'a> {
     machine_types: Vec<&'a str>,
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// A waiting job, and the processors that its tasks request.
+/// A waiting job, and the processors that its startable tasks request.
 struct WaitingJob<'a> {
     job: &'a Job,
     cpus: f64,
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -77,7 +77,7 @@
     timing: CycleTiming,
 }
 
-/// Progress with time.
+/// Periodic work.
 impl ClusterManager {
     /// The manager of a leader that was elected with this fencing token, before it has read any record.
     pub fn new(settings: Arc<Settings>, token: FencingToken, now: Time) -> ClusterManager {
--- a/src/coordination/scheduling/placement/arrays.rs
+++ b/src/coordination/scheduling/placement/arrays.rs
@@ -77,7 +77,7 @@
             return Err(Blocked::Policy);
         }
         let request = job.request();
-        // Larger requests than one that fitted nowhere need not be tried.
+        // A job that requests at least as much as a rejected request need not be tried.
         if self
             .rejected_requests
             .iter()
@@ -87,10 +87,10 @@
         }
         let allowed: Vec<usize> = self.allowed(job).collect();
         self.count_examined(allowed.len());
-        let with_room = allowed
+        let with_capacity = allowed
             .into_iter()
             .filter(|i| self.machines[*i].free_for_batches().fits(&request));
-        let candidates = with_room.map(|i| {
+        let candidates = with_capacity.map(|i| {
             let fill_order_s = FILL_ORDER_PENALTY_S * self.machines[i].fill_rank;
             Reverse(ArrayCandidate {
                 cost_s: self.delay_s(job, i) + fill_order_s,
--- a/src/coordination/state/worker_session.rs
+++ b/src/coordination/state/worker_session.rs
@@ -119,7 +119,7 @@
         self.incarnation != Incarnation::default() && heartbeat.incarnation > self.incarnation
     }
 
-    /// Applies a newer heartbeat, which was unsolicited (`is_unsolicited`) or the response to a command.
+    /// Applies a newer heartbeat: an unsolicited one (`is_unsolicited`) or the response to a command.
     pub fn apply(&mut self, heartbeat: &Heartbeat, is_unsolicited: bool, lease_s: f64, now: Time) {
         if self.begins_incarnation(heartbeat) {
             // The worker's lease expired although the leader responded to its heartbeats: the responses
