--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -26,7 +26,11 @@
         while left > 0 {
             let best = self.cheapest_offer(cluster.machine_types(), demand, left, &tried);
             let Some(best) = best else {
-                debug!(job = %demand.spec.id, tasks = left, "no suitable machines are available to rent");
+                debug!(
+                    job = %demand.spec.id,
+                    tasks = left,
+                    "no suitable machines are available to rent"
+                );
                 return;
             };
             let count = left.div_ceil(best.slots).min(MAX_RENTED);
--- a/src/coordination/scheduling/head_reservation.rs
+++ b/src/coordination/scheduling/head_reservation.rs
@@ -46,7 +46,11 @@
     };
     if let Some(reservation) = &found {
         let start_s = reservation.at - cycle.now;
-        debug!(job = %job.id, start_s = format_args!("{start_s:.0}"), "reserving machines for a blocked job");
+        debug!(
+            job = %job.id,
+            start_s = format_args!("{start_s:.0}"),
+            "reserving machines for a blocked job"
+        );
     }
     found
 }
