--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -8,7 +8,7 @@
 
 /// The share of the time until a job is due in which its work should be done.
 const HORIZON_SHARE: f64 = 0.5;
-/// The time for a job that is not due at any time, as a multiple of its predicted run time.
+/// The time horizon of a job without deadline and objective, as a multiple of its predicted run time.
 const NOT_DUE_FACTOR: f64 = 2.0;
 
 /// Jobs that may use only some machines, grouped by their choice of machines.
--- a/src/coordination/scheduling/deadlines.rs
+++ b/src/coordination/scheduling/deadlines.rs
@@ -1,7 +1,7 @@
 //! Determines which deadlines can still be met.
 //!
 //! Under overload, running jobs in the order of their deadlines would make all of them slightly late.
-//! So the largest of the jobs that cannot all be on time are dropped (Moore's algorithm), which
+//! So the largest of the jobs that cannot all be on time count as infeasible (Moore's algorithm). That
 //! minimizes the number of late jobs if each job needs all machines, as large arrays nearly do.
 
 use crate::coordination::Time;
