--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -3,7 +3,7 @@
 use super::heartbeat_monitor::MachineSurvey;
 use super::{ClusterState, Effect, CLOCK_DRIFT};
 use crate::coordination::state::{
-    AllocationId, JobId, Machine, MachineName, MachinePhase, MAX_WAIT_WITH_ROOM_S,
+    AllocationId, JobId, Machine, MachineName, MachinePhase, MAX_WAIT_WITH_CAPACITY_S,
 };
 use crate::coordination::Time;
 use crate::protocol::cloud::MAX_RETURNED;
@@ -47,8 +47,8 @@
     /// Notes that a task has completed on a machine.
     pub(super) fn task_succeeded_on(&mut self, name: &MachineName, image: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.failures.jobs_failed_here.clear();
-            machine.failures.jobs_completed_elsewhere.clear();
+            machine.failures.failed_jobs.clear();
+            machine.failures.completed_elsewhere.clear();
             machine.images.insert(image.to_string());
         }
     }
@@ -66,7 +66,7 @@
     ) {
         let report_s = self.settings.cluster.workers.report_s;
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.failures.jobs_failed_here.insert(id.clone());
+            machine.failures.failed_jobs.insert(id.clone());
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -78,7 +78,7 @@
             job.consecutive_failures += 1;
             let doublings = job.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
             let pause_s = report_s * f64::from(1 << doublings);
-            let pause_s = pause_s.min(MAX_PAUSE_SHARE * MAX_WAIT_WITH_ROOM_S);
+            let pause_s = pause_s.min(MAX_PAUSE_SHARE * MAX_WAIT_WITH_CAPACITY_S);
             job.retry_at = now + pause_s;
             // The pause counts as waiting while resources are free, so that it does not add to a wait
             // for a reservation that follows.
@@ -108,8 +108,8 @@
                 continue;
             };
             let failures = &mut machine.failures;
-            failures.jobs_completed_elsewhere.insert(id.clone());
-            let jobs = failures.jobs_completed_elsewhere.len();
+            failures.completed_elsewhere.insert(id.clone());
+            let jobs = failures.completed_elsewhere.len();
             if jobs >= FAULTY_MACHINE_JOBS && !failures.quarantined {
                 warn!(machine = %name, jobs, "machine quarantined, tasks of several jobs failed on it");
                 failures.quarantined = true;
@@ -322,7 +322,7 @@
         };
         let is_ready = |machine: &&Machine| {
             let worker = &machine.worker;
-            let is_idle = !worker.commands_in_flight() && worker.takes_commands(now);
+            let is_idle = !worker.commands_in_flight() && worker.accepts_commands(now);
             is_idle && machine.endpoint.is_some()
         };
         let machines = || self.machines.values();
--- a/src/coordination/cluster/placement_records.rs
+++ b/src/coordination/cluster/placement_records.rs
@@ -159,7 +159,7 @@
     /// Notes that a placement has moved from one record to another. The old record is not rewritten
     /// until the new one is stored, so that the placement is always on record.
     pub(super) fn moved(&mut self, from: usize, to: usize, now: Time) {
-        self.records[from].shrinks_after.insert(to);
+        self.records[from].pending_move_targets.insert(to);
         self.shrinking.insert(from);
         self.records[from].dirty_since.get_or_insert(now);
     }
@@ -235,8 +235,8 @@
         self.records[record].version = version;
         let records = &mut self.records;
         self.shrinking.retain(|number| {
-            records[*number].shrinks_after.remove(&record);
-            !records[*number].shrinks_after.is_empty()
+            records[*number].pending_move_targets.remove(&record);
+            !records[*number].pending_move_targets.is_empty()
         });
         for placement in &sent.pending {
             self.records[record].mark_stored(placement);
--- a/src/coordination/cluster/starvation.rs
+++ b/src/coordination/cluster/starvation.rs
@@ -1,7 +1,7 @@
 //! Jobs that only the reservation of the queue's head, or a pause after failures, keeps from free
 //! resources.
 
-use crate::coordination::state::{JobId, MAX_WAIT_WITH_ROOM_S};
+use crate::coordination::state::{JobId, MAX_WAIT_WITH_CAPACITY_S};
 use crate::coordination::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,6 +40,6 @@
     /// Predictions may be wrong indefinitely, and no job may wait long while resources are free.
     pub(crate) fn is_starved(&self, job: &JobId, now: Time) -> bool {
         let since = self.since.get(job);
-        since.is_some_and(|since| now - since > STARVED_SHARE * MAX_WAIT_WITH_ROOM_S)
+        since.is_some_and(|since| now - since > STARVED_SHARE * MAX_WAIT_WITH_CAPACITY_S)
     }
 }
--- a/src/coordination/cluster/writes/final_states.rs
+++ b/src/coordination/cluster/writes/final_states.rs
@@ -36,7 +36,7 @@
         };
         let at_ms = self.clock.wall_ms(now);
         let job = self.jobs.get_mut(&finished.job);
-        let Some(job) = job.filter(|job| job.is_finished()) else {
+        let Some(job) = job.filter(|job| job.needs_final_state()) else {
             self.finished_jobs.remove(&finished);
             return true;
         };
@@ -48,7 +48,7 @@
         if !self.writes.spend(operations, now) {
             return false;
         }
-        job.end_in_flight = true;
+        job.final_state_in_flight = true;
         let record = (!job.cancelled).then(|| FinalStateRecord {
             state: final_state(job),
             at_ms: Some(at_ms),
@@ -77,7 +77,7 @@
     /// Applies the outcome of the write of a final state.
     pub(super) fn final_state_written(&mut self, id: &JobId, applied: Option<u64>, now: Time) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.end_in_flight = false;
+            job.final_state_in_flight = false;
             self.mark_finished(id);
         }
         if applied.is_some() {
@@ -88,10 +88,14 @@
     /// Handles a job whose final state is on record. Allocations that may still exist, such as a
     /// duplicate of a task that completed elsewhere, count until they are proven gone.
     pub(super) fn finish_job(&mut self, id: &JobId, now: Time) {
-        let Some(job) = self.jobs.get_mut(id).filter(|job| !job.end_recorded) else {
+        let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| !job.final_state_recorded)
+        else {
             return;
         };
-        job.end_recorded = true;
+        job.final_state_recorded = true;
         let user_was_notified = job.cancelled;
         job.cancelled |= job.dependency_cancelled;
         let state = final_state(job);
@@ -122,7 +126,7 @@
     /// Drops a job whose final state is recorded once no machine may hold any of its tasks.
     pub(crate) fn drop_finished_job(&mut self, id: &JobId) {
         let job = self.jobs.get(id);
-        if job.is_some_and(|job| job.end_recorded && job.allocated() == 0) {
+        if job.is_some_and(|job| job.final_state_recorded && job.allocated() == 0) {
             self.jobs.remove(id);
         }
     }
@@ -130,7 +134,7 @@
 
 fn has_write_in_flight(job: &Job) -> bool {
     let mut completions = job.completion_records.iter();
-    job.end_in_flight || completions.any(|record| record.in_flight)
+    job.final_state_in_flight || completions.any(|record| record.in_flight)
 }
 
 fn log_completion(job: &Job, now: Time) {
