--- a/src/service/cloud_client.rs
+++ b/src/service/cloud_client.rs
@@ -57,7 +57,9 @@
                     warn!(request = %rent.idempotency_key, %reason, "cloud rejected a rental");
                     return Some(Vec::new());
                 }
-                answer => debug!(request = %rent.idempotency_key, ?answer, "attempt at a rental failed"),
+                answer => {
+                    debug!(request = %rent.idempotency_key, ?answer, "attempt at a rental failed")
+                }
             }
             back_off(attempt);
         }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -286,7 +286,9 @@
         connections: settings.api_connections(),
         workers: settings.worker_connections(),
         users: settings.user_connections(),
-        idle_timeout: Duration::from_secs_f64((IDLE_TIMEOUT_HEARTBEATS * report_s).max(MIN_IDLE_TIMEOUT_S)),
+        idle_timeout: Duration::from_secs_f64(
+            (IDLE_TIMEOUT_HEARTBEATS * report_s).max(MIN_IDLE_TIMEOUT_S),
+        ),
         body_timeout: BODY_TIMEOUT,
     }
 }
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -167,7 +167,9 @@
                     let answer = execute_store_call(&self.store, call);
                     effects.extend(self.batcher.on_answer(answer, self.now()));
                 }
-                PollEffect::FinalStatesRecorded(states) => self.final_state_notifier.publish(states),
+                PollEffect::FinalStatesRecorded(states) => {
+                    self.final_state_notifier.publish(states)
+                }
                 PollEffect::Answer(number, answer) => {
                     if let Some(poll) = self.pending.remove(&number) {
                         (poll.respond)(reply_to_user(answer));
