--- a/src/service/cloud_client.rs
+++ b/src/service/cloud_client.rs
@@ -58,7 +58,7 @@
                     return Some(Vec::new());
                 }
                 answer => {
-                    debug!(request = %rent.idempotency_key, ?answer, "attempt at a rental failed")
+                    debug!(request = %rent.idempotency_key, ?answer, "attempt at a rental failed");
                 }
             }
             back_off(attempt);
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -168,7 +168,7 @@
                     effects.extend(self.batcher.on_answer(answer, self.now()));
                 }
                 PollEffect::FinalStatesRecorded(states) => {
-                    self.final_state_notifier.publish(states)
+                    self.final_state_notifier.publish(states);
                 }
                 PollEffect::Answer(number, answer) => {
                     if let Some(poll) = self.pending.remove(&number) {
