--- a/crates/upgrade/src/fence.rs
+++ b/crates/upgrade/src/fence.rs
@@ -1,45 +1,46 @@
-//! The write fence: what a controller may write, and when it must withdraw.
+//! The write fence: which formats a controller may write, and when it must withdraw.
 //!
-//! Every transaction compares the stamp of the version record with the one that the controller has last
-//! read. So nothing is written in an old format after a new version was activated that the writer does
-//! not know of: the transaction fails, and the record is read again. A compare does not count towards
-//! the state service's limit on changes.
+//! Every transaction compares the `mod_revision` of the version record with the one that the controller
+//! read last. A controller that has not yet seen a newly activated version therefore cannot write in an
+//! old format: its transaction fails, and it reads the record again. A compare does not count towards the
+//! state service's limit on changes.
 
 use crate::gate::FeatureGates;
 use crate::records::VersionRecord;
 use crate::version::{ClusterVersion, VersionRange};
 use std::fmt;
 
-/// The version record as a controller has last read it.
+/// The version record as a controller read it last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fence {
     /// The versions that the controller's release supports.
     supported: VersionRange,
     active: ClusterVersion,
-    stamp: u64,
+    mod_revision: u64,
 }
 
 impl Fence {
-    /// The fence of a controller that supports these versions and has read this record.
-    pub fn new(supported: VersionRange, record: &VersionRecord, stamp: u64) -> Fence {
+    /// The fence of a controller that supports the versions `supported` and has read `record`.
+    pub fn new(supported: VersionRange, record: &VersionRecord, mod_revision: u64) -> Fence {
         Fence {
             supported,
             active: record.active,
-            stamp,
+            mod_revision,
         }
     }
 
-    /// Applies a record that was read; an older one than the last, by its stamp, is ignored.
-    pub fn read(&mut self, record: &VersionRecord, stamp: u64) {
-        if stamp > self.stamp {
+    /// Applies a version record that was read. A record with a lower `mod_revision` than the last one is
+    /// stale and ignored.
+    pub fn apply(&mut self, record: &VersionRecord, mod_revision: u64) {
+        if mod_revision > self.mod_revision {
             self.active = record.active;
-            self.stamp = stamp;
+            self.mod_revision = mod_revision;
         }
     }
 
-    /// The stamp that transactions compare; 0 while there is no version record.
-    pub fn stamp(&self) -> u64 {
-        self.stamp
+    /// The `mod_revision` that transactions compare; 0 while there is no version record.
+    pub fn mod_revision(&self) -> u64 {
+        self.mod_revision
     }
 
     /// The active version.
@@ -48,7 +49,7 @@
     }
 
     /// Whether the controller's release does not support the active version. The controller must then
-    /// step down, renew no worker's lease and serve no user.
+    /// step down, stop renewing workers' leases and reject users' requests.
     pub fn must_withdraw(&self) -> bool {
         !self.supported.contains(self.active)
     }
@@ -59,10 +60,10 @@
     }
 }
 
-/// What a controller knows of the active version, which decides what it may write.
+/// What a controller knows about the active version. This decides what it may write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFence {
-    /// Upgrades are not staged here.
+    /// Staged upgrades are disabled on this controller.
     Unstaged,
     /// The version record has not been read yet.
     Unread,
@@ -70,12 +71,12 @@
     Read(Fence),
 }
 
-/// Why a controller must not serve. Shown to users as the reason.
+/// Why a controller must not serve. Users get it as the reason when a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The version record has not been read yet.
     VersionUnread,
-    /// The active version is this one, which the controller's release does not support.
+    /// The controller's release does not support this active version.
     Withdrawn(ClusterVersion),
 }
 
@@ -85,17 +86,17 @@
             Refusal::VersionUnread => write!(out, "the cluster version is not known yet"),
             Refusal::Withdrawn(active) => write!(
                 out,
-                "the cluster is at version {active}, which this release does not work at"
+                "the cluster is at version {active}, which this release does not support"
             ),
         }
     }
 }
 
 impl WriteFence {
-    /// The stamp that transactions must compare, if any.
-    pub fn stamp(&self) -> Option<u64> {
+    /// The `mod_revision` that transactions must compare, if any.
+    pub fn mod_revision(&self) -> Option<u64> {
         match self {
-            WriteFence::Read(fence) => Some(fence.stamp()),
+            WriteFence::Read(fence) => Some(fence.mod_revision()),
             WriteFence::Unstaged | WriteFence::Unread => None,
         }
     }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Why the controller must neither lead nor serve users now; `None` if it may.
+    /// Why the controller may neither lead nor serve users at present; `None` if it may.
     pub fn refusal(&self) -> Option<Refusal> {
         match self {
             WriteFence::Unstaged => None,
@@ -120,18 +121,20 @@
         }
     }
 
-    /// Whether the controller must withdraw for good: the active version never decreases.
+    /// Whether the controller must withdraw. This is permanent, as the active version never decreases.
     pub fn must_withdraw(&self) -> bool {
         matches!(self.refusal(), Some(Refusal::Withdrawn(_)))
     }
 
-    /// Applies a version record that was read, with its stamp; does nothing where upgrades are not
-    /// staged. An older record than the last, by its stamp, is ignored.
-    pub fn read(&mut self, supported: VersionRange, record: &VersionRecord, stamp: u64) {
+    /// Applies a version record that was read; does nothing if staged upgrades are disabled. A record
+    /// with a lower `mod_revision` than the last one is stale and ignored.
+    pub fn apply(&mut self, supported: VersionRange, record: &VersionRecord, mod_revision: u64) {
         match self {
             WriteFence::Unstaged => {}
-            WriteFence::Unread => *self = WriteFence::Read(Fence::new(supported, record, stamp)),
-            WriteFence::Read(fence) => fence.read(record, stamp),
+            WriteFence::Unread => {
+                *self = WriteFence::Read(Fence::new(supported, record, mod_revision))
+            }
+            WriteFence::Read(fence) => fence.apply(record, mod_revision),
         }
     }
 }
--- a/crates/upgrade/src/gate.rs
+++ b/crates/upgrade/src/gate.rs
@@ -1,9 +1,9 @@
-//! Feature gates: what a cluster may do only from a certain version on.
+//! Feature gates: features that are off until the cluster reaches a certain version.
 
 use crate::version::ClusterVersion;
 
-/// A feature that releases without it would misread or refuse, so that it is off until the cluster
-/// version that introduces it is active.
+/// A feature that older releases would misread or reject. It is off until the cluster version that
+/// introduces it is active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeatureGate {
     /// Jobs that depend on other jobs (`waits_on`) are accepted.
@@ -11,7 +11,7 @@
 }
 
 impl FeatureGate {
-    /// The cluster version from which on the gate is open.
+    /// The first cluster version at which the gate is open.
     pub fn min_version(self) -> ClusterVersion {
         match self {
             FeatureGate::Pipelines => ClusterVersion(2),
@@ -19,13 +19,14 @@
     }
 }
 
-/// Which feature gates are open. Code for a gated feature asks here, and compares no versions itself.
+/// Which feature gates are open. Code for a gated feature calls [`FeatureGates::is_open`] and does not
+/// compare versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeatureGates {
-    /// All are, as upgrades are not staged: the operators see to it that no feature is used before all
-    /// controllers have it.
+    /// All gates are open, because staged upgrades are disabled: operators must ensure that no feature is
+    /// used before all controllers support it.
     AllOpen,
-    /// Those are whose minimum version is at most this one.
+    /// The gates whose minimum version is at most this one are open.
     At(ClusterVersion),
 }
 
--- a/crates/upgrade/src/lib.rs
+++ b/crates/upgrade/src/lib.rs
@@ -1,10 +1,10 @@
 //! Staged upgrades of the controllers of one cluster.
 //!
-//! A release is rolled out controller by controller while all of them serve. Features that only the new
-//! release has stay off behind a [`FeatureGate`] until every controller that the settings name has
-//! registered, by a record on a lease, that it supports the next [`ClusterVersion`]. Then an operator, or
-//! a policy within its maintenance windows, *finalizes* the upgrade by activating that version. The
-//! active version never decreases; until it is activated, controllers may be rolled back at any time.
+//! A release is rolled out one controller at a time while the others serve. Features that only the new
+//! release has stay off behind a [`FeatureGate`] until every configured controller has registered, with a
+//! record on a lease, that it supports the next [`ClusterVersion`]. Then an operator, or a policy within
+//! its maintenance windows, *finalizes* the upgrade by activating that version. The active version never
+//! decreases; until the next version is activated, controllers may be rolled back at any time.
 //!
 //! The crate uses no clocks, threads or sockets:
 //!
@@ -12,9 +12,9 @@
 //! - [`gate`]: the features that a cluster version enables;
 //! - [`records`]: the records in the state service;
 //! - [`plan`]: whether the next version may be activated, and every reason why not;
-//! - [`operation`]: finalizing and aborting, which can be repeated at any point;
-//! - [`fence`]: what a controller may write, and when it must withdraw;
-//! - [`policy`], [`window`]: the operators' file, and its maintenance windows;
+//! - [`operation`]: finalizing and aborting an upgrade; both are idempotent;
+//! - [`fence`]: which formats a controller may write, and when it must withdraw;
+//! - [`policy`], [`window`]: the operators' policy file and its maintenance windows;
 //! - [`status`]: the state of an upgrade as operators see it.
 
 pub mod fence;
--- a/crates/upgrade/src/operation.rs
+++ b/crates/upgrade/src/operation.rs
@@ -1,20 +1,21 @@
 //! Finalizing and aborting an upgrade, as a state machine without I/O.
 //!
-//! Both read all records, decide, and change the version record by a compare-and-swap transaction that
-//! compares every record on which the decision depends: finalizing compares the version record and those
-//! of all controllers. So a controller that starts or ends meanwhile, or another operator, makes the
-//! transaction fail, and the operation reads and decides again. When the outcome of a transaction is
-//! indeterminate, the records are read again, and show whether anything is left to do.
+//! Both read all records, decide, and change the version record in a compare-and-swap transaction that
+//! compares every record on which the decision depends: finalizing compares the version record and the
+//! member records of all controllers. If a controller starts or stops meanwhile, or another operator
+//! changes the version record, the transaction fails, and the operation reads and decides again. If the
+//! outcome of a transaction is indeterminate, the operation reads the records again to see whether the
+//! change was applied.
 
 use crate::plan::{Hold, Initiator, Plan, Timing};
 use crate::policy::UpgradePolicy;
-use crate::records::{member_key, Snapshot, VersionRecord, VERSION};
+use crate::records::{member_key, Snapshot, VersionRecord, VERSION_KEY};
 use crate::version::ClusterVersion;
 
 /// How many times an operation reads the records before it gives up.
 const MAX_ATTEMPTS: usize = 5;
 
-/// What an operation is to achieve.
+/// What an operation does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
     /// Activate the next version.
@@ -28,53 +29,53 @@
 pub struct Condition {
     /// The key of the record.
     pub key: String,
-    /// The stamp that it must have; 0 if it must not exist.
-    pub stamp: u64,
+    /// The `mod_revision` that the record must have; 0 if it must not exist.
+    pub mod_revision: u64,
 }
 
 /// A compare-and-swap transaction on the version record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// What must hold for the change to be applied.
+    /// The conditions under which the change is applied.
     pub conditions: Vec<Condition>,
     /// The version record to write.
     pub record: VersionRecord,
 }
 
-/// The outcome of a change.
+/// The outcome of a [`Change`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It was applied.
+    /// The change was applied.
     Applied,
-    /// A condition did not hold, as some record has changed.
+    /// A condition failed because a record has changed.
     Conflict,
-    /// The state service refused it.
+    /// The state service rejected the change.
     Refused,
-    /// There was no response: it may have been applied, or may be applied later.
+    /// There was no response: the change may have been applied, or may be applied later.
     Indeterminate,
 }
 
-/// What the driver of an operation has to do next.
+/// What the driver of an operation must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read all records, and pass them to [`Operation::read`].
     Read,
     /// Commit a change, and pass its outcome to [`Operation::committed`].
     Commit(Change),
-    /// Nothing: the operation has ended.
+    /// Nothing: the operation is finished.
     Finished(Outcome),
 }
 
 /// The outcome of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// This version is active, by this operation or by another.
+    /// This version is active; this operation or another one activated it.
     Finalized(ClusterVersion),
     /// The upgrade from this version is aborted.
     Aborted(ClusterVersion),
     /// The next version may not be activated, for all of these reasons.
     Refused(Vec<Hold>),
-    /// There is no upgrade to abort: this version is active, and the version never decreases.
+    /// There is no upgrade to abort: this version is active, and the active version never decreases.
     AlreadyFinalized(ClusterVersion),
     /// The state service was unavailable, or the records changed at every attempt.
     Undecided,
@@ -92,7 +93,7 @@
 }
 
 impl Operation {
-    /// Begins an operation; returns it with its first step.
+    /// Starts an operation; returns it with its first step.
     pub fn begin(request: Request, policy: UpgradePolicy, timing: Timing) -> (Operation, Step) {
         let operation = Operation {
             request,
@@ -104,7 +105,7 @@
         (operation, Step::Read)
     }
 
-    /// Continues with the records that were read; `None` if they could not be read.
+    /// Continues with the records that were read, or with `None` if they could not be read.
     pub fn read(&mut self, snapshot: Option<&Snapshot>, now_ms: u64) -> Step {
         self.attempts += 1;
         self.timing.now_ms = now_ms;
@@ -125,12 +126,13 @@
         initial_version: ClusterVersion,
     ) -> Step {
         let active = snapshot.version.active;
-        // Activated meanwhile, by our own change whose outcome was indeterminate or by another operation.
+        // Activated meanwhile, by this operation's own change whose outcome was indeterminate or by another
+        // operation.
         if active > initial_version {
             return Step::Finished(Outcome::Finalized(active));
         }
         let plan = Plan::of(snapshot, &self.policy, initiator, &self.timing);
-        // Finalized before, and no controller supports a later version: the request is a repetition.
+        // Already finalized, and no controller supports a later version: this is a repeated request.
         if plan.next.is_none() && active > ClusterVersion::FIRST {
             return Step::Finished(Outcome::Finalized(active));
         }
@@ -146,7 +148,7 @@
             let member = controller.member.as_ref();
             Condition {
                 key: member_key(&controller.name),
-                stamp: member.map_or(0, |member| member.stamp),
+                mod_revision: member.map_or(0, |member| member.mod_revision),
             }
         });
         Step::Commit(Change {
@@ -179,8 +181,8 @@
 
 fn version_condition(snapshot: &Snapshot) -> impl Iterator<Item = Condition> {
     std::iter::once(Condition {
-        key: VERSION.to_string(),
-        stamp: snapshot.stamp,
+        key: VERSION_KEY.to_string(),
+        mod_revision: snapshot.mod_revision,
     })
 }
 
--- a/crates/upgrade/src/plan.rs
+++ b/crates/upgrade/src/plan.rs
@@ -5,12 +5,12 @@
 use crate::version::{ClusterVersion, VersionRange};
 use std::fmt;
 
-/// Who finalizes the upgrade.
+/// Who initiates the finalizing of an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Initiator {
-    /// An operator, who may do so at any time.
+    /// An operator, who may finalize at any time.
     Operator,
-    /// A controller, when the policy allows it.
+    /// A controller, which finalizes when the policy allows it.
     Policy,
 }
 
@@ -19,7 +19,7 @@
 pub struct Timing {
     /// The time of day, in milliseconds since the Unix epoch.
     pub now_ms: u64,
-    /// How far two controllers' times of day may be apart, in milliseconds.
+    /// The maximum clock skew between two controllers, in milliseconds.
     pub skew_ms: u64,
     /// The soak time: how long each controller must have run before the policy may finalize, in seconds.
     pub soak_s: f64,
@@ -29,16 +29,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Hold {
     /// No controller runs a release that supports a later version.
-    NothingNew,
-    /// A controller has no live record: it is down, or runs a release without staged upgrades.
+    NoLaterRelease,
+    /// A controller is not registered: it is down, or runs a release without staged upgrades.
     NotRegistered {
         /// The controller's name.
         controller: String,
-        /// When it was last registered; `None` if it never was.
+        /// Its last registration; `None` if it has never registered.
         last_seen: Option<LastSeen>,
     },
     /// A controller's release does not support the next version.
-    CannotFollow {
+    UnsupportedVersion {
         /// The controller's name.
         controller: String,
         /// The release that it runs.
@@ -47,42 +47,44 @@
         versions: VersionRange,
     },
     /// An operator has aborted the upgrade to the next version.
-    CalledOff,
+    Aborted,
     /// The policy leaves finalizing to an operator.
     ByHand,
     /// A controller has not run for the soak time.
     Soaking {
         /// The controller's name.
         controller: String,
-        /// How long it still has to run, in seconds.
+        /// How much longer the controller must run, in seconds.
         left_s: u64,
     },
     /// No maintenance window is open.
     OutsideWindows {
-        /// When the next one opens, as local time with its zone; `None` if none does within a year.
+        /// When the next window opens, as local time with its zone; `None` if none opens within a year.
         opens: Option<String>,
     },
 }
 
-/// When a controller was last registered.
+/// The last registration of a controller that is not registered now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastSeen {
     /// The release that it ran.
     pub release: String,
-    /// How long ago that was, in seconds.
+    /// How long ago the controller was last registered, in seconds.
     pub ago_s: u64,
 }
 
 impl fmt::Display for Hold {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Hold::NothingNew => write!(out, "no controller runs a release with a later version"),
+            Hold::NoLaterRelease => {
+                write!(out, "no controller runs a release with a later version")
+            }
             Hold::NotRegistered {
                 controller,
                 last_seen: Some(LastSeen { release, ago_s }),
             } => write!(
                 out,
-                "{controller} was last heard {ago_s} s ago with release {release}"
+                "{controller} was last registered {ago_s} s ago, with release {release}"
             ),
             Hold::NotRegistered {
                 controller,
@@ -92,21 +94,21 @@
                 "{controller} has never registered: it is down, or runs a release without staged \
                  upgrades"
             ),
-            Hold::CannotFollow {
+            Hold::UnsupportedVersion {
                 controller,
                 release,
                 versions,
             } => write!(
                 out,
-                "{controller} runs release {release}, which works at versions {versions} only"
+                "{controller} runs release {release}, which supports only versions {versions}"
             ),
-            Hold::CalledOff => write!(
+            Hold::Aborted => write!(
                 out,
-                "an operator has called the upgrade off; `finalize` takes it up again"
+                "an operator has aborted the upgrade; `finalize` overrides this"
             ),
-            Hold::ByHand => write!(out, "the policy leaves it to an operator"),
+            Hold::ByHand => write!(out, "the policy leaves finalizing to an operator"),
             Hold::Soaking { controller, left_s } => {
-                write!(out, "{controller} has to run for {left_s} s more")
+                write!(out, "{controller} must run for {left_s} s more")
             }
             Hold::OutsideWindows { opens: Some(opens) } => {
                 write!(
@@ -117,26 +119,26 @@
             Hold::OutsideWindows { opens: None } => {
                 write!(
                     out,
-                    "no maintenance window is open, nor will one within a year"
+                    "no maintenance window is open, and none opens within a year"
                 )
             }
         }
     }
 }
 
-/// Whether and to which version the cluster can be upgraded.
+/// The next version of the cluster, and whether it may be activated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The active version.
     pub active: ClusterVersion,
-    /// The version that the upgrade leads to; `None` if no controller supports a later one.
+    /// The version that the upgrade activates; `None` if no controller supports a later one.
     pub next: Option<ClusterVersion>,
     /// Why the next version may not be activated; empty if it may.
     pub holds: Vec<Hold>,
 }
 
 impl Plan {
-    /// The plan for a snapshot of the records. The policy is consulted only if it is the initiator.
+    /// The plan for a snapshot of the records. The policy applies only if it is the initiator.
     pub fn of(
         snapshot: &Snapshot,
         policy: &UpgradePolicy,
@@ -149,7 +151,7 @@
         let next = has_later.then(|| active.next());
         let mut holds = Vec::new();
         match next {
-            None => holds.push(Hold::NothingNew),
+            None => holds.push(Hold::NoLaterRelease),
             Some(next) => {
                 let controllers = snapshot.controllers.iter();
                 let hold = |controller| controller_hold(controller, next, timing.now_ms);
@@ -166,7 +168,7 @@
         }
     }
 
-    /// The version that may be activated now; `None` if there is a reason why not.
+    /// The version that may be activated now; `None` if there is none or a hold blocks it.
     pub fn ready(&self) -> Option<ClusterVersion> {
         self.next.filter(|_| self.holds.is_empty())
     }
@@ -184,7 +186,7 @@
             last_seen,
         });
     };
-    (!member.versions.contains(next)).then(|| Hold::CannotFollow {
+    (!member.versions.contains(next)).then(|| Hold::UnsupportedVersion {
         controller: name,
         release: member.release.clone(),
         versions: member.versions,
@@ -194,7 +196,7 @@
 fn policy_holds(snapshot: &Snapshot, policy: &UpgradePolicy, timing: &Timing) -> Vec<Hold> {
     let mut holds = Vec::new();
     if snapshot.version.held {
-        holds.push(Hold::CalledOff);
+        holds.push(Hold::Aborted);
     }
     if policy.finalize == Finalize::ByHand {
         holds.push(Hold::ByHand);
@@ -214,7 +216,7 @@
         }
     }
     let (now_ms, skew_ms) = (timing.now_ms, timing.skew_ms);
-    // A window must be open whichever of the controllers' clocks is right.
+    // Clocks differ by up to the skew: a window must be open at both ends, so that it is open by any clock.
     let is_open = [now_ms.saturating_sub(skew_ms), now_ms + skew_ms]
         .iter()
         .all(|at| policy.windows.is_open(*at));
--- a/crates/upgrade/src/policy.rs
+++ b/crates/upgrade/src/policy.rs
@@ -1,4 +1,4 @@
-//! The operators' upgrade policy, an S-expression: who finalizes an upgrade, and when.
+//! The operators' upgrade policy, an S-expression that says who finalizes an upgrade, and when.
 
 use crate::window::{Window, WindowError, Windows};
 use lexpr::Value;
@@ -8,22 +8,22 @@
 pub enum Finalize {
     /// An operator, with `stairstage upgrade finalize`.
     ByHand,
-    /// The controllers themselves, once all have run for the soak time and a window is open.
+    /// The controllers, once all have run for the soak time and a maintenance window is open.
     Automatic,
 }
 
-/// What operators may set. Figures are ratios to the platform's settings, so that one file fits any
-/// deployment.
+/// The settings of an upgrade policy. Durations are multiples of durations in the platform's settings, so
+/// that one file fits any deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpgradePolicy {
     /// Who activates the next version.
     pub finalize: Finalize,
-    /// The soak time, for which every controller must have run before the policy finalizes, as a multiple
+    /// The soak time: how long every controller must have run before the policy finalizes, as a multiple
     /// of the platform's `cancel_s`.
     pub soak: f64,
     /// The duration of the lease of a member record, in heartbeat intervals (`report_s`).
     pub member_lease: f64,
-    /// When the policy may finalize; without any, always.
+    /// The maintenance windows in which the policy may finalize; without any, it may do so at any time.
     pub windows: Windows,
 }
 
@@ -41,10 +41,10 @@
 /// A policy file that cannot be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum PolicyError {
-    /// The text is not of the right form.
+    /// The text is not an upgrade policy.
     #[error("{what}")]
     Malformed {
-        /// What is wrong with it.
+        /// What is wrong with the text.
         what: String,
     },
     /// A value is not allowed.
@@ -54,15 +54,15 @@
         field: String,
         /// Its value, as written.
         value: String,
-        /// The rule that it breaks.
+        /// The rule that the value violates.
         why: String,
     },
 }
 
-/// The rule that a value breaks.
+/// The rule that a value violates.
 #[derive(Debug, thiserror::Error)]
 enum Rule {
-    #[error("must have one value")]
+    #[error("must have exactly one value")]
     OneValue,
     #[error("must be by-hand or automatic")]
     FinalizeChoice,
@@ -109,12 +109,12 @@
 }
 
 impl UpgradePolicy {
-    /// Parses `(upgrade (NAME VALUE ...) ...)`; names that are left out keep their defaults. `now_ms` is
-    /// the time of day in milliseconds since the Unix epoch: whether windows in different time zones
-    /// overlap depends on the daylight saving transitions of the coming year.
+    /// Parses `(upgrade (NAME VALUE ...) ...)`; omitted settings keep their defaults. `now_ms` is the time
+    /// of day in milliseconds since the Unix epoch: whether windows in different time zones overlap depends
+    /// on the daylight saving transitions of the coming year.
     ///
     /// # Errors
-    /// When the text has another form, or a name or value that is not allowed, or windows overlap.
+    /// When the text has another form, a setting is unknown, a value is invalid, or windows overlap.
     pub fn parse(text: &str, now_ms: u64) -> Result<UpgradePolicy, PolicyError> {
         let value = lexpr::from_str(text).map_err(|error| malformed(error.to_string()))?;
         let mut list = value
@@ -139,7 +139,7 @@
         Ok(policy)
     }
 
-    /// Applies an entry; windows are collected, as they are checked together.
+    /// Applies an entry. Windows are only collected, because the check for overlaps needs all of them.
     fn apply(&mut self, entry: &Entry, windows: &mut Vec<Window>) -> Result<(), Rule> {
         if entry.name == "window" {
             windows.push(window(&entry.values)?);
--- a/crates/upgrade/src/records.rs
+++ b/crates/upgrade/src/records.rs
@@ -1,14 +1,14 @@
 //! The records in the state service, and a snapshot of them. Later releases may only add optional
 //! fields.
 //!
-//! The *stamp* of a record is the revision of its last change, as compares of a transaction name it; 0
-//! stands for a record that does not exist.
+//! The `mod_revision` of a record is the revision of the state service at which the record last changed.
+//! Transactions compare it; 0 stands for a record that does not exist.
 
 use crate::version::{ClusterVersion, VersionRange};
 use serde::{Deserialize, Serialize};
 
 /// The key of the version record.
-pub const VERSION: &str = "cluster/version";
+pub const VERSION_KEY: &str = "cluster/version";
 /// The prefix of the keys of member records.
 const MEMBER_PREFIX: &str = "cluster/member/";
 /// The prefix of the keys of last-seen records.
@@ -37,7 +37,7 @@
 }
 
 impl VersionRecord {
-    /// What applies while there is no record.
+    /// The version that applies while there is no record.
     pub const FIRST: VersionRecord = VersionRecord {
         active: ClusterVersion::FIRST,
         since_ms: 0,
@@ -45,49 +45,50 @@
     };
 }
 
-/// A running controller. The record is attached to a lease, and so is removed when the controller ends.
+/// A running controller. The record is attached to a lease, and is deleted with the lease after the
+/// controller has stopped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The release that it runs.
+    /// The release that the controller runs.
     pub release: String,
     /// The cluster versions that the release supports.
     #[serde(flatten)]
     pub versions: VersionRange,
-    /// When its process started, in milliseconds since the Unix epoch.
+    /// When the controller's process started, in milliseconds since the Unix epoch.
     pub since_ms: u64,
 }
 
 /// When a controller last renewed its lease. The record outlives the controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenRecord {
-    /// The release that it ran then.
+    /// The release that the controller ran.
     pub release: String,
-    /// When that was, in milliseconds since the Unix epoch.
+    /// When it renewed its lease, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// A live member record with its stamp.
+/// A member record whose lease has not expired, with its `mod_revision`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The record.
     pub record: MemberRecord,
-    /// The stamp of the record.
-    pub stamp: u64,
+    /// The `mod_revision` of the record.
+    pub mod_revision: u64,
 }
 
-/// A controller that the settings name, and its records.
+/// A configured controller and its records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Controller {
     /// Its name in the settings.
     pub name: String,
-    /// Its live record; `None` while it is not registered.
+    /// Its member record; `None` while the controller is not registered.
     pub member: Option<Member>,
-    /// When it was last registered; `None` if it never was.
+    /// Its last-seen record; `None` if the controller has never registered.
     pub seen: Option<SeenRecord>,
 }
 
 impl Controller {
-    /// Whether it is registered with a release that supports a later version than this one.
+    /// Whether the controller is registered with a release that supports a later version than `version`.
     pub(crate) fn supports_later_than(&self, version: ClusterVersion) -> bool {
         let member = self.member.as_ref();
         member.is_some_and(|member| member.record.versions.newest > version)
@@ -97,10 +98,10 @@
 /// All records, read at one revision of the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The version record, or what applies without one.
+    /// The version record, or [`VersionRecord::FIRST`] if there is none.
     pub version: VersionRecord,
-    /// The stamp of the version record; 0 if there is none.
-    pub stamp: u64,
-    /// The controllers that the settings name.
+    /// The `mod_revision` of the version record; 0 if there is none.
+    pub mod_revision: u64,
+    /// The configured controllers.
     pub controllers: Vec<Controller>,
 }
--- a/crates/upgrade/src/status.rs
+++ b/crates/upgrade/src/status.rs
@@ -6,16 +6,16 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A controller that the settings name.
+/// A configured controller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ControllerStatus {
     /// Its name.
     pub name: String,
-    /// The release that it runs; `None` if it has no live record.
+    /// The release that it runs; `None` if it is not registered.
     pub release: Option<String>,
-    /// The cluster versions that the release supports; `None` if it has no live record.
+    /// The cluster versions that the release supports; `None` if the controller is not registered.
     pub versions: Option<VersionRange>,
-    /// Seconds since its process started; `None` if it has no live record.
+    /// Seconds since its process started; `None` if it is not registered.
     pub runs_for_s: Option<u64>,
 }
 
@@ -24,9 +24,9 @@
 pub struct Status {
     /// The active version.
     pub active: ClusterVersion,
-    /// The version that the upgrade leads to; `None` if no controller supports a later one.
+    /// The version that the upgrade activates; `None` if no controller supports a later one.
     pub next: Option<ClusterVersion>,
-    /// The controllers that the settings name.
+    /// The configured controllers.
     pub controllers: Vec<ControllerStatus>,
     /// Why the next version may not be activated, as text.
     pub holds: Vec<String>,
@@ -37,7 +37,7 @@
 }
 
 impl Status {
-    /// The status of a cluster whose records and plan these are; `now_ms` is the time of day in
+    /// The status of a cluster with these records and this plan; `now_ms` is the time of day in
     /// milliseconds since the Unix epoch.
     pub fn of(snapshot: &Snapshot, plan: &Plan, now_ms: u64) -> Status {
         let controllers = snapshot.controllers.iter().map(|controller| {
@@ -71,14 +71,14 @@
             match (&controller.release, controller.versions) {
                 (Some(release), Some(versions)) => writeln!(
                     out,
-                    "release {release}, versions {versions}, runs for {} s",
+                    "release {release}, versions {versions}, running for {} s",
                     controller.runs_for_s.unwrap_or_default()
                 )?,
-                _ => writeln!(out, "no live record")?,
+                _ => writeln!(out, "not registered")?,
             }
         }
         for hold in &self.holds {
-            writeln!(out, "held up: {hold}")?;
+            writeln!(out, "blocked: {hold}")?;
         }
         if self.rollback_possible {
             writeln!(
--- a/crates/upgrade/src/version.rs
+++ b/crates/upgrade/src/version.rs
@@ -13,7 +13,7 @@
 );
 
 impl ClusterVersion {
-    /// The version of a cluster without a version record.
+    /// The active version of a cluster without a version record.
     pub const FIRST: ClusterVersion = ClusterVersion(1);
 
     /// The version that finalizing an upgrade from this one activates.
--- a/crates/upgrade/src/window.rs
+++ b/crates/upgrade/src/window.rs
@@ -4,12 +4,12 @@
 use jiff::tz::TimeZone;
 use jiff::{Span, Timestamp};
 
-/// Days for which windows are compared with each other, and searched for the next opening: a year and
-/// a week, so that every daylight saving transition is covered.
+/// The number of days for which windows are compared with each other and searched for the next opening: a
+/// year and a week, so that every daylight saving transition is covered.
 const DAYS_AHEAD: usize = 372;
 
-/// A window that is open from `opens` to `closes` on each day from `first` to `last`, in local time. One
-/// that does not close later than it opens closes on the next day.
+/// A window that is open from `opens` to `closes` on each day from `first` to `last`, in local time. If
+/// `closes` is not later than `opens`, the window closes on the next day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Window {
     first: Weekday,
@@ -24,20 +24,20 @@
 /// A window that cannot be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum WindowError {
-    /// It does not have five parts of the right types.
+    /// The window does not have five parts of the right types.
     #[error("must be FIRST-DAY LAST-DAY \"HH:MM\" \"HH:MM\" \"ZONE\"")]
     Malformed,
     /// This is not a day of the week.
-    #[error("{0} is no day of the week")]
+    #[error("{0} is not a day of the week")]
     UnknownDay(String),
     /// This is not a time of day, with two digits each for hours and minutes.
-    #[error("{0} is no time of day such as 20:00")]
+    #[error("{0} is not a time of day such as 20:00")]
     UnknownTime(String),
     /// The time zone database does not have this zone.
-    #[error("{0} is no time zone that is known here")]
+    #[error("{0} is not a time zone in the time zone database")]
     UnknownZone(String),
-    /// It is never open.
-    #[error("is empty: it closes as it opens")]
+    /// The window is never open.
+    #[error("is empty: it opens and closes at the same time")]
     Empty,
     /// Two windows overlap within the coming year.
     #[error("overlaps {other}")]
@@ -50,7 +50,7 @@
 }
 
 impl WindowError {
-    /// For an overlap, the window that is refused; empty otherwise.
+    /// For an overlap, the window that is rejected; empty for other errors.
     pub fn window(&self) -> String {
         match self {
             WindowError::Overlap { window, .. } => window.clone(),
@@ -98,7 +98,7 @@
     }
 
     /// The interval that begins on this day, if any. A local time that a daylight saving transition skips
-    /// is later by the skipped time; of one that occurs twice, the first counts.
+    /// is shifted by the skipped time; of a local time that occurs twice, the first counts.
     fn interval_on(&self, day: Date) -> Option<Interval> {
         if !self.opens_on(day.weekday()) {
             return None;
@@ -159,7 +159,7 @@
     Timestamp::from_millisecond(i64::try_from(ms).ok()?).ok()
 }
 
-/// The windows of a policy, which do not overlap.
+/// The windows of a policy. They do not overlap.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Windows(Vec<Window>);
 
@@ -183,7 +183,7 @@
         Ok(Windows(windows))
     }
 
-    /// Whether a window is open at this moment; always, if there are none.
+    /// Whether a window is open at this moment; true if there are no windows.
     pub fn is_open(&self, now_ms: u64) -> bool {
         let now = now_ms as i64;
         let is_open = |window: &Window| {
@@ -194,7 +194,7 @@
         self.0.is_empty() || self.0.iter().any(is_open)
     }
 
-    /// When the next window opens, as its local time with its zone; `None` if none does within a year.
+    /// When the next window opens, as local time with its zone; `None` if none opens within a year.
     pub fn next_opening(&self, now_ms: u64) -> Option<String> {
         let now = now_ms as i64;
         let openings = self.0.iter().filter_map(|window| {
@@ -208,7 +208,7 @@
     }
 }
 
-/// Whether two windows are ever open together within the year after `now_ms`.
+/// Whether two windows are open at the same time at any moment within the year after `now_ms`.
 fn overlap(one: &Window, other: &Window, now_ms: u64) -> bool {
     let others: Vec<Interval> = other.intervals_from(now_ms).collect();
     let overlaps_other = |interval: Interval| {
--- a/crates/upgrade/tests/windows.rs
+++ b/crates/upgrade/tests/windows.rs
@@ -1,15 +1,15 @@
-//! Maintenance windows: days, midnight, changes of clocks, overlaps, and what is refused.
+//! Maintenance windows: days, midnight, daylight saving transitions and overlaps; invalid policies.
 
 use stairstage_upgrade::policy::{Finalize, PolicyError};
 use stairstage_upgrade::UpgradePolicy;
 
-/// Milliseconds of the time of day.
+/// A time of day in milliseconds since the Unix epoch.
 fn at(text: &str) -> u64 {
     let timestamp: jiff::Timestamp = text.parse().expect("a time of day");
     timestamp.as_millisecond() as u64
 }
 
-/// Windows are held against each other from here on.
+/// The time from which windows are checked for overlaps.
 const NOW: &str = "2026-12-01T00:00:00Z";
 
 /// A policy with these windows.
@@ -17,12 +17,12 @@
     UpgradePolicy::parse(&format!("(upgrade {windows})"), at(NOW))
 }
 
-/// Whether one of these windows is open then.
+/// Whether one of these windows is open at `when`.
 fn is_open(windows: &str, when: &str) -> bool {
     policy(windows).expect("windows").windows.is_open(at(when))
 }
 
-/// The field, the value and the reason for which a policy is refused.
+/// The field, the value and the reason in the error for an invalid policy.
 fn refusal(text: &str) -> (String, String, String) {
     match UpgradePolicy::parse(text, at(NOW)) {
         Err(PolicyError::Invalid { field, value, why }) => (field, value, why),
@@ -30,11 +30,11 @@
     }
 }
 
-/// From evening to early morning, from Monday to Thursday.
+/// From Monday to Thursday, from evening to early morning.
 const EVENINGS: &str = r#"(window monday thursday "20:00" "04:00" "Indian/Mauritius")"#;
 
 #[test]
-fn a_window_belongs_to_the_day_on_which_it_opens() {
+fn window_past_midnight_belongs_to_the_day_on_which_it_opens() {
     // Port Louis is four hours ahead of UTC all year. 2026-12-03 is a Thursday.
     for (when, open) in [
         ("2026-12-03T15:59:59Z", false),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn days_may_go_over_the_end_of_the_week() {
+fn day_range_may_wrap_around_the_week() {
     let weekend = r#"(window saturday monday "01:00" "02:00" "Asia/Tbilisi")"#;
     // Four hours ahead of UTC. 2026-12-05 is a Saturday.
     for (when, open) in [
@@ -68,15 +68,15 @@
 }
 
 #[test]
-fn a_window_keeps_to_local_time_when_clocks_change() {
+fn window_follows_local_time_across_daylight_saving_transitions() {
     let nights = r#"(window sunday sunday "01:30" "03:30" "Europe/Berlin")"#;
     for (when, open) in [
-        // 2027-03-28: 02:00 becomes 03:00, so that it is open for one hour.
+        // 2027-03-28: 02:00 becomes 03:00, so that the window is open for one hour.
         ("2027-03-28T00:29:59Z", false),
         ("2027-03-28T00:30:00Z", true),
         ("2027-03-28T01:29:59Z", true),
         ("2027-03-28T01:30:00Z", false),
-        // 2027-10-31: 03:00 becomes 02:00, so that it is open for three.
+        // 2027-10-31: 03:00 becomes 02:00, so that the window is open for three hours.
         ("2027-10-30T23:30:00Z", true),
         ("2027-10-31T02:29:59Z", true),
         ("2027-10-31T02:30:00Z", false),
@@ -86,19 +86,19 @@
 }
 
 #[test]
-fn a_window_whose_start_is_skipped_opens_that_much_later() {
+fn window_opens_later_when_its_opening_time_is_skipped() {
     let skipped = r#"(window sunday sunday "02:30" "05:00" "Europe/Berlin")"#;
     assert!(!is_open(skipped, "2027-03-28T01:29:59Z"));
     assert!(is_open(skipped, "2027-03-28T01:30:00Z"));
 }
 
 #[test]
-fn without_windows_it_is_always_open() {
+fn policy_without_windows_is_always_open() {
     assert!(is_open("", "2026-12-05T12:00:00Z"));
 }
 
 #[test]
-fn the_next_opening_is_told_in_its_local_time() {
+fn next_opening_is_shown_in_local_time() {
     let windows = policy(EVENINGS).expect("windows").windows;
     let opens = windows.next_opening(at("2026-12-04T12:00:00Z"));
     let opens = opens.expect("one opens");
@@ -107,14 +107,14 @@
 }
 
 #[test]
-fn windows_that_overlap_are_refused_also_in_other_zones() {
+fn overlapping_windows_are_rejected_across_time_zones() {
     let same = r#"(upgrade (window monday friday "20:00" "22:00" "Asia/Tbilisi")
         (window friday friday "21:59" "23:00" "Asia/Tbilisi"))"#;
     let (field, value, why) = refusal(same);
     assert_eq!(field, "window");
     assert_eq!(value, "friday friday 21:59 23:00 Asia/Tbilisi");
     assert!(why.contains("monday friday 20:00 22:00"), "{why}");
-    // 20:00 in Berlin is 19:00 or 18:00 UTC, 22:00 in Tbilisi is 18:00 UTC: they meet in summer only.
+    // 20:00 in Berlin is 19:00 or 18:00 UTC, 22:00 in Tbilisi is 18:00 UTC: they overlap only in summer.
     let summer = r#"(upgrade (window monday monday "20:00" "21:00" "Europe/Berlin")
         (window monday monday "22:00" "22:30" "Asia/Tbilisi"))"#;
     assert!(refusal(summer).2.contains("overlaps"));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_refused_with_field_value_and_reason() {
+fn invalid_setting_is_rejected_with_field_value_and_reason() {
     for (entry, field, why) in [
         (
             r#"(window monday friday "20:00" "20:00" "Asia/Tbilisi")"#,
@@ -134,22 +134,22 @@
         (
             r#"(window monday friday "20:00" "22:00" "Indian/Atlantis")"#,
             "window",
-            "Indian/Atlantis is no time zone",
+            "Indian/Atlantis is not a time zone",
         ),
         (
             r#"(window monday someday "20:00" "22:00" "Asia/Tbilisi")"#,
             "window",
-            "someday is no day",
+            "someday is not a day",
         ),
         (
             r#"(window monday friday "25:00" "22:00" "Asia/Tbilisi")"#,
             "window",
-            "25:00 is no time of day",
+            "25:00 is not a time of day",
         ),
         (
             r#"(window monday friday "8:00" "22:00" "Asia/Tbilisi")"#,
             "window",
-            "8:00 is no time of day",
+            "8:00 is not a time of day",
         ),
         (r#"(window monday friday)"#, "window", "must be FIRST-DAY"),
         ("(finalize perhaps)", "finalize", "by-hand or automatic"),
@@ -159,8 +159,8 @@
         ("(soak 1 2)", "soak", "one value"),
         ("(harvest 3)", "harvest", "is not a setting"),
     ] {
-        let (told, value, reason) = refusal(&format!("(upgrade {entry})"));
-        assert_eq!(told, field, "{entry}");
+        let (reported_field, value, reason) = refusal(&format!("(upgrade {entry})"));
+        assert_eq!(reported_field, field, "{entry}");
         assert!(reason.contains(why), "{entry}: {reason}");
         assert!(!value.is_empty(), "{entry}");
     }
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn what_is_left_out_keeps_its_default() {
+fn omitted_settings_keep_their_defaults() {
     let policy = policy("(finalize automatic)").expect("a policy");
     assert_eq!(policy.finalize, Finalize::Automatic);
     assert_eq!(policy.soak, UpgradePolicy::default().soak);
--- a/src/coordination/cluster/writes/placements.rs
+++ b/src/coordination/cluster/writes/placements.rs
@@ -51,7 +51,7 @@
 
     /// Of how many jobs a transaction can compare that they have not ended.
     fn max_jobs_in_transaction(&self) -> usize {
-        let version = usize::from(self.leadership.write_fence().stamp().is_some());
+        let version = usize::from(self.leadership.write_fence().mod_revision().is_some());
         CONDITIONS_A_CHANGE * self.writes.max_operations() - OWN_COMPARES - version
     }
 
--- a/src/coordination/cluster/writes/reread.rs
+++ b/src/coordination/cluster/writes/reread.rs
@@ -8,7 +8,7 @@
 use crate::storage::records::{
     parse_completion_key, parse_placement_key, EndRecord, END_PREFIX, LEADER_KEY,
 };
-use stairstage_upgrade::records::VERSION;
+use stairstage_upgrade::records::VERSION_KEY;
 use stairstage_upgrade::{VersionRange, VersionRecord};
 use tracing::warn;
 
@@ -20,7 +20,7 @@
             let version = item.as_ref().map_or(0, |item| item.version);
             if key == LEADER_KEY {
                 self.leader_record_reread(version);
-            } else if key == VERSION {
+            } else if key == VERSION_KEY {
                 self.cluster_version_reread(item);
             } else if let Some(record) = parse_placement_key(&key) {
                 self.placement_records.set_version(record, version);
@@ -54,10 +54,10 @@
             Ok(record) => {
                 let range = VersionRange::OF_THIS_RELEASE;
                 let write_fence = self.leadership.write_fence_mut();
-                write_fence.read(range, &record, item.version);
+                write_fence.apply(range, &record, item.version);
             }
             Err(error) => {
-                warn!(key = VERSION, %error, "the record cannot be read");
+                warn!(key = VERSION_KEY, %error, "the record cannot be read");
                 self.leadership.depose();
             }
         }
--- a/src/coordination/requests/step.rs
+++ b/src/coordination/requests/step.rs
@@ -14,7 +14,7 @@
 
 use super::store_call::StoreCall;
 use crate::storage::key_value_store::Unavailable;
-use stairstage_upgrade::records::VERSION;
+use stairstage_upgrade::records::VERSION_KEY;
 use thiserror::Error;
 
 /// The next transition of a part of a request.
@@ -45,7 +45,7 @@
 
 /// Whether a transaction failed on its compare of the cluster version.
 pub(super) fn has_version_changed(failed_keys: &[String]) -> bool {
-    failed_keys.iter().any(|key| key == VERSION)
+    failed_keys.iter().any(|key| key == VERSION_KEY)
 }
 
 impl From<Unavailable> for StepError {
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
-use stairstage_upgrade::records::VERSION;
+use stairstage_upgrade::records::VERSION_KEY;
 use std::fmt;
 
 /// The id of a lease. Keys attached to a lease are deleted when it expires or is released.
@@ -99,8 +99,8 @@
     /// fence has read, if there is one.
     pub fn at_version(write_fence: &WriteFence) -> Self {
         let empty = Transaction::default();
-        match write_fence.stamp() {
-            Some(version) => empty.version(VERSION, version),
+        match write_fence.mod_revision() {
+            Some(version) => empty.version(VERSION_KEY, version),
             None => empty,
         }
     }
--- a/src/service/upgrade/member.rs
+++ b/src/service/upgrade/member.rs
@@ -13,7 +13,7 @@
 use stairstage_upgrade::operation::{Outcome, Request};
 use stairstage_upgrade::plan::{Initiator, Plan};
 use stairstage_upgrade::policy::Finalize;
-use stairstage_upgrade::records::{member_key, seen_key, VERSION};
+use stairstage_upgrade::records::{member_key, seen_key, VERSION_KEY};
 use stairstage_upgrade::{MemberRecord, SeenRecord, Snapshot, UpgradePolicy, VersionRange};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -94,7 +94,7 @@
         self.finalize_if_due(&snapshot);
         let watch_timeout = self.lease_duration / RENEWALS_PER_LEASE;
         self.store
-            .watch(VERSION, revision, watch_timeout)
+            .watch(VERSION_KEY, revision, watch_timeout)
             .map(|_| ())
     }
 
@@ -148,7 +148,10 @@
     }
 
     fn update_write_fence(&self, snapshot: &Snapshot) {
-        if !self.write_fence.apply(&snapshot.version, snapshot.stamp) {
+        if !self
+            .write_fence
+            .apply(&snapshot.version, snapshot.mod_revision)
+        {
             return;
         }
         let write_fence = self.write_fence.get();
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use stairstage_upgrade::operation::{self, Change, ChangeOutcome, Operation, Request, Step};
 use stairstage_upgrade::plan::Timing;
-use stairstage_upgrade::records::{member_key, seen_key, Controller, Member, VERSION};
+use stairstage_upgrade::records::{member_key, seen_key, Controller, Member, VERSION_KEY};
 use stairstage_upgrade::{Snapshot, UpgradePolicy, VersionRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,18 +34,22 @@
     let items = items.into_iter();
     let mut records: BTreeMap<String, VersionedValue> =
         items.map(|item| (item.key.clone(), item)).collect();
-    let version = remove_decoded::<VersionRecord>(&mut records, VERSION);
+    let version = remove_decoded::<VersionRecord>(&mut records, VERSION_KEY);
     let controllers = controllers.iter().map(|name| Controller {
         name: name.clone(),
-        member: remove_decoded(&mut records, &member_key(name))
-            .map(|(record, stamp)| Member { record, stamp }),
+        member: remove_decoded(&mut records, &member_key(name)).map(|(record, mod_revision)| {
+            Member {
+                record,
+                mod_revision,
+            }
+        }),
         seen: remove_decoded(&mut records, &seen_key(name)).map(|(seen, _)| seen),
     });
     let controllers = controllers.collect();
-    let (version, stamp) = version.unwrap_or((VersionRecord::FIRST, 0));
+    let (version, mod_revision) = version.unwrap_or((VersionRecord::FIRST, 0));
     let snapshot = Snapshot {
         version,
-        stamp,
+        mod_revision,
         controllers,
     };
     Ok((snapshot, revision))
@@ -106,10 +110,10 @@
     let empty = Transaction::default();
     let conditions = change.conditions.into_iter();
     let transaction = conditions.fold(empty, |transaction, condition| {
-        transaction.version(condition.key, condition.stamp)
+        transaction.version(condition.key, condition.mod_revision)
     });
     let value = serde_json::to_value(change.record).expect("serializing plain data cannot fail");
-    match store.commit(&transaction.put(VERSION, value)) {
+    match store.commit(&transaction.put(VERSION_KEY, value)) {
         CommitOutcome::Applied(_) => ChangeOutcome::Applied,
         CommitOutcome::Conflict(_) => ChangeOutcome::Conflict,
         CommitOutcome::Refused
--- a/src/service/upgrade/shared_write_fence.rs
+++ b/src/service/upgrade/shared_write_fence.rs
@@ -25,10 +25,10 @@
     }
 
     /// Applies a version record and the version of its key; returns whether the fence has changed.
-    pub fn apply(&self, record: &VersionRecord, stamp: u64) -> bool {
+    pub fn apply(&self, record: &VersionRecord, mod_revision: u64) -> bool {
         let mut write_fence = self.0.write().unwrap_or_else(PoisonError::into_inner);
         let before = *write_fence;
-        write_fence.read(VersionRange::OF_THIS_RELEASE, record, stamp);
+        write_fence.apply(VersionRange::OF_THIS_RELEASE, record, mod_revision);
         *write_fence != before
     }
 }
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -1,4 +1,5 @@
-//! What is written names the cluster version that its writer knows, and fails after a rise.
+//! Every transaction compares the version record that its writer has read, so that a write at an old
+//! cluster version fails after a new version is activated.
 
 mod common;
 
@@ -17,15 +18,15 @@
 use stairstage::storage::key_value_store::CommitOutcome;
 use stairstage::storage::records::{end_key, open_key, LEADER_KEY};
 use stairstage_upgrade::fence::WriteFence;
-use stairstage_upgrade::records::VERSION;
+use stairstage_upgrade::records::VERSION_KEY;
 use stairstage_upgrade::{ClusterVersion, Fence, VersionRange, VersionRecord};
 
-/// The stamp of the record of the version that a controller has read.
-const STAMP: u64 = 5;
-/// The stamp of a newer one.
-const LATER_STAMP: u64 = 9;
+/// The `mod_revision` of the version record that a controller has read.
+const MOD_REVISION: u64 = 5;
+/// The `mod_revision` of a newer version record.
+const LATER_MOD_REVISION: u64 = 9;
 
-/// The record of the version, with this one active.
+/// A version record with this version active.
 fn record(active: u32) -> VersionRecord {
     VersionRecord {
         active: ClusterVersion(active),
@@ -34,38 +35,38 @@
     }
 }
 
-/// The fence of a controller that has read that record.
+/// The write fence of a controller that has read the record of this active version.
 fn write_fence(active: u32) -> WriteFence {
     let range = VersionRange::OF_THIS_RELEASE;
-    WriteFence::Read(Fence::new(range, &record(active), STAMP))
+    WriteFence::Read(Fence::new(range, &record(active), MOD_REVISION))
 }
 
-/// A newer record, as the state service holds it.
-fn item(active: u32) -> VersionedValue {
+/// A newer version record as stored in the state service.
+fn newer_item(active: u32) -> VersionedValue {
     VersionedValue {
-        key: VERSION.into(),
+        key: VERSION_KEY.into(),
         value: serde_json::to_value(record(active)).unwrap(),
-        version: LATER_STAMP,
+        version: LATER_MOD_REVISION,
     }
 }
 
-/// The stamp that a transaction depends on.
-fn stamp_in(transaction: &Transaction) -> Option<u64> {
-    let condition = transaction.compares.iter().find(|c| c.key == VERSION);
+/// The `mod_revision` of the version record that a transaction compares, if any.
+fn compared_mod_revision(transaction: &Transaction) -> Option<u64> {
+    let condition = transaction.compares.iter().find(|c| c.key == VERSION_KEY);
     condition.map(|c| c.version)
 }
 
-/// A leader with a job that waits to be launched, and the first write for it.
+/// A leader with a pending job, and its first write, which records the placements of the job.
 fn leader_with_a_write() -> (ClusterManager, u64, Transaction) {
     let mut manager = manager();
     manager.set_write_fence(write_fence(1));
     heartbeat(&mut manager, 1, Vec::new(), 1.0);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    let (id, transaction) = next_write(&mut manager, 1.0).expect("places are recorded");
+    let (id, transaction) = next_write(&mut manager, 1.0).expect("the placements are written");
     (manager, id, transaction)
 }
 
-/// The next write of a leader.
+/// The next write of a leader, if any.
 fn next_write(manager: &mut ClusterManager, now: f64) -> Option<(u64, Transaction)> {
     manager.tick(now);
     manager.step(now);
@@ -79,47 +80,47 @@
 }
 
 #[test]
-fn a_leader_names_the_version_that_it_knows_in_what_it_writes() {
+fn writes_of_leader_compare_the_version_record_that_it_has_read() {
     let (_, _, transaction) = leader_with_a_write();
-    assert_eq!(stamp_in(&transaction), Some(STAMP));
+    assert_eq!(compared_mod_revision(&transaction), Some(MOD_REVISION));
     assert!(transaction.compares.iter().any(|c| c.key == LEADER_KEY));
     let mut unstaged = manager();
     heartbeat(&mut unstaged, 1, Vec::new(), 1.0);
     submit(&mut unstaged, "req-1", "sweep", "normal", None, 1);
     let (_, transaction) = next_write(&mut unstaged, 1.0).unwrap();
-    assert_eq!(stamp_in(&transaction), None);
+    assert_eq!(compared_mod_revision(&transaction), None);
 }
 
 #[test]
-fn a_leader_goes_on_at_a_version_that_its_release_works_at() {
+fn leader_retries_write_at_new_version_that_its_release_supports() {
     let (mut manager, id, _) = leader_with_a_write();
-    let reread = vec![(VERSION.to_string(), Some(item(2)))];
+    let reread = vec![(VERSION_KEY.to_string(), Some(newer_item(2)))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
     assert!(!manager.is_deposed());
-    let (_, again) = next_write(&mut manager, 3.0).expect("it is written again");
-    assert_eq!(stamp_in(&again), Some(LATER_STAMP));
+    let (_, retried) = next_write(&mut manager, 3.0).expect("the write is retried");
+    assert_eq!(compared_mod_revision(&retried), Some(LATER_MOD_REVISION));
 }
 
 #[test]
-fn a_leader_resigns_at_a_version_beyond_its_release() {
+fn leader_steps_down_at_version_that_its_release_does_not_support() {
     let (mut manager, id, _) = leader_with_a_write();
-    let reread = vec![(VERSION.to_string(), Some(item(3)))];
+    let reread = vec![(VERSION_KEY.to_string(), Some(newer_item(3)))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
     assert!(manager.is_deposed());
 }
 
 #[test]
-fn a_leader_resigns_at_a_version_that_it_cannot_read() {
+fn leader_steps_down_when_version_record_cannot_be_decoded() {
     let (mut manager, id, _) = leader_with_a_write();
-    let mut unreadable = item(2);
+    let mut unreadable = newer_item(2);
     unreadable.value = json!({"active": {"of": "another kind"}});
-    let reread = vec![(VERSION.to_string(), Some(unreadable))];
+    let reread = vec![(VERSION_KEY.to_string(), Some(unreadable))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
     assert!(manager.is_deposed());
 }
 
 #[test]
-fn a_record_of_many_jobs_keeps_to_the_conditions_of_a_transaction() {
+fn write_for_many_jobs_respects_limit_of_compares_per_transaction() {
     let settings = Settings::parse("test", SETTINGS).unwrap();
     let most = CONDITIONS_A_CHANGE * settings.cluster.state.changes();
     let mut manager = manager();
@@ -138,11 +139,11 @@
             job as u64,
         );
     }
-    let (_, transaction) = next_write(&mut manager, 1.0).expect("places are recorded");
+    let (_, transaction) = next_write(&mut manager, 1.0).expect("the placements are written");
     assert_eq!(transaction.compares.len(), most);
 }
 
-/// The transaction that a request commits.
+/// The transaction that a request commits as its only effect.
 fn committed(effects: &[RequestEffect]) -> &Transaction {
     match effects {
         [RequestEffect::Store(StoreCall::Commit(transaction))] => transaction,
@@ -150,30 +151,33 @@
     }
 }
 
-/// A transaction fails because the version was raised.
-fn version_raised() -> RequestEvent {
-    let failed = vec![VERSION.to_string()];
+/// The event that a transaction failed because a new version was activated.
+fn version_conflict() -> RequestEvent {
+    let failed = vec![VERSION_KEY.to_string()];
     RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::Conflict(failed)))
 }
 
-/// Whether a user is asked to come back later.
-fn is_turned_away(effects: &[RequestEffect]) -> bool {
+/// Whether a request is rejected with Retry-After.
+fn is_rejected(effects: &[RequestEffect]) -> bool {
     matches!(effects, [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some())
 }
 
 #[test]
-fn a_submission_at_an_old_version_is_turned_away_and_never_called_known() {
+fn submission_at_old_version_is_rejected_and_not_reported_as_accepted() {
     let body = submission("req-1", "sweep", "normal", 4).to_string();
     let (mut request, effects) =
         Request::submission(body.as_bytes(), request_context(write_fence(1)));
-    assert_eq!(stamp_in(committed(&effects)), Some(STAMP));
-    let answer = request.on_event(version_raised());
-    assert!(is_turned_away(&answer), "{answer:?}");
+    assert_eq!(
+        compared_mod_revision(committed(&effects)),
+        Some(MOD_REVISION)
+    );
+    let answer = request.on_event(version_conflict());
+    assert!(is_rejected(&answer), "{answer:?}");
 }
 
 #[test]
-fn a_cancellation_at_an_old_version_is_turned_away() {
+fn cancellation_at_old_version_is_rejected() {
     let (mut request, _) = Request::cancellation("req-1".into(), request_context(write_fence(1)));
     let mut store = Store::default();
     let body = submission("req-1", "sweep", "normal", 4);
@@ -181,21 +185,24 @@
     store.values.insert(open_key("req-1"), (open, 3));
     let read = StoreAnswer::Read(Ok(store.item(&open_key("req-1"))));
     let effects = request.on_event(RequestEvent::Store(read));
-    assert_eq!(stamp_in(committed(&effects)), Some(STAMP));
-    let answer = request.on_event(version_raised());
-    assert!(is_turned_away(&answer), "{answer:?}");
+    assert_eq!(
+        compared_mod_revision(committed(&effects)),
+        Some(MOD_REVISION)
+    );
+    let answer = request.on_event(version_conflict());
+    assert!(is_rejected(&answer), "{answer:?}");
 }
 
-/// A submission of a job that waits for another.
-fn waiting_submission() -> String {
+/// A submission of a job with a dependency.
+fn dependent_submission() -> String {
     let mut body = submission("req-2", "sweep", "normal", 4);
     body["waits_on"] = json!(["req-1"]);
     body.to_string()
 }
 
 #[test]
-fn a_job_that_waits_is_taken_from_the_version_on_that_all_controllers_know() {
-    let body = waiting_submission();
+fn dependent_job_is_accepted_only_when_its_feature_gate_is_open() {
+    let body = dependent_submission();
     let (_, closed) = Request::submission(body.as_bytes(), request_context(write_fence(1)));
     assert!(
         matches!(closed[..], [RequestEffect::Store(StoreCall::Read(_))]),
@@ -203,15 +210,15 @@
     );
     for open in [write_fence(2), WriteFence::Unstaged] {
         let (_, effects) = Request::submission(body.as_bytes(), request_context(open));
-        let asks_for_needed = committed(&effects).compares.iter();
-        let keys: Vec<&str> = asks_for_needed.map(|c| c.key.as_str()).collect();
+        let compares = committed(&effects).compares.iter();
+        let keys: Vec<&str> = compares.map(|c| c.key.as_str()).collect();
         assert!(keys.contains(&open_key("req-1").as_str()), "{keys:?}");
     }
 }
 
 #[test]
-fn a_job_that_waits_and_was_accepted_before_is_known_at_any_version() {
-    let body = waiting_submission();
+fn resubmitted_dependent_job_is_recognized_at_any_version() {
+    let body = dependent_submission();
     let (mut request, _) = Request::submission(body.as_bytes(), request_context(write_fence(1)));
     request.on_event(RequestEvent::Store(StoreAnswer::Read(Ok(None))));
     let mut store = Store::default();
@@ -219,7 +226,7 @@
     store.values.insert(end_key("req-2"), (end, 3));
     let read = StoreAnswer::Read(Ok(store.item(&end_key("req-2"))));
     let effects = request.on_event(RequestEvent::Store(read));
-    let known =
+    let accepted =
         matches!(effects.last(), Some(RequestEffect::Answer(answer)) if answer.status() == 200);
-    assert!(known, "{effects:?}");
+    assert!(accepted, "{effects:?}");
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,4 +1,4 @@
-//! Staged upgrades with three real controllers on loopback, and the command that operators use.
+//! Staged upgrades with three controller processes on loopback, and the `upgrade` command of operators.
 
 #[path = "common/standins.rs"]
 mod standins;
@@ -9,16 +9,16 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Operators finalize by hand.
+/// A policy that leaves finalizing to operators.
 const BY_HAND: &str = "(upgrade (finalize by-hand) (member-lease 2))";
 
-/// The exit code of the command, and its standard output.
+/// The exit code of a command and its standard output.
 struct CommandOutput {
     code: i32,
     text: String,
 }
 
-/// Runs the command for operators.
+/// Runs `stairstage upgrade` with these arguments.
 fn upgrade(grid: &Grid, policy: &Path, arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
         .arg("upgrade")
@@ -35,34 +35,34 @@
     }
 }
 
-/// Starts a controller that follows the policy.
-fn staged(grid: &Grid, i: usize, policy: &Path) -> Option<ControllerProcess> {
+/// Starts a controller with this upgrade policy.
+fn start_staged(grid: &Grid, i: usize, policy: &Path) -> Option<ControllerProcess> {
     grid.start_with(i, &[OsStr::new("--upgrade"), policy.as_os_str()])
 }
 
-/// A small job that waits for another.
-fn waiting_job(id: &str, needed: &str) -> Value {
+/// A small job with a dependency.
+fn dependent_job(id: &str, dependency: &str) -> Value {
     let mut job = small_job(id);
-    job["waits_on"] = json!([needed]);
+    job["waits_on"] = json!([dependency]);
     job
 }
 
-/// Whether a controller serves users.
+/// Whether the health check of a controller succeeds.
 fn healthy(grid: &Grid, i: usize) -> bool {
     call("GET", &grid.front(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
 }
 
 #[test]
-fn new_behaviour_is_off_until_every_controller_has_the_release_and_an_operator_finalizes() {
+fn gated_feature_is_rejected_until_all_controllers_support_it_and_an_operator_finalizes() {
     let grid = Grid::new("staged");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
-    let mut nodes: Vec<Option<ControllerProcess>> = vec![
-        staged(&grid, 0, &policy),
-        staged(&grid, 1, &policy),
-        // A release without staged upgrades.
+    let mut controllers: Vec<Option<ControllerProcess>> = vec![
+        start_staged(&grid, 0, &policy),
+        start_staged(&grid, 1, &policy),
+        // Stands for a release without staged upgrades: it gets no upgrade policy.
         grid.start(2),
     ];
-    let status = until("two are registered", || {
+    let status = until("two controllers are registered", || {
         let output = upgrade(&grid, &policy, &["status", "--format", "json"]);
         let status: Value = serde_json::from_str(&output.text).ok()?;
         let runs = |i: usize| status["controllers"][i]["release"].is_string();
@@ -73,9 +73,9 @@
     assert_eq!(status["controllers"][2]["release"], Value::Null);
 
     assert!([201, 200].contains(&accepted(&grid.front(0), &small_job("req-1"))));
-    let pipeline = waiting_job("req-2", "req-1");
-    let (code, answer) = until("it is answered", || {
-        call("POST", &grid.front(0), "/v2/runs", &pipeline)
+    let dependent = dependent_job("req-2", "req-1");
+    let (code, answer) = until("the submission is answered", || {
+        call("POST", &grid.front(0), "/v2/runs", &dependent)
     });
     assert_eq!(code, 503, "{answer}");
     assert!(answer["error"].as_str().unwrap().contains("finalized"));
@@ -87,8 +87,8 @@
         refused.text
     );
 
-    nodes[2] = None;
-    nodes[2] = staged(&grid, 2, &policy);
+    controllers[2] = None;
+    controllers[2] = start_staged(&grid, 2, &policy);
     until("the upgrade may be finalized", || {
         (upgrade(&grid, &policy, &["plan"]).code == 0).then_some(())
     });
@@ -100,34 +100,37 @@
     assert_eq!(upgrade(&grid, &policy, &["abort"]).code, 3);
     for i in 0..3 {
         let front = grid.front(i);
-        until("a job that waits is accepted", || {
-            let answer = call("POST", &front, "/v2/runs", &pipeline)?;
+        until("a dependent job is accepted", || {
+            let answer = call("POST", &front, "/v2/runs", &dependent)?;
             [200, 201].contains(&answer.0).then_some(())
         });
     }
-    drop(nodes);
+    drop(controllers);
 }
 
 #[test]
-fn an_upgrade_that_is_called_off_stays_so_until_it_is_finalized_by_hand() {
+fn aborted_upgrade_stays_aborted_until_an_operator_finalizes() {
     let grid = Grid::new("called-off");
     let automatic = "(upgrade (finalize automatic) (soak 0) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
-    let mut nodes = vec![staged(&grid, 0, &policy), staged(&grid, 1, &policy)];
-    until("two are registered", || {
+    let mut controllers = vec![
+        start_staged(&grid, 0, &policy),
+        start_staged(&grid, 1, &policy),
+    ];
+    until("two controllers are registered", || {
         let output = upgrade(&grid, &policy, &["status"]);
         (output.text.matches("versions 1 to 2").count() == 2).then_some(())
     });
     for _ in 0..2 {
         assert_eq!(upgrade(&grid, &policy, &["abort"]).code, 0);
     }
-    nodes.push(staged(&grid, 2, &policy));
-    let output = until("all are registered", || {
+    controllers.push(start_staged(&grid, 2, &policy));
+    let output = until("all controllers are registered", || {
         let output = upgrade(&grid, &policy, &["status"]);
         (output.text.matches("versions 1 to 2").count() == 3).then_some(output)
     });
     assert!(
-        output.text.contains("called the upgrade off"),
+        output.text.contains("aborted the upgrade"),
         "{}",
         output.text
     );
@@ -146,36 +149,38 @@
 }
 
 #[test]
-fn a_policy_finalizes_once_all_controllers_have_run_for_the_soak_time() {
+fn policy_finalizes_after_all_controllers_have_run_for_the_soak_time() {
     let grid = Grid::new("automatic");
     let automatic = "(upgrade (finalize automatic) (soak 0.001) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
-    let _nodes: Vec<Option<ControllerProcess>> =
-        (0..3).map(|i| staged(&grid, i, &policy)).collect();
-    until("the version rises", || {
+    let _controllers: Vec<Option<ControllerProcess>> =
+        (0..3).map(|i| start_staged(&grid, i, &policy)).collect();
+    until("version 2 is active", || {
         let output = upgrade(&grid, &policy, &["status"]);
         output.text.starts_with("cluster version 2\n").then_some(())
     });
 }
 
 #[test]
-fn controllers_withdraw_from_a_cluster_that_has_gone_beyond_their_release() {
+fn controllers_withdraw_when_their_release_does_not_support_the_active_version() {
     let grid = Grid::new("withdraws");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
-    let _nodes: Vec<Option<ControllerProcess>> =
-        (0..3).map(|i| staged(&grid, i, &policy)).collect();
-    until("there is a leader", || grid.leader());
-    until("all are healthy", || {
+    let _controllers: Vec<Option<ControllerProcess>> =
+        (0..3).map(|i| start_staged(&grid, i, &policy)).collect();
+    until("a leader is elected", || grid.leader());
+    until("all controllers are healthy", || {
         (0..3).all(|i| healthy(&grid, i)).then_some(())
     });
     accepted(&grid.front(0), &small_job("req-1"));
-    // A later release has finalized its version.
+    // The record as a later release writes it when it finalizes version 9.
     let record = json!({"active": 9, "since_ms": 1});
     grid.state.lock().unwrap().put("cluster/version", record);
-    until("nobody leads", || grid.leader().is_none().then_some(()));
+    until("the leader has stepped down", || {
+        grid.leader().is_none().then_some(())
+    });
     for i in 0..3 {
         let front = grid.front(i);
-        until("it leaves the rotation", || {
+        until("the health check fails", || {
             (!healthy(&grid, i)).then_some(())
         });
         let asked = call("GET", &front, "/v2/runs/req-1", &Value::Null);
@@ -184,15 +189,19 @@
         assert_eq!(submitted.map(|a| a.0), Some(503));
         let body = json!({"vessel": "m-1", "endpoint": "127.0.0.1:9", "hull": "g8", "berth": "z",
             "driftwood": false, "watch": 1, "log_no": 1, "helm": 0, "recall_s": null, "legs": []});
-        let reported = call("POST", &front, "/agent/beat", &body);
-        assert_ne!(reported.map(|a| a.0), Some(200), "no lease is renewed");
+        let heartbeat = call("POST", &front, "/agent/beat", &body);
+        assert_ne!(
+            heartbeat.map(|a| a.0),
+            Some(200),
+            "a worker's lease was renewed"
+        );
     }
     let open = |id: &str| grid.state.lock().unwrap().keys.contains_key(id);
     assert!(open("open/req-1") && !open("open/req-2"));
 }
 
 #[test]
-fn what_an_operator_gets_wrong_is_named_with_file_field_and_value() {
+fn invalid_policy_is_reported_with_file_field_and_value() {
     let grid = Grid::new("mistaken");
     let text = r#"(upgrade (window monday friday "20:00" "22:00" "Indian/Atlantis"))"#;
     let policy = grid.write_file("upgrade.lisp", text);
