--- a/crates/upgrade/src/fence.rs
+++ b/crates/upgrade/src/fence.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Applies a version record that was read. A record with a lower `mod_revision` than the last one is
-    /// stale and ignored.
+    /// Applies a version record that was read. A record whose `mod_revision` is not higher than the last
+    /// one's is ignored.
     pub fn apply(&mut self, record: &VersionRecord, mod_revision: u64) {
         if mod_revision > self.mod_revision {
             self.active = record.active;
@@ -127,7 +127,7 @@
     }
 
     /// Applies a version record that was read; does nothing if staged upgrades are disabled. A record
-    /// with a lower `mod_revision` than the last one is stale and ignored.
+    /// whose `mod_revision` is not higher than the last one's is ignored.
     pub fn apply(&mut self, supported: VersionRange, record: &VersionRecord, mod_revision: u64) {
         match self {
             WriteFence::Unstaged => {}
--- a/crates/upgrade/src/operation.rs
+++ b/crates/upgrade/src/operation.rs
@@ -12,10 +12,10 @@
 use crate::records::{member_key, Snapshot, VersionRecord, VERSION_KEY};
 use crate::version::ClusterVersion;
 
-/// How many times an operation reads the records before it gives up.
+/// How many times an operation reads the records before it finishes with [`Outcome::Undecided`].
 const MAX_ATTEMPTS: usize = 5;
 
-/// What an operation does.
+/// The goal of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
     /// Activate the next version.
--- a/crates/upgrade/tests/histories.rs
+++ b/crates/upgrade/tests/histories.rs
@@ -16,9 +16,9 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// The controllers of each simulation.
+/// The number of controllers in each simulation.
 const CONTROLLERS: usize = 3;
-/// Operators who finalize and abort at the same time.
+/// The number of operators who finalize and abort at the same time.
 const OPERATORS: usize = 2;
 /// The number of simulations.
 const CASES: u32 = 400;
@@ -228,8 +228,8 @@
         self.counts.withdrawals += usize::from(!supported);
     }
 
-    /// A controller writes in the format of the version that it believes to be active. The write must fail
-    /// if that version is stale.
+    /// A controller writes in the format of the version that it believes to be active. A write that compares
+    /// a stale `mod_revision` fails; any other must be in the format of the active version.
     fn write(&mut self, controller: usize) {
         let (active, mod_revision) = (self.active(), self.version_mod_revision());
         let Some(process) = &mut self.processes[controller] else {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Wire formats and settings under generated input.
+//! Wire formats, settings and policy files: examples, invalid values and generated input.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -47,14 +47,14 @@
 "#;
 
 #[test]
-fn a_submission_survives_the_way_through_the_records() {
+fn submission_is_unchanged_after_encoding_and_decoding() {
     let spec = JobSpec::parse(submission().to_string().as_bytes()).unwrap();
     let back: JobSpec = serde_json::from_value(serde_json::to_value(&spec).unwrap()).unwrap();
     assert_eq!(spec, back);
 }
 
 #[test]
-fn every_missing_field_is_named_unless_it_may_be_null() {
+fn missing_field_is_named_in_error_unless_it_is_optional() {
     let optional = ["hulls", "berth", "due_s"];
     for field in submission().as_object().unwrap().keys() {
         let mut body = submission();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn amounts_and_counts_out_of_range_are_refused() {
+fn submission_with_invalid_value_is_rejected_with_field_name() {
     for (field, value) in [
         ("legs", json!(0)),
         ("legs", json!(100_001)),
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn commands_have_the_words_of_the_wire() {
+fn commands_are_encoded_with_wire_names() {
     let task = "req-1/4".to_string();
     let commands = vec![
         Command::Start {
@@ -112,20 +112,20 @@
 }
 
 #[test]
-fn a_report_reads_as_the_protocol_shows_it() {
-    let report: Heartbeat = serde_json::from_value(json!({
+fn heartbeat_is_decoded_from_wire_format() {
+    let heartbeat: Heartbeat = serde_json::from_value(json!({
         "vessel":"m-000231","endpoint":"10.1.0.232:9000","hull":"g8","berth":"a",
         "driftwood":true,"watch":1,"log_no":88,"helm":41,"recall_s":null,"news":1,
         "legs":[{"leg":"req-000412/3","sailing":2,"status":"running"},
                 {"leg":"req-000398/0","sailing":1,"status":"exited","cause":"halted","kept":true}]
     }))
     .unwrap();
-    assert_eq!(report.tasks.len(), 2);
-    assert_eq!(report.tasks[1].saved, Some(true));
+    assert_eq!(heartbeat.tasks.len(), 2);
+    assert_eq!(heartbeat.tasks[1].saved, Some(true));
 }
 
 #[test]
-fn settings_are_checked_and_unknown_fields_ignored() {
+fn invalid_settings_are_rejected_and_unknown_fields_ignored() {
     assert!(Settings::parse("f.toml", SETTINGS).is_ok());
     for (from, to, named) in [
         (
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn the_smaller_of_both_limits_holds_for_what_is_written() {
+fn smaller_of_current_and_next_limits_applies_to_writes() {
     let state = |next: &str| {
         let text = SETTINGS.replace("txn_ops = 16", &format!("txn_ops = 16\n{next}"));
         Settings::parse("f.toml", &text).unwrap().cluster.state
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn the_operators_file_names_what_is_wrong() {
+fn invalid_policy_is_rejected_with_cause() {
     let policy = Policy::parse("p", "(policy (idle 2.0) ; a comment\n (spot no))").unwrap();
     assert_eq!((policy.idle, policy.spot), (2.0, false));
     for (text, named) in [
@@ -223,12 +223,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn no_body_makes_the_parser_panic(body in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn submission_parser_does_not_panic(body in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = JobSpec::parse(&body);
     }
 
     #[test]
-    fn a_mutilated_submission_is_read_or_refused(at in 0usize..330, byte in any::<u8>()) {
+    fn corrupted_submission_is_rejected_or_in_range(at in 0usize..330, byte in any::<u8>()) {
         let mut body = submission().to_string().into_bytes();
         let at = at % body.len();
         body[at] = byte;
@@ -239,24 +239,24 @@
     }
 
     #[test]
-    fn task_names_are_read_back(job in "[0-9]{1,9}", task in 0u32..100_000) {
+    fn task_names_are_parsed_back(job in "[0-9]{1,9}", task in 0u32..100_000) {
         let name = format!("req-{job}/{task}");
         prop_assert_eq!(parse_task(&name), Some((&name[..4 + job.len()], task)));
     }
 
     #[test]
-    fn no_task_name_makes_the_parser_panic(name in "\\PC*") {
+    fn task_name_parser_does_not_panic(name in "\\PC*") {
         let _ = parse_task(&name);
     }
 
     #[test]
-    fn no_operators_file_makes_the_parser_panic(text in "[()a-z0-9 .\"]{0,60}") {
+    fn policy_parser_does_not_panic(text in "[()a-z0-9 .\"]{0,60}") {
         let _ = Policy::parse("p", &text);
     }
 }
 
 #[test]
-fn the_example_of_an_operators_file_shows_the_defaults() {
+fn example_policy_equals_the_defaults() {
     let text = include_str!("../docs/policy.example.lisp");
     assert_eq!(Policy::parse("example", text).unwrap(), Policy::default());
 }
--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -1,8 +1,8 @@
-//! The operators' proof: batches are submitted while controllers of the version in production and of this
-//! one are mixed, replaced, rolled back, killed and left offline, and the upgrade is finalized in the
-//! middle. Every accepted job ends with exactly one final answer.
+//! Upgrade test for operators: jobs are submitted while controllers of the release in production and of
+//! this one run side by side and are replaced, rolled back, killed and left offline. The upgrade is
+//! finalized in the middle. Every accepted job must reach exactly one final state.
 //!
-//! Not in CI, as it needs the former program and takes minutes:
+//! Not in CI, because the test needs the program of the release in production and takes minutes:
 //!
 //!     STAIRSTAGE_FORMER=PATH STAIRSTAGE_PROOF_S=150 \
 //!         cargo test --test upgrade_proof -- --ignored --nocapture
@@ -21,79 +21,79 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// The same changes in each run.
+/// A fixed seed, so that each run makes the same changes.
 const SEED: u64 = 24;
-/// Operators finalize by hand.
+/// A policy that leaves finalizing to operators.
 const POLICY: &str = "(upgrade (finalize by-hand) (member-lease 2))";
-/// Between two submissions, and between two changes of a controller.
+/// The time between two submissions.
 const SUBMISSION_PAUSE: Duration = Duration::from_millis(250);
 /// The time between two changes of a controller.
 const CHANGE_PAUSE: Duration = Duration::from_secs(4);
-/// Of these, one is a kill, a rollback or a replacement, and one leaves a controller offline.
+/// One in this many changes leaves a controller offline; the others restart one with either release.
 const OFFLINE_EVERY: u64 = 5;
-/// The parts of the time before the upgrade is finalized.
+/// The share of the run before the upgrade is finalized.
 const MIXED_SHARE: f64 = 0.6;
 
-/// The grid under change, and what users know of their jobs.
-struct Proof {
+/// A cluster whose controllers change, and the states of jobs as users got them.
+struct UpgradeRun {
     grid: Grid,
-    former: PathBuf,
+    previous: PathBuf,
     policy: PathBuf,
-    nodes: [Option<ControllerProcess>; 3],
-    /// Whether each runs the present version.
-    present: [bool; 3],
+    controllers: [Option<ControllerProcess>; 3],
+    /// Whether each controller runs this release.
+    current: [bool; 3],
     random: SplitMix64,
-    /// The state that users last got for each accepted job.
+    /// The state that users got last for each accepted job.
     last_state: BTreeMap<String, String>,
     submitted: usize,
-    kills: usize,
+    changes: usize,
     offline: usize,
 }
 
-impl Proof {
-    fn new(former: PathBuf) -> Proof {
+impl UpgradeRun {
+    fn new(previous: PathBuf) -> UpgradeRun {
         let grid = Grid::new("proof");
         let policy = grid.write_file("upgrade.lisp", POLICY);
-        let mut proof = Proof {
+        let mut run = UpgradeRun {
             grid,
-            former,
+            previous,
             policy,
-            nodes: [None, None, None],
-            present: [false; 3],
+            controllers: [None, None, None],
+            current: [false; 3],
             random: SplitMix64(SEED),
             last_state: BTreeMap::new(),
             submitted: 0,
-            kills: 0,
+            changes: 0,
             offline: 0,
         };
-        (0..3).for_each(|i| proof.start(i, false));
-        proof
+        (0..3).for_each(|i| run.start(i, false));
+        run
     }
 
-    /// A number below the bound.
-    fn pick(&mut self, most: usize) -> usize {
-        self.random.next() as usize % most
+    /// A random number below `bound`.
+    fn pick(&mut self, bound: usize) -> usize {
+        self.random.next() as usize % bound
     }
 
-    /// Starts a controller with the present or the former program.
-    fn start(&mut self, i: usize, present: bool) {
-        self.nodes[i] = None;
-        self.present[i] = present;
+    /// Starts a controller with this release or the previous one, instead of the process that runs.
+    fn start(&mut self, i: usize, current: bool) {
+        self.controllers[i] = None;
+        self.current[i] = current;
         let arguments = [OsStr::new("--upgrade"), self.policy.as_os_str()];
-        self.nodes[i] = if present {
+        self.controllers[i] = if current {
             self.grid.start_with(i, &arguments)
         } else {
-            self.grid.start_program(&self.former, i, &[])
+            self.grid.start_program(&self.previous, i, &[])
         };
     }
 
-    /// One more job is submitted somewhere; those that wait for an earlier one only when that is allowed.
-    fn submit(&mut self, waits: bool) {
+    /// Submits a job to a random controller; with a dependency on an earlier job if `dependent`.
+    fn submit(&mut self, dependent: bool) {
         let id = format!("req-{}", self.submitted);
         self.submitted += 1;
         let mut job = small_job(&id);
-        if let Some(needed) = self.last_state.keys().next_back().filter(|_| waits) {
-            job["waits_on"] = json!([needed]);
+        if let Some(dependency) = self.last_state.keys().next_back().filter(|_| dependent) {
+            job["waits_on"] = json!([dependency]);
         }
         for _ in 0..20 {
             let front = self.grid.front(self.random.next() as usize % 3);
@@ -108,8 +108,8 @@
         }
     }
 
-    /// A user asks somewhere about some job that it has no final answer of.
-    fn ask(&mut self) {
+    /// A user polls a random job without a known final state at a random controller.
+    fn poll_any(&mut self) {
         let open: Vec<String> = self
             .last_state
             .iter()
@@ -120,68 +120,68 @@
             return;
         }
         let id = open[self.pick(open.len())].clone();
-        let node = self.pick(3);
-        self.ask_about(&id, node);
+        let controller = self.pick(3);
+        self.poll(&id, controller);
     }
 
-    /// A user asks a node about a job; no end is taken back.
-    fn ask_about(&mut self, id: &str, node: usize) {
+    /// A user polls a job at a controller; a final state must not be taken back.
+    fn poll(&mut self, id: &str, controller: usize) {
         let path = format!("/v2/runs/{id}");
-        let answer = call("GET", &self.grid.front(node), &path, &Value::Null);
+        let answer = call("GET", &self.grid.front(controller), &path, &Value::Null);
         let Some((200, answer)) = answer else {
-            let denied = answer.is_some_and(|(status, _)| status == 404);
-            assert!(!denied, "{id} is forgotten");
+            let is_unknown = answer.is_some_and(|(status, _)| status == 404);
+            assert!(!is_unknown, "{id}: an accepted job is unknown");
             return;
         };
         let state = answer["status"].as_str().unwrap().to_string();
-        assert_ne!(state, "cancelled", "{id}: nobody has cancelled it");
+        assert_ne!(state, "cancelled", "{id}: cancelled without a request");
         let before = self
             .last_state
             .insert(id.to_string(), state.clone())
             .unwrap();
-        let went_back = before == "done" && state != "done";
-        assert!(!went_back, "{id} went back to {state}");
+        let left_final_state = before == "done" && state != "done";
+        assert!(!left_final_state, "{id}: a done job is {state} again");
     }
 
-    /// The machine's tasks are done as soon as they have run for a report.
-    fn work(&mut self) {
+    /// The worker sends heartbeats to all controllers and finishes each task after one heartbeat.
+    fn run_worker(&mut self) {
         self.grid.worker.lock().unwrap().finish = true;
         self.grid.send_heartbeats(&[0, 1, 2]);
     }
 
-    /// A controller ends, and comes back with one of the two versions, or stays away until later.
-    fn change(&mut self, finalized: bool) {
+    /// Restarts a random controller with one of the two releases, or stops it until a later change.
+    fn change_controller(&mut self, finalized: bool) {
         let i = self.pick(3);
-        self.kills += 1;
-        if self.random.next() % OFFLINE_EVERY == 0 && self.nodes.iter().all(Option::is_some) {
-            self.nodes[i] = None;
+        self.changes += 1;
+        if self.random.next() % OFFLINE_EVERY == 0 && self.controllers.iter().all(Option::is_some) {
+            self.controllers[i] = None;
             self.offline += 1;
             return;
         }
-        let away = self.nodes.iter().position(Option::is_none);
-        let present = finalized || self.random.next() % 2 == 0;
-        self.start(away.unwrap_or(i), present);
+        let stopped = self.controllers.iter().position(Option::is_none);
+        let current = finalized || self.random.next() % 2 == 0;
+        self.start(stopped.unwrap_or(i), current);
     }
 
-    /// Users submit and ask while controllers change.
-    fn rounds(&mut self, until: Instant, finalized: bool) {
+    /// Users submit and poll jobs while controllers change.
+    fn run_until(&mut self, deadline: Instant, finalized: bool) {
         let (mut submitted, mut changed) = (Instant::now(), Instant::now());
-        while Instant::now() < until {
-            self.work();
-            self.ask();
+        while Instant::now() < deadline {
+            self.run_worker();
+            self.poll_any();
             if submitted.elapsed() > SUBMISSION_PAUSE {
                 submitted = Instant::now();
-                let waits = finalized && self.submitted % 4 == 0;
-                self.submit(waits);
+                let dependent = finalized && self.submitted % 4 == 0;
+                self.submit(dependent);
             }
             if changed.elapsed() > CHANGE_PAUSE {
                 changed = Instant::now();
-                self.change(finalized);
+                self.change_controller(finalized);
             }
         }
     }
 
-    /// All controllers have the present version, and an operator finalizes.
+    /// All controllers run this release, and an operator finalizes the upgrade.
     fn finalize(&mut self) {
         (0..3).for_each(|i| self.start(i, true));
         until("the upgrade is finalized", || {
@@ -194,12 +194,12 @@
         });
     }
 
-    /// Every job that was accepted is done, at every node.
-    fn settle(&mut self) {
+    /// Waits until every accepted job is done, and polls each at every controller.
+    fn finish_jobs(&mut self) {
         (0..3).for_each(|i| self.start(i, true));
         until("every job is done", || {
-            self.work();
-            (0..20).for_each(|_| self.ask());
+            self.run_worker();
+            (0..20).for_each(|_| self.poll_any());
             self.last_state
                 .values()
                 .all(|state| state == "done")
@@ -207,45 +207,46 @@
         });
         let ids: Vec<String> = self.last_state.keys().cloned().collect();
         for id in ids {
-            (0..3).for_each(|node| self.ask_about(&id, node));
+            (0..3).for_each(|controller| self.poll(&id, controller));
         }
     }
 }
 
 #[test]
-#[ignore = "needs the former program, and takes minutes"]
-fn every_job_ends_with_one_answer_while_former_and_present_controllers_are_mixed() {
-    let former = std::env::var("STAIRSTAGE_FORMER").expect("the path of the former program");
-    let seconds = std::env::var("STAIRSTAGE_PROOF_S").expect("for how many seconds");
+#[ignore = "needs the program of the previous release and takes minutes"]
+fn accepted_jobs_reach_one_final_state_while_releases_are_mixed() {
+    let previous =
+        std::env::var("STAIRSTAGE_FORMER").expect("the path of the previous release's program");
+    let seconds = std::env::var("STAIRSTAGE_PROOF_S").expect("the duration of the run in seconds");
     let seconds: f64 = seconds.parse().expect("a number");
-    let mut proof = Proof::new(Path::new(&former).to_path_buf());
+    let mut run = UpgradeRun::new(Path::new(&previous).to_path_buf());
     let begun = Instant::now();
-    proof.rounds(
+    run.run_until(
         begun + Duration::from_secs_f64(MIXED_SHARE * seconds),
         false,
     );
-    proof.finalize();
-    proof.rounds(begun + Duration::from_secs_f64(seconds), true);
-    proof.settle();
-    let starts = proof.grid.worker.lock().unwrap().starts.clone();
+    run.finalize();
+    run.run_until(begun + Duration::from_secs_f64(seconds), true);
+    run.finish_jobs();
+    let starts = run.grid.worker.lock().unwrap().starts.clone();
     let mut times: BTreeMap<&String, usize> = BTreeMap::new();
     starts
         .iter()
         .for_each(|task| *times.entry(task).or_default() += 1);
     let repeated = times.values().filter(|times| **times > 1).count();
     println!(
-        "{} s: {} jobs submitted, {} accepted, {} with one final answer, {} controllers ended, {} \
+        "{} s: {} jobs submitted, {} accepted, {} with one final state, {} changes of controllers, {} \
          left offline, {} tasks of {} started again after they had exited",
         begun.elapsed().as_secs(),
-        proof.submitted,
-        proof.last_state.len(),
-        proof
+        run.submitted,
+        run.last_state.len(),
+        run
             .last_state
             .values()
             .filter(|state| *state == "done")
             .count(),
-        proof.kills,
-        proof.offline,
+        run.changes,
+        run.offline,
         repeated,
         times.len()
     );
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -110,7 +110,7 @@
 
 #[test]
 fn aborted_upgrade_stays_aborted_until_an_operator_finalizes() {
-    let grid = Grid::new("called-off");
+    let grid = Grid::new("aborted");
     let automatic = "(upgrade (finalize automatic) (soak 0) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
     let mut controllers = vec![
@@ -183,8 +183,8 @@
         until("the health check fails", || {
             (!healthy(&grid, i)).then_some(())
         });
-        let asked = call("GET", &front, "/v2/runs/req-1", &Value::Null);
-        assert_eq!(asked.map(|a| a.0), Some(503));
+        let status = call("GET", &front, "/v2/runs/req-1", &Value::Null);
+        assert_eq!(status.map(|a| a.0), Some(503));
         let submitted = call("POST", &front, "/v2/runs", &small_job("req-2"));
         assert_eq!(submitted.map(|a| a.0), Some(503));
         let body = json!({"vessel": "m-1", "endpoint": "127.0.0.1:9", "hull": "g8", "berth": "z",
@@ -196,8 +196,8 @@
             "a worker's lease was renewed"
         );
     }
-    let open = |id: &str| grid.state.lock().unwrap().keys.contains_key(id);
-    assert!(open("open/req-1") && !open("open/req-2"));
+    let key_exists = |key: &str| grid.state.lock().unwrap().keys.contains_key(key);
+    assert!(key_exists("open/req-1") && !key_exists("open/req-2"));
 }
 
 #[test]
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,5 +1,5 @@
-//! The version in production and this one on each other's records, and limits of the state service
-//! that fall at any moment.
+//! Compatibility of stored records between the release in production and this one, and limits of the
+//! state service that are lowered while the cluster runs.
 
 mod common;
 
@@ -26,10 +26,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Tasks of the array whose completions are recorded.
+/// The number of tasks of the array whose completions are recorded.
 const TASKS: u32 = 90;
 
-/// A state service that takes values of any size.
+/// A key-value store without a limit on the size of values.
 fn unbounded() -> Store {
     Store {
         value_bytes: usize::MAX,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A leader whose records may be so large.
+/// A leader whose records are limited to `value_kb`.
 fn leader(store: &mut Store, value_kb: f64, now: f64) -> ClusterManager {
     let text = SETTINGS.replace("value_kb = 16.0", &format!("value_kb = {value_kb}"));
     let settings = Arc::new(Settings::parse("test", &text).unwrap());
@@ -52,11 +52,11 @@
     manager
 }
 
-/// Carries effects out; at most so many writes are applied before the leader ends.
-fn work(manager: &mut ClusterManager, store: &mut Store, now: f64, most_writes: usize) {
+/// Executes effects; at most `max_writes` writes are applied, and later ones have no response.
+fn execute_effects(manager: &mut ClusterManager, store: &mut Store, now: f64, max_writes: usize) {
     let mut writes = 0;
     each_effect(manager, now, |manager, effect| match effect {
-        Effect::Write { id, transaction } if writes < most_writes => {
+        Effect::Write { id, transaction } if writes < max_writes => {
             writes += 1;
             let written = match store.commit(&transaction) {
                 Ok(revision) => WriteOutcome::Applied(revision),
@@ -72,7 +72,7 @@
     });
 }
 
-/// So many machines report for the first time, with nothing on them.
+/// Each of `machines` machines sends its first heartbeat, without tasks.
 fn receive_first_heartbeats(manager: &mut ClusterManager, machines: usize, now: f64) {
     for i in 0..machines {
         let heartbeat = worker_heartbeat(&format!("m-{i}"), 1, manager.token().0, vec![]);
@@ -80,7 +80,7 @@
     }
 }
 
-/// An array is accepted.
+/// Stores the record of an accepted array.
 fn accept(store: &mut Store, id: &str, tasks: u32) {
     let spec = parsed(&submission(id, "sweep", "normal", tasks));
     let record = OpenRecord::accepted(spec, 0);
@@ -89,26 +89,26 @@
     store.commit(&txn).unwrap();
 }
 
-/// Every place that any record tells of.
-fn places(store: &Store) -> BTreeSet<(String, String, u32)> {
+/// All placements in the stored records, as job, machine and task.
+fn stored_placements(store: &Store) -> BTreeSet<(String, String, u32)> {
     let mut all = BTreeSet::new();
     for item in store.under(PLACEMENT_PREFIX) {
         let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
         for (id, machines) in record.places {
             for (machine, tasks) in machines {
-                let place = |(task, _): (u32, u64)| (id.clone(), machine.clone(), task);
-                all.extend(tasks.into_iter().map(place));
+                let placement = |(task, _): (u32, u64)| (id.clone(), machine.clone(), task);
+                all.extend(tasks.into_iter().map(placement));
             }
         }
     }
     all
 }
 
-/// What each leader of a history does: the size of its records, how many of its writes are applied,
-/// and which tasks complete under it.
+/// A term of a leader: the limit of its records in KB, how many of its writes are applied, and which
+/// tasks complete.
 type Term = (f64, usize, BTreeSet<u32>);
 
-/// A few leaders, one after the other.
+/// Generates the terms of successive leaders.
 fn terms() -> impl Strategy<Value = Vec<Term>> {
     let sizes = prop::sample::select(vec![0.1, 0.13, 0.25, 0.6, 2.0, 16.0]);
     let tasks = prop::collection::btree_set(0..TASKS, 0..30);
@@ -124,7 +124,7 @@
     })]
 
     #[test]
-    fn what_is_recorded_as_complete_stays_so_in_any_cut(terms in terms(), production in 0usize..7) {
+    fn recorded_completions_are_kept_whatever_the_record_size(terms in terms(), production in 0usize..7) {
         let mut store = unbounded();
         accept(&mut store, "req-1", TASKS);
         let recorded = |store: &Store| -> BTreeSet<u32> {
@@ -146,9 +146,9 @@
             let done: Vec<AttemptId> = done.iter().map(|t| AttemptId::new(&format!("req-1/{t}"), 1)).collect();
             let tasks = shown(&done, TaskState::Exited, Some(Cause::Done));
             manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, tasks), now);
-            // Long enough for a record of what completes to be due, however scarce the budget.
+            // Long enough for the write of a completion record to be due, even with a small write budget.
             now += 60.0;
-            work(&mut manager, &mut store, now, writes);
+            execute_effects(&mut manager, &mut store, now, writes);
             prop_assert!(recorded(&store).is_superset(&before));
         }
         let mut manager = leader(&mut store, 2.0, now);
@@ -156,26 +156,26 @@
         let tasks = shown(&rest, TaskState::Exited, Some(Cause::Done));
         manager.heartbeat(&worker_heartbeat("m-1", 99, 1, tasks), now);
         now += 1.0;
-        work(&mut manager, &mut store, now, usize::MAX);
+        execute_effects(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
-        work(&mut manager, &mut store, now, usize::MAX);
-        prop_assert!(store.item(&end_key("req-1")).is_some(), "it ends");
+        execute_effects(&mut manager, &mut store, now, usize::MAX);
+        prop_assert!(store.item(&end_key("req-1")).is_some(), "no final state is recorded");
         let left = store.under(COMPLETION_PREFIX);
-        prop_assert!(left.is_empty(), "no record of it is left: {left:?}");
+        prop_assert!(left.is_empty(), "completion records are left: {left:?}");
     }
 
     #[test]
-    fn a_place_is_on_record_while_any_leader_cuts_the_records_anew(terms in terms(), production in 0usize..7) {
+    fn placements_stay_recorded_while_leaders_change_the_record_size(terms in terms(), production in 0usize..7) {
         let mut store = unbounded();
         for id in ["req-1", "req-2", "req-3"] {
             accept(&mut store, id, 12);
         }
-        // A leader with large records places everything.
+        // A leader with large records places all tasks.
         let mut now = 0.0;
         let mut manager = leader(&mut store, 16.0, now);
         receive_first_heartbeats(&mut manager, 9, now);
-        work(&mut manager, &mut store, now, usize::MAX);
-        let placed = places(&store);
+        execute_effects(&mut manager, &mut store, now, usize::MAX);
+        let placed = stored_placements(&store);
         prop_assert_eq!(placed.len(), 36);
         for (i, (value_kb, writes, _)) in terms.into_iter().enumerate() {
             if i == production {
@@ -184,38 +184,38 @@
             let mut manager = leader(&mut store, value_kb, now);
             for _ in 0..writes {
                 now += 10.0;
-                work(&mut manager, &mut store, now, 1);
-                // No worker was heard: nothing is proven gone, and so nothing may be forgotten.
-                prop_assert_eq!(&places(&store), &placed);
+                execute_effects(&mut manager, &mut store, now, 1);
+                // Without heartbeats no task is known to have exited, so no placement may be deleted.
+                prop_assert_eq!(&stored_placements(&store), &placed);
             }
         }
     }
 }
 
 #[test]
-fn a_leader_with_small_records_comes_to_write_them_all() {
+fn leader_with_smaller_limit_rewrites_all_large_records() {
     let mut store = unbounded();
     accept(&mut store, "req-1", 36);
     let mut manager = leader(&mut store, 16.0, 0.0);
     receive_first_heartbeats(&mut manager, 9, 0.0);
-    work(&mut manager, &mut store, 0.0, usize::MAX);
+    execute_effects(&mut manager, &mut store, 0.0, usize::MAX);
     let mut manager = leader(&mut store, 0.25, 0.0);
     for second in 0..60 {
-        work(&mut manager, &mut store, f64::from(second), usize::MAX);
+        execute_effects(&mut manager, &mut store, f64::from(second), usize::MAX);
     }
     let large = store.under(PLACEMENT_PREFIX).into_iter();
     let large = large.filter(|i| i.value.to_string().len() > 256).count();
-    assert_eq!((large, places(&store).len()), (0, 36));
+    assert_eq!((large, stored_placements(&store).len()), (0, 36));
 }
 
 #[test]
-fn a_write_that_is_larger_than_the_service_takes_is_cut_smaller() {
+fn write_that_is_too_large_is_split() {
     let mut store = unbounded();
     accept(&mut store, "req-1", 36);
     accept(&mut store, "req-2", 1);
     let mut manager = leader(&mut store, 16.0, 0.0);
     receive_first_heartbeats(&mut manager, 10, 0.0);
-    // It takes far less than the settings say, of now and of later.
+    // The state service accepts far smaller writes than the current and the next limits in the settings.
     (store.value_bytes, store.txn_ops) = (300, 2);
     let mut launched = BTreeSet::new();
     for tenth in 0..100 {
@@ -244,27 +244,27 @@
     assert_eq!(launched.len(), 37);
 }
 
-/// Records as the version in production has written them.
+/// Records as the release in production writes them.
 const OPEN_RECORD: &str = r#"{"spec":{"name_id":"req-000412","duty":"train","crew":"vision",
     "rig":"group","precedence":"urgent","legs":16,"cpus":8.0,"gpus":1.0,"mem_gb":64.0,
     "kit":"img-07","size_gb":6.2,"hulls":["g8"],"berth":null,"same_place":true,"spread":false,
     "driftwood":true,"passage_s":240.0,"fix_interval_s":30.0,"fix_s":4.0,"due_s":900.0},
     "at_ms":1700000000000,"cancelled":false}"#;
-const END_RECORD: &str = r#"{"state":"done"}"#;
-const RUN_RECORD: &str = r#"{"d":[[0,3],[7,7]]}"#;
-const PLACE_RECORD: &str = r#"{"p":{"req-000412":{"m-000231":[[4,1048577],[5,1048577]]}}}"#;
+const FINAL_STATE_RECORD: &str = r#"{"state":"done"}"#;
+const COMPLETION_RECORD: &str = r#"{"d":[[0,3],[7,7]]}"#;
+const PLACEMENT_RECORD: &str = r#"{"p":{"req-000412":{"m-000231":[[4,1048577],[5,1048577]]}}}"#;
 
 #[test]
-fn what_production_has_written_is_read_and_carried_on() {
+fn records_of_production_release_are_decoded_and_encoded_unchanged() {
     let open: OpenRecord = serde_json::from_str(OPEN_RECORD).unwrap();
     assert!(open.spec.waits_on.is_empty() && !open.cancelled);
-    // Where nothing is new, nothing changes: production reads what is written now.
+    // Without new features the encoding is the same, so the release in production can read it.
     let written = serde_json::to_value(&open).unwrap();
     assert_eq!(written, serde_json::from_str::<Value>(OPEN_RECORD).unwrap());
-    let end: EndRecord = serde_json::from_str(END_RECORD).unwrap();
+    let end: EndRecord = serde_json::from_str(FINAL_STATE_RECORD).unwrap();
     assert_eq!((end.state, end.at_ms), (JobState::Done, None));
-    let run: StoredCompletions = serde_json::from_str(RUN_RECORD).unwrap();
-    assert_eq!(run.done, [(0, 3), (7, 7)]);
+    let completions: StoredCompletions = serde_json::from_str(COMPLETION_RECORD).unwrap();
+    assert_eq!(completions.done, [(0, 3), (7, 7)]);
     assert_eq!(parse_completion_key("run/req-1/0"), Some(("req-1", 0)));
     assert_eq!(
         CompletionShards {
@@ -272,21 +272,22 @@
         }
         .shard_index(0),
         None,
-        "never written anew"
+        "records of the old sharding are not written"
     );
-    let places: StoredPlacements = serde_json::from_str(PLACE_RECORD).unwrap();
+    let places: StoredPlacements = serde_json::from_str(PLACEMENT_RECORD).unwrap();
     assert_eq!(
         serde_json::to_value(&places).unwrap(),
-        serde_json::from_str::<Value>(PLACE_RECORD).unwrap()
+        serde_json::from_str::<Value>(PLACEMENT_RECORD).unwrap()
     );
 }
 
 #[test]
-fn what_production_reads_of_a_job_that_waits_keeps_it_pending() {
+fn dependent_job_stays_pending_under_production_release() {
     let mut record: OpenRecord = serde_json::from_str(OPEN_RECORD).unwrap();
     record.spec.waits_on = vec!["req-000398".into()];
     let written = serde_json::to_value(&record).unwrap();
-    // Fields that it does not know are ignored; no machine is of a type that the list names.
+    // The release in production ignores unknown fields. An empty list of machine types matches no machine,
+    // so that release does not start the job.
     assert_eq!(written["spec"]["hulls"], json!([]));
     assert!(written["spec"].get("waits_on").is_none());
     let mut names: Vec<&String> = written["spec"].as_object().unwrap().keys().collect();
@@ -298,7 +299,7 @@
 }
 
 #[test]
-fn a_job_that_production_cancels_is_cancelled_though_it_drops_what_it_does_not_know() {
+fn cancellation_by_production_release_holds_though_it_drops_unknown_fields() {
     let mut record: OpenRecord = serde_json::from_str(OPEN_RECORD).unwrap();
     record.spec.waits_on = vec!["req-000398".into()];
     let mut written = serde_json::to_value(&record).unwrap();
@@ -312,12 +313,12 @@
     assert_eq!(
         manager.status("req-000412").map(|s| s.state),
         None,
-        "its end is recorded"
+        "its final state is recorded"
     );
 }
 
 #[test]
-fn the_longest_description_that_production_took_can_be_cancelled_under_the_new_limits() {
+fn largest_job_of_production_release_can_be_cancelled_under_lower_limits() {
     let text = |n: usize| "\u{1}".repeat(n);
     let mut body = submission("req-1", "sweep", "normal", 100_000);
     body["duty"] = json!(text(150));
@@ -339,7 +340,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn records_are_never_larger_than_they_were_counted(
+    fn encoded_records_are_not_larger_than_their_computed_size(
         entries in prop::collection::vec(("[a-z\"\\\\\u{1}-]{1,30}", 0u32..100_000, any::<u64>(), "[a-z0-9\"-]{1,30}"), 1..40),
         done in prop::collection::btree_set(0u32..100_000, 0..200),
     ) {
@@ -360,17 +361,17 @@
             prop_assert!(placement_record.remove(entry));
         }
         prop_assert_eq!(placement_record.bytes(), EMPTY_BYTES);
-        let mut run = StoredCompletions::default();
-        done.iter().for_each(|t| run.push_done(*t));
-        prop_assert!(serde_json::to_string(&run).unwrap().len() <= run.bytes());
+        let mut completions = StoredCompletions::default();
+        done.iter().for_each(|t| completions.push_done(*t));
+        prop_assert!(serde_json::to_string(&completions).unwrap().len() <= completions.bytes());
     }
 
     #[test]
-    fn a_full_record_of_completed_tasks_fits(bytes in 100usize..20_000) {
-        let cut = CompletionShards::within(bytes);
-        let mut run = StoredCompletions::default();
-        let first = 99_999 - 2 * (cut.tasks_per_shard as u32 / 2);
-        (0..cut.tasks_per_shard as u32 / 2).for_each(|i| run.push_done(first + 2 * i));
-        prop_assert!(serde_json::to_string(&run).unwrap().len() <= bytes);
+    fn full_completion_record_fits_the_size_limit(bytes in 100usize..20_000) {
+        let shards = CompletionShards::within(bytes);
+        let mut completions = StoredCompletions::default();
+        let first = 99_999 - 2 * (shards.tasks_per_shard as u32 / 2);
+        (0..shards.tasks_per_shard as u32 / 2).for_each(|i| completions.push_done(first + 2 * i));
+        prop_assert!(serde_json::to_string(&completions).unwrap().len() <= bytes);
     }
 }
