--- a/crates/upgrade/src/fence.rs
+++ b/crates/upgrade/src/fence.rs
@@ -132,7 +132,7 @@
         match self {
             WriteFence::Unstaged => {}
             WriteFence::Unread => {
-                *self = WriteFence::Read(Fence::new(supported, record, mod_revision))
+                *self = WriteFence::Read(Fence::new(supported, record, mod_revision));
             }
             WriteFence::Read(fence) => fence.apply(record, mod_revision),
         }
