--- a/crates/upgrade/src/operation.rs
+++ b/crates/upgrade/src/operation.rs
@@ -50,7 +50,7 @@
     /// A condition failed because a record has changed.
     Conflict,
     /// The state service rejected the change.
-    Refused,
+    Rejected,
     /// There was no response: the change may have been applied, or may be applied later.
     Indeterminate,
 }
--- a/crates/upgrade/tests/histories.rs
+++ b/crates/upgrade/tests/histories.rs
@@ -308,7 +308,7 @@
                 self.delayed.push((change, based_on));
                 ChangeOutcome::Indeterminate
             }
-            Fate::Refused => ChangeOutcome::Refused,
+            Fate::Refused => ChangeOutcome::Rejected,
         }
     }
 
--- a/src/coordination/cluster/cancellation_evidence.rs
+++ b/src/coordination/cluster/cancellation_evidence.rs
@@ -35,9 +35,9 @@
     confirmed_until: Option<Time>,
 }
 
-/// Another controller's answer to a request for the cancellations that it has confirmed.
+/// The cancellations that another controller has confirmed, as it answered a query for them.
 #[derive(Debug)]
-pub struct PeerAnswer {
+pub struct PeerCancellations {
     /// The peer that answered.
     pub peer: String,
     /// The position in the peer's log from which cancellations were requested.
@@ -81,7 +81,7 @@
     }
 
     /// Applies a peer's answer. The cancellations in it must have been applied before.
-    pub fn peer_answered(&mut self, answer: &PeerAnswer) {
+    pub fn peer_answered(&mut self, answer: &PeerCancellations) {
         let Some(peer) = self.peers.get_mut(&answer.peer) else {
             return;
         };
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -153,7 +153,7 @@
     /// Sends commands that should not wait for the next heartbeat directly to the workers. A leader
     /// whose lease may have expired still stops tasks this way, but starts none.
     pub(crate) fn send_commands(&mut self, now: Time) {
-        if self.leadership.is_deposed() {
+        if self.leadership.has_stepped_down() {
             return;
         }
         for name in std::mem::take(&mut self.machines_to_notify) {
@@ -213,20 +213,24 @@
         match outcome {
             CommandOutcome::Executed(heartbeat) => {
                 worker.record_acknowledgement(true, now);
-                self.apply_answer(name, &heartbeat, now);
+                self.apply_returned_heartbeat(name, &heartbeat, now);
+            }
+            CommandOutcome::Rejected(Some(heartbeat)) => {
+                self.apply_returned_heartbeat(name, &heartbeat, now)
             }
-            CommandOutcome::Rejected(Some(heartbeat)) => self.apply_answer(name, &heartbeat, now),
             // The remaining commands go out with the responses to heartbeats; the failure proves
             // nothing about the machine.
-            CommandOutcome::Rejected(None) | CommandOutcome::NotSent | CommandOutcome::Unknown => {
+            CommandOutcome::Rejected(None)
+            | CommandOutcome::NotSent
+            | CommandOutcome::Indeterminate => {
                 worker.commands_unanswered(pause_s, now);
             }
         }
     }
 
-    fn apply_answer(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
+    fn apply_returned_heartbeat(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
         if heartbeat.token > self.leadership.token() {
-            self.leadership.depose();
+            self.leadership.step_down();
         } else if heartbeat.machine == **name {
             self.apply_command_response(heartbeat, now);
         }
@@ -278,7 +282,7 @@
         blocking
     }
 
-    /// Takes over a higher token; `None` if drawing one failed.
+    /// Applies the result of drawing a higher token; `None` if that failed.
     pub(crate) fn token_raised(&mut self, token: Option<FencingToken>, now: Time) {
         if self.leadership.token_raised(token, now) {
             debug!(token = %self.leadership.token(), "fencing token raised");
--- a/src/coordination/cluster/effect.rs
+++ b/src/coordination/cluster/effect.rs
@@ -65,17 +65,17 @@
     /// The commands were certainly not sent.
     NotSent,
     /// The worker may have executed them.
-    Unknown,
+    Indeterminate,
 }
 
 /// How the leader handles a heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatOutcome {
     /// Responds, which renews the worker's lease.
-    Answer(HeartbeatResponse),
+    Response(HeartbeatResponse),
     /// Does not respond: the heartbeat is older than the newest known one, and its sender no longer
     /// waits.
     Stale,
-    /// Does not respond: the worker has seen a higher token than this leader's.
-    Deposed,
+    /// Does not respond and steps down: the worker has seen a higher token than this leader's.
+    SteppedDown,
 }
--- a/src/coordination/cluster/heartbeats.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -19,8 +19,8 @@
     /// The worker sent it to another controller, which forwarded it. It proves nothing about the
     /// network between this controller and the worker.
     Peer,
-    /// It answered a direct command. It proves nothing about the response to the worker's last regular
-    /// heartbeat, which may still be in flight.
+    /// The worker sent it in response to a direct command. It proves nothing about the response to the
+    /// worker's last unsolicited heartbeat, which may still be in flight.
     CommandResponse,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Applies the heartbeat that answered a direct command; returns whether it was newer than all
+    /// Applies the heartbeat in the response to a direct command; returns whether it was newer than all
     /// earlier ones.
     pub(crate) fn apply_command_response(&mut self, heartbeat: &Heartbeat, now: Time) -> bool {
         self.apply_heartbeat(heartbeat, HeartbeatSource::CommandResponse, now)
@@ -72,8 +72,8 @@
         if source == HeartbeatSource::Worker {
             self.heartbeats.note_direct_heartbeat(now);
         }
-        let is_own = source != HeartbeatSource::CommandResponse;
-        let is_new_incarnation = self.update_machine(&name, heartbeat, is_own, now);
+        let is_unsolicited = source != HeartbeatSource::CommandResponse;
+        let is_new_incarnation = self.update_machine(&name, heartbeat, is_unsolicited, now);
         if is_new_incarnation {
             self.end_incarnation(&name, now);
         }
@@ -95,7 +95,7 @@
         &mut self,
         name: &MachineName,
         heartbeat: &Heartbeat,
-        is_own: bool,
+        is_unsolicited: bool,
         now: Time,
     ) -> bool {
         let lease_s = self.settings.cluster.workers.lease_s;
@@ -107,7 +107,9 @@
         });
         machine.describe(&heartbeat.kind, &heartbeat.zone, heartbeat.spot);
         let is_new_incarnation = machine.worker.begins_incarnation(heartbeat);
-        machine.worker.apply(heartbeat, is_own, lease_s, now);
+        machine
+            .worker
+            .apply(heartbeat, is_unsolicited, lease_s, now);
         if machine.phase == MachinePhase::Booting {
             machine.phase = MachinePhase::Up;
             machine.idle_since = now;
@@ -127,7 +129,7 @@
         is_new_incarnation
     }
 
-    /// Applies a worker's regular heartbeat, direct or forwarded, and responds to it.
+    /// Applies a worker's unsolicited heartbeat, direct or forwarded, and responds to it.
     pub(crate) fn heartbeat_from(
         &mut self,
         source: HeartbeatSource,
@@ -142,8 +144,8 @@
                 %token,
                 "worker has seen a higher fencing token, stepping down"
             );
-            self.leadership.depose();
-            return HeartbeatOutcome::Deposed;
+            self.leadership.step_down();
+            return HeartbeatOutcome::SteppedDown;
         }
         if !self.apply_heartbeat(heartbeat, source, now) {
             return HeartbeatOutcome::Stale;
@@ -156,7 +158,7 @@
         }
         commands.extend(self.commands(&name, Some(heartbeat.sequence), now));
         commands.truncate(MAX_COMMANDS);
-        HeartbeatOutcome::Answer(HeartbeatResponse { token, commands })
+        HeartbeatOutcome::Response(HeartbeatResponse { token, commands })
     }
 
     /// Commands that stop, and later forget, tasks that belong to no open job.
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -87,7 +87,7 @@
         });
     }
 
-    /// The status of a job for users; `None` for a job that is not open here, or that may have to be
+    /// The status of a job for users; `None` for a job that is not open, or that may have to be
     /// cancelled with a dependency: it must not be called pending for long after that dependency was
     /// cancelled.
     pub(crate) fn status(&self, id: &str) -> Option<JobStatus> {
@@ -130,9 +130,9 @@
             Some(task) if !is_gang => task.allocations.clone(),
             _ => Vec::new(),
         };
-        let is_finished = job.needs_final_state();
+        let needs_final_state = job.needs_final_state();
         self.attribute_failures(id);
-        if is_finished {
+        if needs_final_state {
             self.mark_finished(id);
         }
         for task in completed {
--- a/src/coordination/cluster/leadership.rs
+++ b/src/coordination/cluster/leadership.rs
@@ -19,12 +19,12 @@
     ids_issued: u64,
     /// What may be written at the active cluster version.
     write_fence: WriteFence,
-    /// The time until which the leadership lease certainly holds.
+    /// The time until which the leadership lease is guaranteed to be valid.
     lease_valid_until: Time,
     elected_at: Time,
     token_raised_at: Time,
     is_raising_token: bool,
-    deposed: bool,
+    has_stepped_down: bool,
     /// Whether this leader has launched a task yet.
     has_launched: bool,
     /// When every other controller had promised to answer no heartbeat with a lower token.
@@ -43,7 +43,7 @@
             elected_at: now,
             token_raised_at: now,
             is_raising_token: false,
-            deposed: false,
+            has_stepped_down: false,
             has_launched: false,
             peers_promised_at: None,
         }
@@ -66,32 +66,32 @@
 
     /// Whether the leader may start tasks and write records.
     pub(crate) fn is_leader(&self, now: Time) -> bool {
-        self.holds_lease(now) && !self.deposed
+        self.holds_lease(now) && !self.has_stepped_down
     }
 
-    /// Whether the leadership lease certainly holds.
+    /// Whether the leadership lease is guaranteed to be valid.
     pub(crate) fn holds_lease(&self, now: Time) -> bool {
         now < self.lease_valid_until
     }
 
-    /// The time until which the leadership lease certainly holds.
+    /// The time until which the leadership lease is guaranteed to be valid.
     pub(crate) fn lease_valid_until(&self) -> Time {
         self.lease_valid_until
     }
 
-    /// Sets the time until which the leadership lease certainly holds.
+    /// Sets the time until which the leadership lease is guaranteed to be valid.
     pub(crate) fn set_lease_valid_until(&mut self, until: Time) {
         self.lease_valid_until = until;
     }
 
-    /// Whether the leadership has ended, even if the lease is still valid.
-    pub(crate) fn is_deposed(&self) -> bool {
-        self.deposed
+    /// Whether this leader has stepped down, even if the lease is still valid.
+    pub(crate) fn has_stepped_down(&self) -> bool {
+        self.has_stepped_down
     }
 
-    /// Ends the leadership.
-    pub(super) fn depose(&mut self) {
-        self.deposed = true;
+    /// Ends the leadership: no further commands or writes are sent.
+    pub(super) fn step_down(&mut self) {
+        self.has_stepped_down = true;
     }
 
     /// What may be written at the active cluster version.
--- a/src/coordination/cluster/machine_health.rs
+++ b/src/coordination/cluster/machine_health.rs
@@ -117,8 +117,9 @@
         }
     }
 
-    /// Handles a refused launch: the next attempt waits for a newer heartbeat of the machine.
-    pub(super) fn launch_refused(&mut self, id: &JobId, now: Time) {
+    /// Handles a launch that the worker rejected: the next attempt waits for a newer heartbeat of the
+    /// machine.
+    pub(super) fn launch_rejected(&mut self, id: &JobId, now: Time) {
         let pause_s = self.settings.cluster.workers.report_s / 2.0;
         if let Some(job) = self.jobs.get_mut(id) {
             job.retry_at = job.retry_at.max(now + pause_s);
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -13,9 +13,9 @@
 //! - [`cancellation_evidence`], [`heartbeat_routing`]: which leases may be renewed, and how followers
 //!   route heartbeats.
 //!
-//! State with invariants of its own is kept behind private fields: `Leadership`, `HeartbeatMonitor`,
+//! State with its own invariants is kept behind private fields: `Leadership`, `HeartbeatMonitor`,
 //! `PlacementRecords`, `WriteQueue`, `DependencyGraph`, `Starvation`, `ServiceArrivals`. The work per
-//! event does not grow with the cluster, because work left to do is kept in indices.
+//! event does not grow with the cluster, because pending work is indexed.
 
 mod allocations;
 pub mod cancellation_evidence;
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -196,8 +196,8 @@
             }
             Cause::Error => self.task_failed_on(job, machine, exited.planned_at, now),
             Cause::InsufficientResources | Cause::Busy | Cause::Unknown => {
-                warn!(machine = %machine, task = %exited.id, cause = ?exited.cause, "launch refused");
-                self.launch_refused(job, now);
+                warn!(machine = %machine, task = %exited.id, cause = ?exited.cause, "launch rejected");
+                self.launch_rejected(job, now);
             }
             Cause::Stopped | Cause::GangBroken | Cause::GangIncomplete => self.task_lost(job, now),
         }
@@ -229,11 +229,11 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let reported_sequence = machine.worker.unsolicited_sequence();
+        let unsolicited_sequence = machine.worker.unsolicited_sequence();
         // A response carried a launch, but a later heartbeat does not show the task.
         let is_unacknowledged = machine.allocations().iter().any(|(id, a)| {
             let sequence = a.launch_response_sequence;
-            let is_answered = sequence.is_some_and(|s| s < reported_sequence);
+            let is_answered = sequence.is_some_and(|s| s < unsolicited_sequence);
             let is_launching = a.state == AllocationState::Launching && a.pending_stop.is_none();
             is_launching && is_answered && !shown.contains(id)
         });
@@ -245,7 +245,7 @@
             if shown.contains(id) {
                 return true;
             }
-            let launches_are_over = allocation.no_launch_in_flight(token, reported_sequence);
+            let launches_are_over = allocation.no_launch_in_flight(token, unsolicited_sequence);
             if matches!(allocation.state, AllocationState::Exited(_)) {
                 // The worker has executed the `forget`.
                 return !launches_are_over;
--- a/src/coordination/cluster/write_queue.rs
+++ b/src/coordination/cluster/write_queue.rs
@@ -144,8 +144,8 @@
     }
 
     /// Takes write operations from the rate limit; returns whether it allowed them all.
-    pub(super) fn spend(&mut self, changes: usize, now: Time) -> bool {
-        self.limit.take(now, changes as f64)
+    pub(super) fn spend(&mut self, operations: usize, now: Time) -> bool {
+        self.limit.take(now, operations as f64)
     }
 
     /// The most operations that a transaction may have.
--- a/src/coordination/cluster/writes/reread.rs
+++ b/src/coordination/cluster/writes/reread.rs
@@ -38,12 +38,12 @@
         let is_other = version > self.leadership.token().0 || version == 0;
         if is_other && !self.leadership.is_raising_token() {
             warn!(version, "leadership lost: the leader's record has changed");
-            self.leadership.depose();
+            self.leadership.step_down();
         }
     }
 
-    /// Applies a cluster version that has been raised, or an upgrade that has been called off. Later
-    /// writes compare the new version, or are refused.
+    /// Applies a cluster version record that has changed, because the version was raised or the upgrade
+    /// aborted. Later writes compare the new version of the record, or the leader steps down.
     fn cluster_version_reread(&mut self, item: Option<VersionedValue>) {
         let Some(item) = item else {
             return;
@@ -56,12 +56,12 @@
             }
             Err(error) => {
                 warn!(key = VERSION_KEY, %error, "record cannot be decoded");
-                self.leadership.depose();
+                self.leadership.step_down();
             }
         }
         if let Some(reason) = self.leadership.write_fence().refusal() {
             warn!(%reason, "stepping down");
-            self.leadership.depose();
+            self.leadership.step_down();
         }
     }
 
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -100,7 +100,7 @@
             }
             (State::Leading(term), input) => self.on_term_input(term, input, now),
             (_, input) => {
-                error!(?input, "unexpected outcome of an election operation");
+                error!(?input, "outcome does not match the election operation in progress, reading the leader record");
                 self.read()
             }
         };
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -116,7 +116,10 @@
                 self.on_raise_outcome(outcome, now, events);
             }
             (InProgress::ReadBack, Input::Read(record)) => self.on_read_back(record, now, events),
-            (_, input) => error!(?input, "unexpected outcome of an election operation"),
+            (_, input) => error!(
+                ?input,
+                "outcome does not match the election operation in progress"
+            ),
         }
         Ok(self.next_operation(now))
     }
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -169,9 +169,9 @@
         self.cluster.leadership().is_leader(now)
     }
 
-    /// Whether the term is over, even if the leadership lease has not expired.
-    pub fn is_deposed(&self) -> bool {
-        self.cluster.leadership().is_deposed()
+    /// Whether this leader has stepped down, even if the leadership lease is still valid.
+    pub fn has_stepped_down(&self) -> bool {
+        self.cluster.leadership().has_stepped_down()
     }
 
     /// When the term began.
@@ -306,14 +306,18 @@
     }
 
     /// Handles the recorded final state of a job, which some controller has read.
-    pub fn job_finished(&mut self, id: &str, state: JobState, now: Time) {
+    pub fn final_state_recorded(&mut self, id: &str, state: JobState, now: Time) {
         self.cluster.final_state_recorded(id, state, now);
     }
 
     /// Handles the result of reading final states; `None` for a job whose final state is not recorded or
     /// could not be read.
-    pub fn final_states_found(&mut self, ends: Vec<(JobId, Option<FinalStateRecord>)>, now: Time) {
-        self.cluster.final_states_read(ends, now);
+    pub fn final_states_read(
+        &mut self,
+        final_states: Vec<(JobId, Option<FinalStateRecord>)>,
+        now: Time,
+    ) {
+        self.cluster.final_states_read(final_states, now);
     }
 
     /// The status of a job for its user; `None` if this leader cannot be certain of it.
--- a/src/coordination/prediction.rs
+++ b/src/coordination/prediction.rs
@@ -1,4 +1,6 @@
-//! Predicts run times by regression, as in section 4 of the paper.
+//! Predicts run times by regression, as in section 4 of the paper "Improving Backfilling by using
+//! Machine Learning to predict Running Times" (E. Gaussier, D. Glesser, V. Reis, D. Trystram, SC15,
+//! 2015).
 //!
 //! The model is a polynomial of degree 2 over a few features. It is learned online by Normalized
 //! Adaptive Gradient descent with an l2 penalty, so that features need not be scaled. The loss is the
--- a/src/coordination/requests/decision.rs
+++ b/src/coordination/requests/decision.rs
@@ -6,13 +6,13 @@
 /// The result of a submission or cancellation, as decided by the state service.
 pub(super) struct Decision {
     /// The job, if this request has accepted it and it is not cancelled.
-    pub(super) accepted: Option<AcceptedJob>,
+    pub(super) accepted: Option<OpenJob>,
     /// The answer to the client.
     pub(super) answer: Answer,
 }
 
 /// A job accepted by this request.
-pub(super) struct AcceptedJob {
+pub(super) struct OpenJob {
     /// The open record that was written.
     pub(super) record: Box<OpenRecord>,
     /// The version of the record's key.
--- a/src/coordination/requests/store_call.rs
+++ b/src/coordination/requests/store_call.rs
@@ -63,7 +63,7 @@
     }
 
     /// The outcome of the transaction. An answer to another kind of call counts as
-    /// [`CommitOutcome::Refused`].
+    /// [`CommitOutcome::Rejected`].
     pub(super) fn commit_outcome(self) -> CommitOutcome {
         match self {
             StoreAnswer::Committed(outcome) => outcome,
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -5,7 +5,7 @@
 use super::admission::rejection;
 use super::answers::{Answer, RetryReason};
 use super::context::Context;
-use super::decision::{AcceptedJob, Decision};
+use super::decision::{Decision, OpenJob};
 use super::dependency_check::{DependencyCheck, DependencyStatus};
 use super::job_lookup::JobLookup;
 use super::step::{Step, StepResult};
@@ -119,7 +119,7 @@
                 return Answer::RetryLater(RetryReason::JustAccepted).into();
             }
         };
-        let accepted = || AcceptedJob {
+        let accepted = || OpenJob {
             record: Box::new(self.record.clone()),
             version,
         };
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// A request that fitted on no machine in this cycle.
+/// A request for which no machine has enough free resources in this cycle.
 pub(super) struct RejectedRequest {
     pub(super) request: Resources,
     /// Whether spot machines were allowed.
--- a/src/service/controller/cancellations.rs
+++ b/src/service/controller/cancellations.rs
@@ -1,7 +1,9 @@
 //! Applies the cancellations that this process and the other controllers have confirmed.
 
 use super::Controller;
-use crate::coordination::cluster::cancellation_evidence::{CancellationEvidence, PeerAnswer};
+use crate::coordination::cluster::cancellation_evidence::{
+    CancellationEvidence, PeerCancellations,
+};
 use crate::coordination::Time;
 use crate::protocol::ids::FencingToken;
 use crate::protocol::job::JobState;
@@ -81,7 +83,11 @@
     }
 
     /// Applies a peer's answer, and queries for the next page if there is one.
-    pub(super) fn apply_peer_cancellations(&mut self, peer: &str, answer: Option<PeerAnswer>) {
+    pub(super) fn apply_peer_cancellations(
+        &mut self,
+        peer: &str,
+        answer: Option<PeerCancellations>,
+    ) {
         let Some(answer) = answer else {
             return;
         };
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -35,7 +35,9 @@
         let mut unknown = Vec::new();
         for id in ids {
             match (self.final_states.get(&id).copied(), &mut self.role) {
-                (Some(state), Role::Leading(manager)) => manager.job_finished(&id, state, now),
+                (Some(state), Role::Leading(manager)) => {
+                    manager.final_state_recorded(&id, state, now)
+                }
                 _ => unknown.push(id),
             }
         }
--- a/src/service/controller/heartbeats.rs
+++ b/src/service/controller/heartbeats.rs
@@ -26,12 +26,12 @@
         };
         let source = received.source;
         let reply = match manager.heartbeat_from(source, &received.heartbeat, now) {
-            HeartbeatOutcome::Answer(answer) => {
+            HeartbeatOutcome::Response(response) => {
                 self.record_heartbeat_time(source, now);
-                Reply::json(200, &answer)
+                Reply::json(200, &response)
             }
             HeartbeatOutcome::Stale => Reply::error(503, "stale heartbeat"),
-            HeartbeatOutcome::Deposed => Reply::json(421, &LeaderRedirect { leader: None }),
+            HeartbeatOutcome::SteppedDown => Reply::json(421, &LeaderRedirect { leader: None }),
         };
         (received.respond)(reply);
     }
--- a/src/service/controller/jobs.rs
+++ b/src/service/controller/jobs.rs
@@ -58,7 +58,7 @@
         let now = self.now();
         self.final_states.insert(id, state);
         if let Some(manager) = self.role.manager_mut() {
-            manager.job_finished(id, state, now);
+            manager.final_state_recorded(id, state, now);
         }
     }
 }
--- a/src/service/controller/message_handler.rs
+++ b/src/service/controller/message_handler.rs
@@ -54,7 +54,7 @@
             IoOutcome::CommandsAnswered { machine, outcome } => {
                 manager.commands_answered(&machine, outcome, now);
             }
-            IoOutcome::FinalStatesRead { records } => manager.final_states_found(records, now),
+            IoOutcome::FinalStatesRead { records } => manager.final_states_read(records, now),
             IoOutcome::MachinesRented { request, machines } => {
                 manager.machines_rented(&request, machines, now);
             }
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -199,7 +199,7 @@
             );
         }
         let effects = manager.take_effects();
-        let is_deposed = manager.is_deposed();
+        let has_stepped_down = manager.has_stepped_down();
         if is_tick && !self.is_probing_peers && manager.receives_no_heartbeats(now) {
             self.is_probing_peers = true;
             self.probe_peers();
@@ -207,7 +207,7 @@
         for effect in effects {
             self.execute(effect);
         }
-        if is_deposed {
+        if has_stepped_down {
             self.step_down();
         }
     }
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -1,6 +1,6 @@
 //! The messages that the other actors send to the controller actor.
 
-use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
+use crate::coordination::cluster::cancellation_evidence::PeerCancellations;
 use crate::coordination::cluster::heartbeats::HeartbeatSource;
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
@@ -92,7 +92,7 @@
         /// The peer's name.
         peer: String,
         /// The peer's answer; `None` if it did not answer.
-        answer: Option<PeerAnswer>,
+        answer: Option<PeerCancellations>,
     },
 }
 
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -222,7 +222,7 @@
         api_server::serve(
             &self.runtime,
             self.settings.front,
-            bounds(&self.settings),
+            api_server_bounds(&self.settings),
             Arc::new(handler),
             Arc::new(is_healthy),
         )
@@ -280,7 +280,7 @@
 }
 
 /// The API server's limits on connections and times.
-pub fn bounds(settings: &Settings) -> Bounds {
+pub fn api_server_bounds(settings: &Settings) -> Bounds {
     let report_s = settings.cluster.workers.report_s;
     Bounds {
         connections: settings.api_connections(),
--- a/src/service/peer_queries/cancellation_queries.rs
+++ b/src/service/peer_queries/cancellation_queries.rs
@@ -1,6 +1,6 @@
 //! Queries for the cancellations that the other controllers have confirmed.
 
-use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
+use crate::coordination::cluster::cancellation_evidence::PeerCancellations;
 use crate::coordination::Time;
 use crate::service::messages::Message;
 use crate::service::threads::spawn;
@@ -72,10 +72,10 @@
         }
     }
 
-    fn query(&self, cursor: Cursor) -> Option<PeerAnswer> {
+    fn query(&self, cursor: Cursor) -> Option<PeerCancellations> {
         let sent = self.now();
         let page = self.peers.cancellations(&self.name, cursor, self.timeout)?;
-        Some(PeerAnswer {
+        Some(PeerCancellations {
             peer: self.name.clone(),
             requested_from: cursor,
             sent,
--- a/src/service/upgrade/records.rs
+++ b/src/service/upgrade/records.rs
@@ -121,7 +121,7 @@
         | CommitOutcome::TooLarge
         | CommitOutcome::LeaseExpired => {
             std::thread::sleep(RETRY_PAUSE);
-            ChangeOutcome::Refused
+            ChangeOutcome::Rejected
         }
         CommitOutcome::Indeterminate => ChangeOutcome::Indeterminate,
     }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use stairstage::coordination::cluster::cancellation_evidence::{
-    renewal_window_s, CancellationEvidence, PeerAnswer,
+    renewal_window_s, CancellationEvidence, PeerCancellations,
 };
 use stairstage::settings::WorkerTimings;
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
@@ -185,7 +185,7 @@
         if let Some((asked, sent, Some(page))) = answered.filter(|_| !lost) {
             self.known
                 .extend(page.jobs.iter().map(|job| job.to_string()));
-            self.evidence.peer_answered(&PeerAnswer {
+            self.evidence.peer_answered(&PeerCancellations {
                 peer: name(peer),
                 requested_from: asked,
                 sent,
@@ -266,7 +266,7 @@
     let asked = evidence.cursor(&name(0));
     let page = log.page(asked);
     let jobs = page.jobs.iter().map(|job| job.to_string()).collect();
-    evidence.peer_answered(&PeerAnswer {
+    evidence.peer_answered(&PeerCancellations {
         peer: name(0),
         requested_from: asked,
         sent: now,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -178,7 +178,7 @@
     let mut heartbeat = worker_heartbeat(machine, sequence, 1, tasks);
     heartbeat.notice_s = notice_s;
     match manager.heartbeat(&heartbeat, now) {
-        HeartbeatOutcome::Answer(answer) => answer.commands,
+        HeartbeatOutcome::Response(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
 }
@@ -445,7 +445,7 @@
             ..
         } => {
             launches.extend(starts(&batch.commands).into_iter().map(|s| s.task));
-            manager.commands_answered(&machine, CommandOutcome::Unknown, now);
+            manager.commands_answered(&machine, CommandOutcome::Indeterminate, now);
         }
         Effect::ReturnMachines(names) => {
             manager.machines_returned(&names, true, now);
@@ -463,7 +463,7 @@
     now: f64,
 ) -> Vec<String> {
     match manager.heartbeat(heartbeat, now) {
-        HeartbeatOutcome::Answer(answer) => starts(&answer.commands)
+        HeartbeatOutcome::Response(answer) => starts(&answer.commands)
             .into_iter()
             .map(|s| s.task)
             .collect(),
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -219,7 +219,7 @@
     let mut heartbeat = worker_heartbeat("m-1", sequence, 1, tasks);
     heartbeat.incarnation = Incarnation(2);
     match manager.heartbeat(&heartbeat, now) {
-        HeartbeatOutcome::Answer(answer) => answer.commands,
+        HeartbeatOutcome::Response(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
 }
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -135,9 +135,9 @@
 #[test]
 fn a_leader_in_doubt_stops_what_was_cancelled_without_waiting_for_a_report() {
     let (mut manager, attempts) = running_on_one();
-    manager.commands_answered(&"m-1".into(), CommandOutcome::Unknown, 1.0);
+    manager.commands_answered(&"m-1".into(), CommandOutcome::Indeterminate, 1.0);
     manager.set_lease_valid_until(1.0);
-    manager.job_finished("req-1", JobState::Cancelled, 8.0);
+    manager.final_state_recorded("req-1", JobState::Cancelled, 8.0);
     manager.step(8.0);
     let mut stopped = Vec::new();
     for effect in manager.take_effects() {
@@ -383,7 +383,7 @@
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     let unknown = shown(&[AttemptId::new("req-9/0", 7)], TaskState::Running, None);
     let answer = match manager.heartbeat(&worker_heartbeat("m-1", 1, 1, unknown), 0.0) {
-        HeartbeatOutcome::Answer(answer) => answer.commands,
+        HeartbeatOutcome::Response(answer) => answer.commands,
         other => panic!("{other:?}"),
     };
     let stops =
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -96,7 +96,7 @@
     let (mut manager, id, _) = leader_with_a_write();
     let reread = vec![(VERSION_KEY.to_string(), Some(newer_item(2)))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
-    assert!(!manager.is_deposed());
+    assert!(!manager.has_stepped_down());
     let (_, retried) = next_write(&mut manager, 3.0).expect("the write is retried");
     assert_eq!(compared_mod_revision(&retried), Some(LATER_MOD_REVISION));
 }
@@ -106,7 +106,7 @@
     let (mut manager, id, _) = leader_with_a_write();
     let reread = vec![(VERSION_KEY.to_string(), Some(newer_item(3)))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
-    assert!(manager.is_deposed());
+    assert!(manager.has_stepped_down());
 }
 
 #[test]
@@ -116,7 +116,7 @@
     unreadable.value = json!({"active": {"of": "another kind"}});
     let reread = vec![(VERSION_KEY.to_string(), Some(unreadable))];
     manager.write_finished(id, WriteOutcome::Indeterminate(reread), 1.5);
-    assert!(manager.is_deposed());
+    assert!(manager.has_stepped_down());
 }
 
 #[test]
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -93,7 +93,7 @@
             Effect::JobFinished { id, state } => self.check_told_end(&id, state),
             Effect::ReadFinalStates(ids) => {
                 let ends = self.store.ends(&ids);
-                self.with_controller(from, |manager| manager.final_states_found(ends, now));
+                self.with_controller(from, |manager| manager.final_states_read(ends, now));
             }
         }
     }
@@ -163,7 +163,7 @@
             .push((machine.to_string(), batch.clone()));
         let w = &self.workers[worker];
         let result = if self.commands_held || w.partitioned || w.inbound_lost || w.hung {
-            CommandOutcome::Unknown
+            CommandOutcome::Indeterminate
         } else {
             self.execute_commands(worker, batch)
         };
@@ -236,7 +236,7 @@
         };
         let heartbeat = self.workers[i].own_heartbeat(sent);
         self.sent_heartbeats.push(heartbeat.clone());
-        if let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&heartbeat, sent) {
+        if let HeartbeatOutcome::Response(answer) = leader.manager.heartbeat(&heartbeat, sent) {
             let w = &mut self.workers[i];
             if !response_lost && !w.inbound_lost && answer.token.0 >= w.token {
                 let started = w.take(&answer, sent, sent);
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -64,7 +64,8 @@
                 continue;
             };
             for job in &answer.page.jobs {
-                self.manager.job_finished(job, JobState::Cancelled, now);
+                self.manager
+                    .final_state_recorded(job, JobState::Cancelled, now);
             }
             self.evidence.peer_answered(&answer);
         }
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -237,7 +237,9 @@
         let state = JobState::Cancelled;
         match &mut self.network {
             Some(network) => network.announce(now, Message::JobsEnded(id.to_string(), state)),
-            None => self.announcement_arrives(|manager| manager.job_finished(id, state, now)),
+            None => {
+                self.announcement_arrives(|manager| manager.final_state_recorded(id, state, now))
+            }
         }
     }
 
@@ -286,7 +288,7 @@
         let timeout = Message::CommandAnswer {
             to: from,
             machine,
-            result: CommandOutcome::Unknown,
+            result: CommandOutcome::Indeterminate,
         };
         self.net().send(now + COMMAND_TIMEOUT_S, timeout);
     }
@@ -401,7 +403,7 @@
                 manager.job_accepted(*record, version, 0, now);
             }),
             Message::JobsEnded(id, state) => {
-                self.announcement_arrives(|manager| manager.job_finished(&id, state, now));
+                self.announcement_arrives(|manager| manager.final_state_recorded(&id, state, now));
             }
         }
     }
@@ -429,7 +431,7 @@
         let (result, delay) = if w.hung || w.partitioned {
             w.held.push(batch);
             (
-                CommandOutcome::Unknown,
+                CommandOutcome::Indeterminate,
                 DelayRange::new(COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S),
             )
         } else {
--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -1,6 +1,6 @@
 //! The other controllers, as far as they confirm cancellations to users and tell the leader of them.
 
-use stairstage::coordination::cluster::cancellation_evidence::PeerAnswer;
+use stairstage::coordination::cluster::cancellation_evidence::PeerCancellations;
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 
 /// Cancellations that a controller keeps: more than any history has.
@@ -55,9 +55,9 @@
     }
 
     /// What a controller answers at once.
-    pub(crate) fn ask(&self, name: &str, asked: Cursor, now: f64) -> Option<PeerAnswer> {
+    pub(crate) fn ask(&self, name: &str, asked: Cursor, now: f64) -> Option<PeerCancellations> {
         let peer = self.peers.iter().find(|p| p.name == name)?;
-        Some(PeerAnswer {
+        Some(PeerCancellations {
             peer: peer.name.clone(),
             requested_from: asked,
             sent: now,
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -212,7 +212,7 @@
         let decided = self.manager().take_effects();
         self.pass(seconds);
         self.elect();
-        if let (Some(heartbeat), Some(HeartbeatOutcome::Answer(answer))) = (heartbeat, heard) {
+        if let (Some(heartbeat), Some(HeartbeatOutcome::Response(answer))) = (heartbeat, heard) {
             let w = &mut self.workers[i];
             let taken = answer.token.0 >= w.token && heartbeat.incarnation.0 == w.incarnation;
             if taken && seconds < RESPONSE_TIMEOUT_S && !w.gone && !w.inbound_lost {
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -196,7 +196,7 @@
             leader.records_read(known_until);
         }
         leader.manager.step(now);
-        let deposed = leader.manager.is_deposed();
+        let deposed = leader.manager.has_stepped_down();
         self.let_formers_decide();
         let workers = &self.settings.cluster.workers;
         self.former_leaders.retain(|l| l.may_renew(now, workers));
@@ -295,7 +295,7 @@
         }
         let leader = self.controller(receiver).expect("it hears");
         let in_doubt = now >= leader.manager.lease_valid_until();
-        let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&heartbeat, now) else {
+        let HeartbeatOutcome::Response(answer) = leader.manager.heartbeat(&heartbeat, now) else {
             self.workers[i].next_heartbeat_at = now + RETRY_S;
             return;
         };
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -158,7 +158,7 @@
             for (id, _) in cancelled.clone() {
                 former
                     .manager
-                    .job_finished(id, JobState::Cancelled, self.now);
+                    .final_state_recorded(id, JobState::Cancelled, self.now);
             }
             former.manager.take_effects();
             former.records_read(self.now);
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -146,7 +146,7 @@
             unanswered.drain(..).partition(|(at, _)| now > at + 1.5);
         unanswered = waits;
         for (_, machine) in over {
-            manager.commands_answered(&machine.as_str().into(), CommandOutcome::Unknown, now);
+            manager.commands_answered(&machine.as_str().into(), CommandOutcome::Indeterminate, now);
         }
         manager.tick(now);
         carry_out(manager, now, |manager, effect| match effect {
@@ -228,7 +228,7 @@
                 } = effect
                 {
                     launched += starts(&batch.commands).len();
-                    manager.commands_answered(&machine, CommandOutcome::Unknown, now);
+                    manager.commands_answered(&machine, CommandOutcome::Indeterminate, now);
                 }
             });
         }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -78,7 +78,8 @@
             .put(final_state_key(id), json!({"state": "cancelled"}))
             .put(open_key(id), record);
         self.store.commit(&txn).unwrap();
-        self.manager.job_finished(id, JobState::Cancelled, now);
+        self.manager
+            .final_state_recorded(id, JobState::Cancelled, now);
     }
 
     /// Lets the leader decide; writes, reads and ends are carried out.
@@ -104,7 +105,7 @@
                 sought.extend(ids.iter().map(|id| id.to_string()));
                 let unread = || ids.iter().map(|id| (id.clone(), None)).collect();
                 let ends = if *reads { store.ends(&ids) } else { unread() };
-                manager.final_states_found(ends, now);
+                manager.final_states_read(ends, now);
             }
             Effect::SendCommands {
                 commands: batch, ..
@@ -130,7 +131,7 @@
         let tasks = self.launched.iter().map(show).collect();
         let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token().0, tasks);
         let mut answer = self.manager.heartbeat(&heartbeat, now);
-        if let stairstage::coordination::cluster::HeartbeatOutcome::Answer(answer) = &mut answer {
+        if let stairstage::coordination::cluster::HeartbeatOutcome::Response(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
         }
         // A direct command has been answered by that as well.
@@ -275,7 +276,9 @@
         .insert(final_state_key("req-1"), (json!({"state": "done"}), 1));
     leader.heartbeat(1, &[], 0.0);
     leader.act(0.0);
-    leader.manager.job_finished("req-1", JobState::Done, 1.0);
+    leader
+        .manager
+        .final_state_recorded("req-1", JobState::Done, 1.0);
     assert!(leader.has_launched("req-2"));
     assert_eq!(leader.end("req-2"), None);
 }
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -149,7 +149,8 @@
     fn second(&mut self) {
         for machine in 0..MACHINES {
             let heartbeat = self.heartbeat(machine);
-            if let HeartbeatOutcome::Answer(answer) = self.manager.heartbeat(&heartbeat, self.now) {
+            if let HeartbeatOutcome::Response(answer) = self.manager.heartbeat(&heartbeat, self.now)
+            {
                 self.run(machine, &answer.commands);
             }
         }
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -118,7 +118,7 @@
             }
             Effect::ReadFinalStates(ids) => {
                 let ends = self.store.ends(&ids);
-                self.manager().final_states_found(ends, now);
+                self.manager().final_states_read(ends, now);
             }
             Effect::ReturnMachines(names) => {
                 let taken = self.cloud.takes_back;
@@ -187,10 +187,10 @@
     pub(super) fn deliver(&mut self, name: &str, batch: &CommandBatch) -> CommandOutcome {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
-            return CommandOutcome::Unknown;
+            return CommandOutcome::Indeterminate;
         };
         if !worker.receives(now) {
-            return CommandOutcome::Unknown;
+            return CommandOutcome::Indeterminate;
         }
         let accepted = worker.accepts(batch);
         if accepted {
@@ -199,7 +199,7 @@
         }
         let heartbeat = self.workers.get_mut(name).unwrap().heartbeat();
         if self.random.chance(self.slow_links) {
-            return CommandOutcome::Unknown;
+            return CommandOutcome::Indeterminate;
         }
         if accepted {
             CommandOutcome::Executed(heartbeat)
--- a/tests/play/simulation/machines.rs
+++ b/tests/play/simulation/machines.rs
@@ -123,7 +123,7 @@
             };
             let outcome = manager.heartbeat(&worker.heartbeat(), now);
             let in_time = !self.random.chance(self.slow_links);
-            if let HeartbeatOutcome::Answer(answer) = outcome {
+            if let HeartbeatOutcome::Response(answer) = outcome {
                 if in_time && worker.receives(now) && worker.accept_response(&answer, now) {
                     self.execute(&name, &answer.commands);
                 }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -36,7 +36,7 @@
     pub(crate) fn job_end_recorded(&mut self, node: usize, job: u8, state: JobState) {
         self.nodes[node].ends.insert(&id_of(job), state);
         if let Some(manager) = self.leads(node) {
-            manager.job_finished(&id_of(job), state, 0.0);
+            manager.final_state_recorded(&id_of(job), state, 0.0);
         }
     }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -230,7 +230,7 @@
     for all in [64, 500, 1000, 2237, 3606] {
         let text = SETTINGS.replace("max_sockets = 500", &format!("max_sockets = {all}"));
         let settings = Settings::parse("test", &text).unwrap();
-        let b = stairstage::service::bounds(&settings);
+        let b = stairstage::service::api_server_bounds(&settings);
         // Full shares of workers and users leave some for workers that connect for each heartbeat, and
         // all of the front's leave enough for peers, the state service and the cloud.
         assert!(b.workers + b.users < b.connections);
--- a/tests/silent_machines.rs
+++ b/tests/silent_machines.rs
@@ -77,7 +77,7 @@
             let heartbeat = worker_heartbeat(&name, 3 + step, 1, tasks[&name].clone());
             let outcome = manager.heartbeat_from(source, &heartbeat, now);
             assert!(
-                matches!(outcome, HeartbeatOutcome::Answer(_)),
+                matches!(outcome, HeartbeatOutcome::Response(_)),
                 "{outcome:?}"
             );
         }
@@ -128,7 +128,7 @@
                 commanded.push(machine.to_string());
             }
             if silent.clone().any(|i| *machine == machine_name(i)) {
-                manager.commands_answered(&machine, CommandOutcome::Unknown, now);
+                manager.commands_answered(&machine, CommandOutcome::Indeterminate, now);
             }
         }
     });
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -66,7 +66,7 @@
             manager.write_finished(id, written, now);
         }
         Effect::SendCommands { machine, .. } => {
-            manager.commands_answered(&machine, CommandOutcome::Unknown, now);
+            manager.commands_answered(&machine, CommandOutcome::Indeterminate, now);
         }
         _ => {}
     });
