--- a/crates/upgrade/src/fence.rs
+++ b/crates/upgrade/src/fence.rs
@@ -3,7 +3,7 @@
 //! Every transaction compares the `mod_revision` of the version record with the one that the controller
 //! read last. A controller that has not yet seen a newly activated version therefore cannot write in an
 //! old format: its transaction fails, and it reads the record again. A compare does not count towards the
-//! state service's limit on changes.
+//! state service's limit on write operations.
 
 use crate::gate::FeatureGates;
 use crate::records::VersionRecord;
--- a/src/coordination/autoscaling/demand/batches.rs
+++ b/src/coordination/autoscaling/demand/batches.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 struct RestrictedGroups<'a> {
     group_of: HashMap<&'a JobId, usize>,
-    /// The number of processors on each group's machines.
+    /// The number of CPUs on each group's machines.
     cpus: Vec<f64>,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The accumulated work of jobs in queue order, in processor seconds.
+/// The accumulated work of jobs in queue order, in CPU seconds.
 struct Backlog<'a> {
     running: &'a HashMap<&'a str, f64>,
     groups: RestrictedGroups<'a>,
@@ -119,7 +119,7 @@
         (HORIZON_SHARE * (end - self.now)).max(predicted_s)
     }
 
-    /// The work of each running job until the predicted ends of its tasks, in processor seconds.
+    /// The work of each running job until the predicted ends of its tasks, in CPU seconds.
     fn work_running(&self) -> HashMap<&str, f64> {
         let mut work: HashMap<&str, f64> = HashMap::new();
         for machine in self.cluster.machines() {
@@ -134,7 +134,7 @@
         work
     }
 
-    /// The number of processors, on machines that these jobs may use, that other batches use for longer
+    /// The number of CPUs, on machines that these jobs may use, that other batches use for longer
     /// than the mean boot time.
     fn cpus_used_by_others(&self, jobs: &[&Job]) -> f64 {
         let until = self.now + self.cluster.machine_types().mean_boot_s();
@@ -150,7 +150,7 @@
         others.map(|(_, a)| a.profile.request.cpus).sum()
     }
 
-    /// The largest shortage of processors over the jobs in queue order, given `available_cpus`. New
+    /// The largest shortage of CPUs over the jobs in queue order, given `available_cpus`. New
     /// machines contribute only after they have booted, and work done until then needs no new machine.
     fn shortage(&self, jobs: &[&Job], available_cpus: f64, mut backlog: Backlog) -> Option<Demand> {
         let boot_s = self.cluster.machine_types().mean_boot_s();
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use tracing::info;
 
-/// Free processors to keep for each processor that waiting tasks request: tasks do not fit everywhere.
+/// Free CPUs to keep for each CPU that waiting tasks request: tasks do not fit everywhere.
 const WAITING_CPU_FACTOR: f64 = 1.25;
 /// The maximum share of the machines that are up that may drain at a time.
 const MAX_DRAINING_SHARE: f64 = 0.05;
@@ -20,7 +20,7 @@
 /// How long a replica must have run before it may be moved, so that its start counts.
 const MIN_RUN_BEFORE_MOVE_S: f64 = 30.0;
 
-/// Free processors on all machines, and on on-demand machines alone.
+/// Free CPUs on all machines, and on on-demand machines alone.
 #[derive(Clone, Copy, Default)]
 struct FreeCpus {
     all: f64,
@@ -36,7 +36,7 @@
     }
 }
 
-/// A waiting job, and the processors that its startable tasks request.
+/// A waiting job, and the CPUs that its startable tasks request.
 struct WaitingJob<'a> {
     job: &'a Job,
     cpus: f64,
@@ -126,7 +126,7 @@
     idle.collect()
 }
 
-/// Free processors on all machines, minus the requests of expected replicas.
+/// Free CPUs on all machines, minus the requests of expected replicas.
 fn free_beyond_expected(cluster: &ClusterState, now: Time) -> FreeCpus {
     let mut free = FreeCpus::default();
     for machine in cluster.machines() {
@@ -154,7 +154,7 @@
     waiting.collect()
 }
 
-/// Free processors beyond the requests of expected replicas and of the jobs that wait for machines like
+/// Free CPUs beyond the requests of expected replicas and of the jobs that wait for machines like
 /// this one. The mere presence of waiting jobs does not prevent a return, because with many jobs one is
 /// always waiting briefly. Jobs whose tasks do not fit on such a machine do not count either.
 fn surplus(
--- a/src/coordination/cluster/leadership.rs
+++ b/src/coordination/cluster/leadership.rs
@@ -27,7 +27,7 @@
     has_stepped_down: bool,
     /// Whether this leader has launched a task yet.
     has_launched: bool,
-    /// When every other controller had promised to answer no heartbeat with a lower token.
+    /// When every other controller had promised not to answer heartbeats as a leader with a lower token.
     peers_promised_at: Option<Time>,
 }
 
@@ -149,12 +149,13 @@
         true
     }
 
-    /// Notes that every other controller has promised to answer no heartbeat with a lower token.
+    /// Notes that every other controller has promised not to answer heartbeats as a leader with a lower
+    /// token.
     pub(super) fn peers_promised(&mut self, now: Time) {
         self.peers_promised_at = Some(now);
     }
 
-    /// When every other controller had promised to answer no heartbeat with a lower token.
+    /// When every other controller had promised not to answer heartbeats as a leader with a lower token.
     pub(super) fn peers_promised_at(&self) -> Option<Time> {
         self.peers_promised_at
     }
--- a/src/coordination/cluster/leases.rs
+++ b/src/coordination/cluster/leases.rs
@@ -8,9 +8,9 @@
 impl ClusterState {
     /// The latest time at which a worker's lease may have been renewed; `None` if an earlier leader may
     /// still renew it. Only this leader renews the lease of a worker that has seen a token of this
-    /// term, or of any worker once all other controllers have promised to answer no heartbeat with a
-    /// lower token. The last heartbeat counts too, because the worker's incarnation may have started
-    /// just before sending it; a command for one incarnation has no effect in a later one.
+    /// term, or of any worker once all other controllers have promised not to answer heartbeats as a
+    /// leader with a lower token. The last heartbeat counts too, because the worker's incarnation may
+    /// have started just before sending it; a command for one incarnation has no effect in a later one.
     fn lease_renewed_at(&self, machine: &Machine) -> Option<Time> {
         let worker = &machine.worker;
         let last_response_at = worker.last_response_at();
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -204,7 +204,8 @@
         self.effects.push(effect);
     }
 
-    /// Notes that every other controller has promised to answer no heartbeat with a lower token.
+    /// Notes that every other controller has promised not to answer heartbeats as a leader with a lower
+    /// token.
     pub(crate) fn peers_promised(&mut self, now: Time) {
         self.leadership.peers_promised(now);
     }
@@ -223,8 +224,8 @@
         machine.accepts_tasks(now, self.heartbeat_timeout_s(), first_token)
     }
 
-    /// The free resources of a machine. Every task that is or may be on it counts, except those that a
-    /// stop in the same message ends at once.
+    /// The free resources of a machine. Every task that is or may be on the machine counts, except those
+    /// that a stop in the next command batch ends immediately.
     pub(crate) fn free_resources(&self, machine: &Machine) -> Resources {
         let Some(machine_type) = self.machine_types.get(&machine.machine_type) else {
             return Resources::default();
--- a/src/coordination/election/state_machine.rs
+++ b/src/coordination/election/state_machine.rs
@@ -100,7 +100,11 @@
             }
             (State::Leading(term), input) => self.on_term_input(term, input, now),
             (_, input) => {
-                error!(?input, "outcome does not match the election operation in progress, reading the leader record");
+                error!(
+                    ?input,
+                    "outcome does not match the election operation in progress, \
+                     reading the leader record"
+                );
                 self.read()
             }
         };
--- a/src/coordination/manager.rs
+++ b/src/coordination/manager.rs
@@ -214,7 +214,8 @@
         self.cluster.token_raised(token, now);
     }
 
-    /// Handles that all peers have promised not to respond to heartbeats with a lower token.
+    /// Notes that every other controller has promised not to answer heartbeats as a leader with a lower
+    /// token.
     pub fn peers_promised(&mut self, now: Time) {
         self.cluster.peers_promised(now);
     }
--- a/src/coordination/requests/polls/retry_schedule.rs
+++ b/src/coordination/requests/polls/retry_schedule.rs
@@ -7,6 +7,7 @@
 /// The maximum delay before a retry, which is the interval at which clients poll anyway. A longer delay
 /// would make a client wait longer than necessary, as it may retry at another controller.
 const MAX_RETRY_AFTER_S: f64 = 5.0;
+/// The minimum delay before a retry.
 const MIN_RETRY_AFTER_S: f64 = 1.0;
 
 /// The first rejections of the polls of a bounded number of jobs, and the time slots for retries.
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -42,7 +42,7 @@
         free
     }
 
-    /// The share of the machine's processors that is free.
+    /// The share of the machine's CPUs that is free.
     pub(super) fn free_share(&self) -> f64 {
         let total = self.machine_type.map_or(1.0, |t| t.cpus);
         (self.free.cpus / total.max(1e-3)).clamp(0.0, 1.0)
@@ -124,7 +124,7 @@
         self.examined.set(self.examined.get() + count as u64);
     }
 
-    /// The number of processors on all machines that accept tasks.
+    /// The number of CPUs on all machines that accept tasks.
     pub(super) fn cpus(&self) -> f64 {
         let accepting = self.machines.iter().filter(|m| m.accepts_tasks);
         accepting
@@ -241,7 +241,7 @@
 }
 
 /// Sets the fill order: spot machines first, because only jobs that allow them can use them, then by
-/// price per processor, then by name.
+/// price per CPU, then by name.
 fn rank_by_fill_order(machines: &mut [CycleMachine]) {
     let cpu_price = |m: &CycleMachine| {
         m.machine_type.map_or(0.0, |t| {
--- a/src/coordination/scheduling/deadlines.rs
+++ b/src/coordination/scheduling/deadlines.rs
@@ -12,17 +12,17 @@
 pub struct RemainingWork {
     /// When the job must be done.
     pub due_at: Time,
-    /// The remaining work, in processor seconds.
+    /// The remaining work, in CPU seconds.
     pub cpu_seconds: f64,
     /// The minimum duration if the job had all machines to itself, in seconds.
     pub min_duration_s: f64,
 }
 
-/// Whether each deadline can be met on `cpus` processors; `jobs` must be in the order of their
-/// deadlines. `committed` is the work, in processor seconds, that comes before these jobs.
+/// Whether each deadline can be met on `cpus` CPUs; `jobs` must be in the order of their
+/// deadlines. `committed` is the work, in CPU seconds, that comes before these jobs.
 pub fn feasible(jobs: &[RemainingWork], now: Time, cpus: f64, committed: f64) -> Vec<bool> {
     let mut feasible = vec![false; jobs.len()];
-    // A max-heap by work, in thousandths of a processor second.
+    // A max-heap by work, in thousandths of a CPU second.
     let mut kept: BinaryHeap<(u64, usize)> = BinaryHeap::new();
     let mut work_before = committed;
     let rate = cpus.max(1.0);
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// The number of processors, on machines that accept tasks, that no service uses.
+/// The number of CPUs, on machines that accept tasks, that no service uses.
 fn batch_cpus(cycle: &SchedulingCycle) -> f64 {
     let services = cycle.cluster.jobs().filter(|job| job.is_service());
     let held = services.map(|job| f64::from(job.allocated()) * job.spec.cpus);
--- a/src/coordination/scheduling/queue_order.rs
+++ b/src/coordination/scheduling/queue_order.rs
@@ -64,7 +64,7 @@
 }
 
 impl QueueOrder {
-    /// The order of the waiting jobs on a cluster with `cpus` processors. Jobs without a deadline are
+    /// The order of the waiting jobs on a cluster with `cpus` CPUs. Jobs without a deadline are
     /// ordered by the time at which they became ready, jobs with a deadline by the latest start that
     /// meets it. Jobs whose deadline can no longer be met come after those whose deadline can, in
     /// tiers of lateness.
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -248,7 +248,7 @@
         failed && now < self.retry_at + TRIAL_SHARE * MAX_WAIT_WITH_CAPACITY_S
     }
 
-    /// The remaining work by the predicted run time, in processor seconds. Allocated tasks are assumed to be
+    /// The remaining work by the predicted run time, in CPU seconds. Allocated tasks are assumed to be
     /// half done on average.
     pub fn work_left(&self) -> f64 {
         let tasks = f64::from(self.unplaced_count()) + f64::from(self.allocated) / 2.0;
--- a/src/coordination/state/quota.rs
+++ b/src/coordination/state/quota.rs
@@ -1,19 +1,19 @@
 //! The resources that each team uses, and checks against the team's quota.
 
-use super::resources::ROUNDING_SLACK;
+use super::resources::ROUNDING_TOLERANCE;
 use super::Resources;
 use crate::settings::Team;
 use std::collections::HashMap;
 
 /// Tolerance for rounding errors when usage is compared with a quota.
-const QUOTA_SLACK: f64 = 1e-9;
+const QUOTA_TOLERANCE: f64 = 1e-9;
 
 /// Resources that a team's tasks use, or would use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaUsage {
-    /// Processors.
+    /// CPUs.
     pub cpus: f64,
-    /// Accelerators.
+    /// GPUs.
     pub gpus: f64,
 }
 
@@ -57,18 +57,18 @@
         let used = self.of(&team.name);
         let fits = |used: f64, requested: f64, limit: f64| {
             let unlimited = limit <= 0.0 || requested <= 0.0;
-            unlimited || used + requested * f64::from(tasks) <= limit + QUOTA_SLACK
+            unlimited || used + requested * f64::from(tasks) <= limit + QUOTA_TOLERANCE
         };
         fits(used.cpus, request.cpus, team.cpus_max) && fits(used.gpus, request.gpus, team.gpus_max)
     }
 
-    /// The number of tasks, at most `tasks`, that the team's processor limit allows in addition.
+    /// The number of tasks, at most `tasks`, that the team's CPU limit allows in addition.
     pub fn cap(&self, team: &Team, request: &Resources, tasks: u32) -> u32 {
         if team.cpus_max <= 0.0 || request.cpus <= 0.0 {
             return tasks;
         }
         let used = self.of(&team.name).cpus;
-        let free = ((team.cpus_max - used + ROUNDING_SLACK) / request.cpus).max(0.0);
+        let free = ((team.cpus_max - used + ROUNDING_TOLERANCE) / request.cpus).max(0.0);
         tasks.min(free as u32)
     }
 }
--- a/src/coordination/state/resources.rs
+++ b/src/coordination/state/resources.rs
@@ -1,4 +1,4 @@
-//! Resource vectors: processors, accelerators and memory.
+//! Resource vectors: CPUs, GPUs and memory.
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
@@ -6,16 +6,16 @@
 /// The resources that a task requests, or that a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Processors.
+    /// CPUs.
     pub cpus: f64,
-    /// Accelerators.
+    /// GPUs.
     pub gpus: f64,
     /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
 /// Tolerance for rounding errors in sums of amounts, which are decimal fractions.
-pub(crate) const ROUNDING_SLACK: f64 = 1e-6;
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
     /// The request of one task of a job.
@@ -38,9 +38,9 @@
 
     /// Whether a request fits into these resources.
     pub fn fits(&self, request: &Resources) -> bool {
-        self.cpus + ROUNDING_SLACK >= request.cpus
-            && self.gpus + ROUNDING_SLACK >= request.gpus
-            && self.memory_gb + ROUNDING_SLACK >= request.memory_gb
+        self.cpus + ROUNDING_TOLERANCE >= request.cpus
+            && self.gpus + ROUNDING_TOLERANCE >= request.gpus
+            && self.memory_gb + ROUNDING_TOLERANCE >= request.memory_gb
     }
 
     /// Adds `other` to these resources.
@@ -61,7 +61,7 @@
     pub fn slots(&self, request: &Resources) -> u32 {
         let ratio = |have: f64, want: f64| {
             if want > 0.0 {
-                ((have + ROUNDING_SLACK) / want).floor().max(0.0)
+                ((have + ROUNDING_TOLERANCE) / want).floor().max(0.0)
             } else {
                 f64::from(u16::MAX)
             }
--- a/src/service/cloud_client.rs
+++ b/src/service/cloud_client.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Rents machines and returns their names, none if the cloud rejects the rental; `None` if it gave no
-    /// answer. A rental is idempotent: repeating it with the same request id rents no more machines.
+    /// Rents machines and returns their names, none if the cloud rejects the rental; `None` if the cloud
+    /// gave no answer. A rental is idempotent: repeating it with the same request id rents no more machines.
     pub(super) fn rent(&self, rent: &RentalRequest) -> Option<Vec<String>> {
         for attempt in 0..MAX_ATTEMPTS {
             match self.client.post("/machines", rent, TIMEOUT) {
@@ -57,8 +57,8 @@
                     warn!(request = %rent.idempotency_key, %reason, "cloud rejected a rental");
                     return Some(Vec::new());
                 }
-                answer => {
-                    debug!(request = %rent.idempotency_key, ?answer, "attempt at a rental failed");
+                outcome => {
+                    debug!(request = %rent.idempotency_key, ?outcome, "attempt at a rental failed");
                 }
             }
             back_off(attempt);
@@ -70,8 +70,8 @@
     pub(super) fn return_machines(&self, names: &[String]) -> bool {
         let body = json!({"fleet": names});
         for attempt in 0..MAX_ATTEMPTS {
-            let answer = self.client.post("/machines/return", &body, TIMEOUT);
-            if let HttpOutcome::Response(200, _) = answer {
+            let outcome = self.client.post("/machines/return", &body, TIMEOUT);
+            if let HttpOutcome::Response(200, _) = outcome {
                 return true;
             }
             back_off(attempt);
@@ -97,9 +97,9 @@
         let after = last.map_or(String::new(), |m| format!("after={}&", m.name));
         let path = format!("/machines?{after}limit={LIST_PAGE_SIZE}");
         for attempt in 1..=MAX_ATTEMPTS {
-            let answer = self.client.get(&path, TIMEOUT);
-            if !matches!(answer, HttpOutcome::Response(TOO_MANY_REQUESTS, _)) {
-                return answer.ok();
+            let outcome = self.client.get(&path, TIMEOUT);
+            if !matches!(outcome, HttpOutcome::Response(TOO_MANY_REQUESTS, _)) {
+                return outcome.ok();
             }
             std::thread::sleep(self.call_interval * attempt);
         }
@@ -108,8 +108,8 @@
 
     /// The machine types that the cloud currently offers; `None` if it gave no answer.
     pub(super) fn machine_types(&self) -> Option<Vec<MachineType>> {
-        let answer = self.client.get("/machine_types", TIMEOUT);
-        answer.ok::<MachineTypes>().map(|answer| answer.types)
+        let outcome = self.client.get("/machine_types", TIMEOUT);
+        outcome.ok::<MachineTypes>().map(|list| list.types)
     }
 }
 
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -80,7 +80,8 @@
     is_probing_peers: bool,
     /// Whether the inbox is backlogged.
     is_backlogged: bool,
-    /// The highest token of a given promise: this controller answers no heartbeat with a lower one.
+    /// The highest token for which this controller has promised not to answer heartbeats as a leader with a
+    /// lower one.
     promised_token: FencingToken,
     cancellations: KnownCancellations,
 }
--- a/src/service/controller/promises.rs
+++ b/src/service/controller/promises.rs
@@ -1,4 +1,4 @@
-//! The promise, as in Paxos, to answer no heartbeat with a fencing token lower than a new leader's.
+//! The promise to a new leader, as in Paxos, not to answer heartbeats as a leader with a lower fencing token.
 
 use super::Controller;
 use crate::protocol::ids::FencingToken;
--- a/src/service/final_state_watch.rs
+++ b/src/service/final_state_watch.rs
@@ -87,7 +87,7 @@
         if final_states.is_empty() {
             return;
         }
-        self.polls.jobs_finished(final_states.clone());
+        self.polls.final_states_recorded(final_states.clone());
         let _ = self
             .controller
             .try_send(Message::FinalStatesObserved { final_states });
--- a/src/service/io_thread_pool/transaction_writer.rs
+++ b/src/service/io_thread_pool/transaction_writer.rs
@@ -64,13 +64,16 @@
 /// The compared keys whose values show whether a transaction was applied: the keys that it writes, and the
 /// key of the leader record, on which it depends.
 fn deciding_keys(transaction: &Transaction) -> Vec<String> {
-    let is_changed = |key: &String| {
-        transaction.operations.iter().any(|change| match change {
-            WriteOperation::Put { key: k, .. } | WriteOperation::Delete { key: k } => k == key,
-        })
+    let is_written = |key: &String| {
+        transaction
+            .operations
+            .iter()
+            .any(|operation| match operation {
+                WriteOperation::Put { key: k, .. } | WriteOperation::Delete { key: k } => k == key,
+            })
     };
     let keys = transaction.compares.iter().map(|c| &c.key);
-    keys.filter(|k| *k == LEADER_KEY || is_changed(k))
+    keys.filter(|k| *k == LEADER_KEY || is_written(k))
         .cloned()
         .collect()
 }
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -75,7 +75,8 @@
         /// Sends the reply.
         respond: Responder,
     },
-    /// A new leader asks this controller to promise that it answers no heartbeat with a lower token.
+    /// A new leader asks this controller for the promise not to answer heartbeats as a leader with a lower
+    /// token.
     PromiseRequested {
         /// The new leader's token.
         token: FencingToken,
@@ -117,7 +118,7 @@
         /// Whether it was applied.
         outcome: WriteOutcome,
     },
-    /// A worker's answer to a command batch that was sent directly.
+    /// The outcome of a command batch that was sent directly to a worker.
     CommandsAnswered {
         /// The worker's machine.
         machine: MachineName,
--- a/src/service/peer_queries/promise_collector.rs
+++ b/src/service/peer_queries/promise_collector.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Asks all other controllers to promise that they answer no more heartbeats with lower fencing tokens, as
-/// acceptors do in Paxos. Until a controller has promised, it may still answer heartbeats with a lower
-/// token. A restart loses a promise, but also the token, and without one no heartbeat is answered.
+/// Asks all other controllers to promise, as acceptors do in Paxos, not to answer heartbeats as a leader with
+/// a lower fencing token. Until a controller has promised, it may still do so. A restart loses a promise, but
+/// also the controller's token, and a controller without a token answers no heartbeats.
 pub struct PromiseCollector {
     /// The other controllers.
     pub peers: Peers,
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -37,7 +37,7 @@
         waits_on: Vec<String>,
     },
     /// The final states of jobs have been recorded.
-    Finished(Vec<(String, JobState)>),
+    FinalStates(Vec<(String, JobState)>),
 }
 
 /// The sender of the driver's queue: polls, and events that help to answer them.
@@ -64,8 +64,8 @@
 
     /// Final states of jobs have been recorded. If the queue is full the event is dropped, and a poll of such
     /// a job then costs a read.
-    pub fn jobs_finished(&self, final_states: Vec<(String, JobState)>) {
-        let _ = self.0.try_send(Input::Finished(final_states));
+    pub fn final_states_recorded(&self, final_states: Vec<(String, JobState)>) {
+        let _ = self.0.try_send(Input::FinalStates(final_states));
     }
 }
 
@@ -139,7 +139,7 @@
                 self.execute(effects);
             }
             Input::Accepted { job, waits_on } => self.batcher.job_accepted(&job, &waits_on),
-            Input::Finished(final_states) => {
+            Input::FinalStates(final_states) => {
                 for (job, state) in final_states {
                     self.batcher.final_state_recorded(&job, state);
                 }
--- a/src/transport/peers/client.rs
+++ b/src/transport/peers/client.rs
@@ -123,8 +123,8 @@
         Some(reply.workers)
     }
 
-    /// Requests a promise not to answer heartbeats with a fencing token lower than `token`; `None` if the
-    /// call fails.
+    /// Requests a promise not to answer heartbeats as a leader with a fencing token lower than `token`;
+    /// `None` if the call fails.
     pub fn request_promise(
         &self,
         name: &str,
--- a/src/transport/peers/mod.rs
+++ b/src/transport/peers/mod.rs
@@ -41,7 +41,7 @@
     Heartbeat(Vec<u8>),
     /// Reply with 200 if this controller receives heartbeats from workers.
     ReceivesHeartbeats,
-    /// Promise not to answer heartbeats with a lower fencing token. The reply 200 is the promise.
+    /// Promise not to answer heartbeats as a leader with a lower fencing token. The reply 200 is the promise.
     Promise {
         /// The fencing token of the leader that requests it.
         token: FencingToken,
