--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -216,7 +216,7 @@
                 self.apply_returned_heartbeat(name, &heartbeat, now);
             }
             CommandOutcome::Rejected(Some(heartbeat)) => {
-                self.apply_returned_heartbeat(name, &heartbeat, now)
+                self.apply_returned_heartbeat(name, &heartbeat, now);
             }
             // The remaining commands go out with the responses to heartbeats; the failure proves
             // nothing about the machine.
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -36,7 +36,7 @@
         for id in ids {
             match (self.final_states.get(&id).copied(), &mut self.role) {
                 (Some(state), Role::Leading(manager)) => {
-                    manager.final_state_recorded(&id, state, now)
+                    manager.final_state_recorded(&id, state, now);
                 }
                 _ => unknown.push(id),
             }
--- a/src/service/io_thread_pool/transaction_writer.rs
+++ b/src/service/io_thread_pool/transaction_writer.rs
@@ -17,7 +17,7 @@
 /// The pause before a failed read is retried.
 const REREAD_PAUSE: Duration = Duration::from_millis(200);
 
-/// A transaction with the leader's id of it.
+/// A transaction, and the id that the leader has given the write.
 pub(super) struct NumberedTransaction {
     pub(super) id: u64,
     pub(super) transaction: Transaction,
--- a/src/service/isolation.rs
+++ b/src/service/isolation.rs
@@ -16,7 +16,7 @@
 
 /// The pause between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The time without an answer of the state service after which the peers are checked.
+/// The time without a response of the state service after which the peers are checked.
 const STATE_SERVICE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Starts the checks on a new thread. The returned health check is false while this controller is
@@ -47,8 +47,8 @@
 }
 
 fn is_isolated(store: &KeyValueStore, peers: &Peers, epoch: Instant) -> bool {
-    let since_last_answer = epoch.elapsed().saturating_sub(store.last_response(epoch));
-    since_last_answer > STATE_SERVICE_TIMEOUT
+    let since_last_response = epoch.elapsed().saturating_sub(store.last_response(epoch));
+    since_last_response > STATE_SERVICE_TIMEOUT
         && !peers.is_empty()
         && !peers
             .names()
--- a/src/storage/cancellation_log.rs
+++ b/src/storage/cancellation_log.rs
@@ -1,7 +1,7 @@
 //! The log of the cancellations that this process has confirmed to users.
 //!
 //! A controller that cannot read the state service can still learn of every confirmed cancellation if
-//! all other controllers tell it which ones they have confirmed. Each controller therefore records a
+//! all other controllers report which ones they have confirmed. Each controller therefore records a
 //! cancellation in this log before it sends a response that confirms the cancellation, and its peers
 //! read the log page by page, starting at a [`Cursor`]. The log is in memory only: a cursor into the log
 //! of an earlier process has another incarnation, and reading cannot continue from it.
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -238,7 +238,7 @@
         match &mut self.network {
             Some(network) => network.announce(now, Message::JobsEnded(id.to_string(), state)),
             None => {
-                self.announcement_arrives(|manager| manager.final_state_recorded(id, state, now))
+                self.announcement_arrives(|manager| manager.final_state_recorded(id, state, now));
             }
         }
     }
