--- a/src/coordination/autoscaling/demand/mod.rs
+++ b/src/coordination/autoscaling/demand/mod.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether another demand has the same request and the same choice of machines.
-    fn is_like(&self, other: &Demand) -> bool {
+    fn can_merge_with(&self, other: &Demand) -> bool {
         let (a, b) = (&self.spec, &other.spec);
         self.spot == other.spot
             && Resources::of(a) == Resources::of(b)
@@ -42,7 +42,7 @@
 pub(super) fn merge(demands: Vec<Demand>) -> Vec<Demand> {
     let mut merged: Vec<Demand> = Vec::new();
     for demand in demands {
-        match merged.iter_mut().find(|m| m.is_like(&demand)) {
+        match merged.iter_mut().find(|m| m.can_merge_with(&demand)) {
             Some(same) => same.count += demand.count,
             None => merged.push(demand),
         }
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -62,8 +62,8 @@
         cluster.push_effect(Effect::RentMachines(rent));
     }
 
-    /// The available offer with the lowest price per task if `tasks` tasks are to be placed; the first
-    /// among equals.
+    /// The available offer with the lowest price per task for placing `tasks` tasks; the first among
+    /// equals.
     fn cheapest_offer(
         &self,
         machine_types: &MachineTypes,
--- a/src/coordination/cluster/leadership.rs
+++ b/src/coordination/cluster/leadership.rs
@@ -89,7 +89,7 @@
         self.has_stepped_down
     }
 
-    /// Ends the leadership: no further commands or writes are sent.
+    /// Ends the leadership: no further writes or direct commands are sent.
     pub(super) fn step_down(&mut self) {
         self.has_stepped_down = true;
     }
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -248,7 +248,10 @@
     /// How many of `tasks` tasks of a job may run within its team's quota.
     pub(crate) fn within_quota(&self, job: &Job, tasks: u32) -> u32 {
         let team = self.team(&job.spec.team);
-        team.map_or(0, |team| self.quota.cap(team, &job.request(), tasks))
+        team.map_or(0, |team| {
+            self.quota
+                .tasks_within_cpu_limit(team, &job.request(), tasks)
+        })
     }
 
     /// Since when many machines have left commands unanswered: more machines may have failed with them.
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Learns the run time of a task that ran to its end without being stopped.
+    /// Learns the run time of a task that completed without being stopped.
     fn learn_run_time(&mut self, exited: &ExitedTask) {
         let spec = &exited.spec;
         let is_service = spec.kind == crate::protocol::job::JobKind::Service;
--- a/src/coordination/state/job.rs
+++ b/src/coordination/state/job.rs
@@ -255,7 +255,7 @@
         tasks * self.predicted_s * self.spec.cpus
     }
 
-    /// Whether all that is left to do for the job is to record its final state.
+    /// Whether only the recording of the job's final state is left to do.
     pub fn needs_final_state(&self) -> bool {
         if self.final_state_recorded {
             return false;
--- a/src/coordination/state/quota.rs
+++ b/src/coordination/state/quota.rs
@@ -62,8 +62,8 @@
         fits(used.cpus, request.cpus, team.cpus_max) && fits(used.gpus, request.gpus, team.gpus_max)
     }
 
-    /// The number of tasks, at most `tasks`, that the team's CPU limit allows in addition.
-    pub fn cap(&self, team: &Team, request: &Resources, tasks: u32) -> u32 {
+    /// The number of further tasks, at most `tasks`, that the team's CPU limit allows.
+    pub fn tasks_within_cpu_limit(&self, team: &Team, request: &Resources, tasks: u32) -> u32 {
         if team.cpus_max <= 0.0 || request.cpus <= 0.0 {
             return tasks;
         }
