--- a/src/coordination/cluster/dependencies.rs
+++ b/src/coordination/cluster/dependencies.rs
@@ -25,7 +25,7 @@
 pub(super) struct DependencyGraph {
     /// The dependents of each job that is not known to have finished.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// Dependencies of which neither the description nor the final state is known.
+    /// Dependencies of which neither the specification nor the final state is known.
     unknown: BTreeSet<JobId>,
     /// Whether a read of final states is in progress.
     is_reading_final_states: bool,
--- a/src/coordination/cluster/heartbeats.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -31,7 +31,7 @@
         machine.is_none_or(|machine| machine.worker.is_newer(heartbeat))
     }
 
-    /// Counts the tasks that a heartbeat shows as completed. Completion is final, so the age of the
+    /// Counts the tasks that a heartbeat lists as completed. Completion is final, so the age of the
     /// heartbeat does not matter.
     fn apply_completions(&mut self, heartbeat: &Heartbeat, now: Time) {
         let completed = heartbeat.tasks.iter();
@@ -105,7 +105,7 @@
             let zone = heartbeat.zone.as_str().into();
             Machine::new(name.clone(), machine_type, zone, heartbeat.spot, now)
         });
-        machine.describe(&heartbeat.kind, &heartbeat.zone, heartbeat.spot);
+        machine.set_type_if_unknown(&heartbeat.kind, &heartbeat.zone, heartbeat.spot);
         let is_new_incarnation = machine.worker.begins_incarnation(heartbeat);
         machine
             .worker
--- a/src/coordination/cluster/inventory.rs
+++ b/src/coordination/cluster/inventory.rs
@@ -42,7 +42,7 @@
             machine.endpoint.clone_from(&listed.endpoint);
             machine
         });
-        machine.describe(&listed.kind, &listed.zone, listed.spot);
+        machine.set_type_if_unknown(&listed.kind, &listed.zone, listed.spot);
         // A machine that was added from a placement record or a heartbeat may have been rented long
         // before.
         machine.rented_at = machine.rented_at.min(rented_at);
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -34,20 +34,20 @@
 impl ClusterState {
     /// Reconciles the allocations of a machine with the newest heartbeat of its worker.
     pub(super) fn reconcile(&mut self, name: &MachineName, heartbeat: &Heartbeat, now: Time) {
-        let mut shown = BTreeSet::new();
+        let mut listed = BTreeSet::new();
         for status in &heartbeat.tasks {
             let Some((job, task)) = parse_task(&status.task) else {
                 continue;
             };
             let id = AllocationId::new(job.into(), task, status.attempt);
-            // Most tasks are unchanged, and a large fleet reports tens of thousands of tasks a second.
+            // Most tasks are unchanged, and a large fleet's heartbeats list tens of thousands a second.
             let machine = self.machines.get(name);
             if !machine.is_some_and(|machine| machine.is_unchanged(&id, status.state)) {
                 self.reconcile_task(name, &id, status, now);
             }
-            shown.insert(id);
+            listed.insert(id);
         }
-        self.reconcile_missing_tasks(name, &shown, heartbeat.token, now);
+        self.reconcile_missing_tasks(name, &listed, heartbeat.token, now);
     }
 
     /// Applies the status of a task in a heartbeat where it differs from the known state.
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Applies a heartbeat that shows a task on its machine.
+    /// Applies a heartbeat that lists a task which has not exited.
     fn task_observed(
         &mut self,
         name: &MachineName,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Applies a heartbeat that shows that a task has exited.
+    /// Applies a heartbeat that lists a task as exited.
     fn task_exited(
         &mut self,
         name: &MachineName,
@@ -220,7 +220,7 @@
     fn reconcile_missing_tasks(
         &mut self,
         name: &MachineName,
-        shown: &BTreeSet<AllocationId>,
+        listed: &BTreeSet<AllocationId>,
         token: FencingToken,
         now: Time,
     ) {
@@ -230,19 +230,19 @@
             return;
         };
         let unsolicited_sequence = machine.worker.unsolicited_sequence();
-        // A response carried a launch, but a later heartbeat does not show the task.
+        // A response carried a launch, but a later heartbeat does not list the task.
         let is_unacknowledged = machine.allocations().iter().any(|(id, a)| {
             let sequence = a.launch_response_sequence;
             let is_answered = sequence.is_some_and(|s| s < unsolicited_sequence);
             let is_launching = a.state == AllocationState::Launching && a.pending_stop.is_none();
-            is_launching && is_answered && !shown.contains(id)
+            is_launching && is_answered && !listed.contains(id)
         });
         if is_unacknowledged {
             machine.worker.record_acknowledgement(false, now);
         }
         let mut lost = Vec::new();
         machine.retain_allocations(|id, allocation| {
-            if shown.contains(id) {
+            if listed.contains(id) {
                 return true;
             }
             let launches_are_over = allocation.no_launch_in_flight(token, unsolicited_sequence);
--- a/src/coordination/state/machine.rs
+++ b/src/coordination/state/machine.rs
@@ -108,7 +108,7 @@
     }
 
     /// Sets the machine's type, zone and spot flag if only its name is known.
-    pub fn describe(&mut self, machine_type: &str, zone: &str, spot: bool) {
+    pub fn set_type_if_unknown(&mut self, machine_type: &str, zone: &str, spot: bool) {
         if self.machine_type.is_empty() {
             self.machine_type = machine_type.into();
             self.zone = zone.into();
--- a/src/coordination/state/task.rs
+++ b/src/coordination/state/task.rs
@@ -35,7 +35,7 @@
 pub struct CompletionRecord {
     /// The last known version of the record's key; 0 if the key does not exist.
     pub version: u64,
-    /// Since when the stored record has been out of date.
+    /// Since when the stored record has been outdated.
     pub dirty_since: Option<Time>,
     /// Whether a write of the record is in flight.
     pub in_flight: bool,
--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -1,4 +1,4 @@
-//! Job descriptions as users submit them, their validation, and the job status that users query.
+//! Job specifications as users submit them, their validation, and the job status that users query.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -35,7 +35,7 @@
     Critical,
 }
 
-/// A job's description.
+/// A job's specification.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// The job's unique id, chosen by its user. A retried submission has the same id.
@@ -102,7 +102,7 @@
     pub waits_on: Vec<String>,
 }
 
-/// Why a description is rejected.
+/// Why a specification is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidField {
@@ -118,7 +118,7 @@
 
 /// The maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// The maximum length of a text in a description, in bytes.
+/// The maximum length of a text in a specification, in bytes.
 const MAX_TEXT_BYTES: usize = 150;
 /// The maximum length of the part of a job id after its prefix, in bytes.
 const MAX_ID_BYTES: usize = 40;
--- a/src/storage/records/mod.rs
+++ b/src/storage/records/mod.rs
@@ -3,7 +3,7 @@
 //! | key | record | module |
 //! | --- | --- | --- |
 //! | `leader` | [`LeaderRecord`]: the leader; attached to the leadership lease | [`leader`] |
-//! | `open/ID` | [`OpenRecord`]: an open job and its description; deleted when the job finishes | [`open`] |
+//! | `open/ID` | [`OpenRecord`]: the specification of an open job; deleted when it finishes | [`open`] |
 //! | `end/ID` | [`FinalStateRecord`]: the final state of a job; write-once, never deleted | [`final_state`] |
 //! | `place/N` | [`StoredPlacements`]: allocations of tasks, of many jobs together | [`placements`] |
 //! | `run/ID/N` | [`StoredCompletions`]: which of a range of tasks have completed | [`completions`] |
--- a/src/storage/records/open.rs
+++ b/src/storage/records/open.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredOpen", into = "StoredOpen")]
 pub struct OpenRecord {
-    /// The job's description.
+    /// The job's specification.
     pub spec: JobSpec,
     /// When the job was accepted, in milliseconds since the Unix epoch.
     pub at_ms: u64,
@@ -16,7 +16,7 @@
 }
 
 /// The stored form of an [`OpenRecord`]. A version without support for dependencies would start a
-/// dependent job at once. The stored description of such a job therefore allows no machine type, so that
+/// dependent job at once. The stored specification of such a job therefore allows no machine type, so that
 /// such a version leaves the job pending; the allowed types are stored in `waits`.
 #[derive(Serialize, Deserialize)]
 struct StoredOpen {
@@ -28,7 +28,7 @@
     dependencies: Option<StoredDependencies>,
 }
 
-/// The dependencies of a job, and the machine types that its description allows.
+/// The dependencies of a job, and the machine types that its specification allows.
 #[derive(Serialize, Deserialize)]
 struct StoredDependencies {
     #[serde(rename = "on")]
--- a/src/transport/api_server/mod.rs
+++ b/src/transport/api_server/mod.rs
@@ -17,7 +17,7 @@
 /// A routed request with its body.
 #[derive(Debug, PartialEq)]
 pub enum ApiRequest {
-    /// Submit the job that this body describes.
+    /// Submit the job that this body specifies.
     Submit(Vec<u8>),
     /// Query the state of the job with this id.
     Query(String),
--- a/src/transport/api_server/routing.rs
+++ b/src/transport/api_server/routing.rs
@@ -12,7 +12,7 @@
 pub(super) enum Route {
     /// The health check.
     Health,
-    /// The submission of a job; the body describes it.
+    /// The submission of a job; the body is its specification.
     Submit,
     /// A worker's heartbeat; the body is its status.
     Heartbeat,
