--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -1,4 +1,5 @@
-//! Which cancellations a leader provably knows, and until when it renews the leases of workers.
+//! Up to which time a leader provably knows all confirmed cancellations, and how long it therefore renews
+//! the leases of workers.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -9,49 +10,36 @@
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 use std::collections::BTreeSet;
 
-/// Entries that a log keeps in these histories: few, so that gaps come about.
-const CAPACITY: usize = 5;
+/// Entries that a log retains in these tests: few, so that readers find gaps.
+const LOG_CAPACITY: usize = 5;
 
-/// What happens next.
+/// A step of a generated history.
 #[derive(Clone, Debug)]
 enum Step {
-    Pass {
-        tenths: u8,
-    },
-    /// A peer confirms a cancellation, which is on record before.
-    Confirm {
-        peer: u8,
-    },
-    /// A cancellation is written, and nobody is told of it.
+    /// Time passes, in tenths of a second.
+    Pass { tenths: u8 },
+    /// A cancellation is stored, and then confirmed by a peer.
+    Confirm { peer: u8 },
+    /// A cancellation is stored, but confirmed by no peer.
     Write,
-    /// A peer that reads the records confirms an earlier one.
-    ConfirmRecorded {
-        peer: u8,
-        number: u8,
-    },
-    /// A question to a peer leaves; it is answered, and the answer arrives, in later steps.
-    Ask {
-        peer: u8,
-    },
-    Answer {
-        peer: u8,
-    },
-    Arrive {
-        peer: u8,
-        lost: bool,
-    },
-    /// The records are asked for; they are read, and the answer arrives, in later steps.
-    AskRecords,
-    Read,
-    ArriveRecords {
-        lost: bool,
-    },
-    Restart {
-        peer: u8,
-    },
+    /// A peer that reads the records confirms an earlier cancellation.
+    ConfirmRecorded { peer: u8, number: u8 },
+    /// A request is sent to a peer; its response is created and received in later steps.
+    SendRequest { peer: u8 },
+    /// A peer creates its response.
+    CreateResponse { peer: u8 },
+    /// The response of a peer is received, or is lost.
+    ReceiveResponse { peer: u8, lost: bool },
+    /// A request for the records is sent; they are read and received in later steps.
+    SendRead,
+    /// The state service reads the records.
+    ReadRecords,
+    /// The records that were read are received, or are lost.
+    ReceiveRecords { lost: bool },
+    /// A peer restarts with an empty log.
+    Restart { peer: u8 },
 }
 
-/// Any step.
 fn step() -> impl Strategy<Value = Step> {
     let peer = || 0..2u8;
     prop_oneof![
@@ -59,74 +47,77 @@
         4 => peer().prop_map(|peer| Step::Confirm { peer }),
         1 => Just(Step::Write),
         2 => (peer(), any::<u8>()).prop_map(|(peer, number)| Step::ConfirmRecorded { peer, number }),
-        6 => peer().prop_map(|peer| Step::Ask { peer }),
-        6 => peer().prop_map(|peer| Step::Answer { peer }),
-        6 => (peer(), prop::bool::weighted(0.1)).prop_map(|(peer, lost)| Step::Arrive { peer, lost }),
-        2 => Just(Step::AskRecords),
-        2 => Just(Step::Read),
-        2 => prop::bool::weighted(0.2).prop_map(|lost| Step::ArriveRecords { lost }),
+        6 => peer().prop_map(|peer| Step::SendRequest { peer }),
+        6 => peer().prop_map(|peer| Step::CreateResponse { peer }),
+        6 => (peer(), prop::bool::weighted(0.1))
+            .prop_map(|(peer, lost)| Step::ReceiveResponse { peer, lost }),
+        2 => Just(Step::SendRead),
+        2 => Just(Step::ReadRecords),
+        2 => prop::bool::weighted(0.2).prop_map(|lost| Step::ReceiveRecords { lost }),
         1 => peer().prop_map(|peer| Step::Restart { peer }),
     ]
 }
 
-/// A question under way, and the answer as far as there is one.
-type Question = (
+/// A pending request to a peer: its cursor, when it was sent, and the response once it is created.
+type PendingRequest = (
     Cursor,
     f64,
     Option<stairstage::storage::cancellation_log::CancellationPage>,
 );
 
-/// A leader that asks two peers, and the records.
-struct World {
+/// A leader that requests the cancellations confirmed by two peers, and reads the records.
+struct History {
     now: f64,
     evidence: CancellationEvidence,
     logs: Vec<CancellationLog>,
     incarnations: u64,
-    questions: Vec<Option<Question>>,
+    requests: Vec<Option<PendingRequest>>,
+    /// Jobs whose cancellation is stored.
     records: BTreeSet<String>,
-    reading: Option<(f64, Option<BTreeSet<String>>)>,
-    /// Every cancellation that a user was told of, and when first.
+    /// A pending read of the records: when it was sent, and what was read.
+    pending_read: Option<(f64, Option<BTreeSet<String>>)>,
+    /// Every cancellation that was confirmed to a user, and when.
     confirmed: Vec<(String, f64)>,
+    /// Jobs that the leader knows to be cancelled.
     known: BTreeSet<String>,
 }
 
-/// The name of a peer.
 fn name(peer: usize) -> String {
     format!("n{peer}")
 }
 
-impl World {
-    fn new() -> World {
+impl History {
+    fn new() -> History {
         let names = [name(0), name(1)];
-        World {
+        History {
             now: 0.0,
             evidence: CancellationEvidence::new(&names),
             logs: (1..3)
-                .map(|i| CancellationLog::with_incarnation(i, CAPACITY))
+                .map(|i| CancellationLog::with_incarnation(i, LOG_CAPACITY))
                 .collect(),
             incarnations: 2,
-            questions: vec![None, None],
+            requests: vec![None, None],
             records: BTreeSet::new(),
-            reading: None,
+            pending_read: None,
             confirmed: Vec::new(),
             known: BTreeSet::new(),
         }
     }
 
-    /// Writes a cancellation; returns its job.
+    /// Stores a cancellation; returns the id of its job.
     fn write(&mut self) -> String {
         let job = format!("req-{}", self.records.len());
         self.records.insert(job.clone());
         job
     }
 
-    /// A peer tells a user of a cancellation.
+    /// A peer confirms a cancellation to a user.
     fn confirm(&mut self, peer: usize, job: String) {
         self.logs[peer].record(&job);
         self.confirmed.push((job, self.now));
     }
 
-    /// Plays a step.
+    /// Executes a step.
     fn apply(&mut self, step: Step) {
         match step {
             Step::Pass { tenths } => self.now += f64::from(tenths) / 10.0,
@@ -144,27 +135,27 @@
                     self.confirm(peer as usize, job);
                 }
             }
-            Step::Ask { peer } => {
+            Step::SendRequest { peer } => {
                 let cursor = self.evidence.cursor(&name(peer as usize));
-                let question = &mut self.questions[peer as usize];
-                question.get_or_insert((cursor, self.now, None));
+                let request = &mut self.requests[peer as usize];
+                request.get_or_insert((cursor, self.now, None));
             }
-            Step::Answer { peer } => {
-                if let Some((cursor, _, page)) = &mut self.questions[peer as usize] {
+            Step::CreateResponse { peer } => {
+                if let Some((cursor, _, page)) = &mut self.requests[peer as usize] {
                     *page = Some(self.logs[peer as usize].page(*cursor));
                 }
             }
-            Step::Arrive { peer, lost } => self.arrive(peer as usize, lost),
-            Step::AskRecords => {
-                self.reading.get_or_insert((self.now, None));
+            Step::ReceiveResponse { peer, lost } => self.receive_response(peer as usize, lost),
+            Step::SendRead => {
+                self.pending_read.get_or_insert((self.now, None));
             }
-            Step::Read => {
-                if let Some((_, read)) = &mut self.reading {
+            Step::ReadRecords => {
+                if let Some((_, read)) = &mut self.pending_read {
                     *read = Some(self.records.clone());
                 }
             }
-            Step::ArriveRecords { lost } => {
-                if let Some((sent, Some(read))) = self.reading.take_if(|r| r.1.is_some()) {
+            Step::ReceiveRecords { lost } => {
+                if let Some((sent, Some(read))) = self.pending_read.take_if(|r| r.1.is_some()) {
                     if !lost {
                         self.known.extend(read);
                         self.evidence.records_read(sent);
@@ -173,15 +164,15 @@
             }
             Step::Restart { peer } => {
                 self.incarnations += 1;
-                let log = CancellationLog::with_incarnation(self.incarnations, CAPACITY);
+                let log = CancellationLog::with_incarnation(self.incarnations, LOG_CAPACITY);
                 self.logs[peer as usize] = log;
             }
         }
     }
 
-    /// The answer of a peer arrives, or is lost.
-    fn arrive(&mut self, peer: usize, lost: bool) {
-        let answered = self.questions[peer].take_if(|q| q.2.is_some());
+    /// The response of a peer is received, or is lost.
+    fn receive_response(&mut self, peer: usize, lost: bool) {
+        let answered = self.requests[peer].take_if(|q| q.2.is_some());
         if let Some((asked, sent, Some(page))) = answered.filter(|_| !lost) {
             self.known
                 .extend(page.jobs.iter().map(|job| job.to_string()));
@@ -195,7 +186,8 @@
         }
     }
 
-    /// Every cancellation that a user was told of before the proven moment is known.
+    /// Checks that the leader knows every cancellation that was confirmed before the time that its evidence
+    /// proves.
     fn check(&self) {
         let Some(known_until) = self.evidence.known_until(self.now) else {
             return;
@@ -205,7 +197,7 @@
             let known = self.known.contains(job);
             assert!(
                 known || *at >= known_until,
-                "{job}: confirmed at {at}, proven {known_until}"
+                "{job}: confirmed at {at}, known until {known_until}"
             );
         }
     }
@@ -220,48 +212,50 @@
     })]
 
     #[test]
-    fn every_cancellation_confirmed_before_the_proven_moment_is_known(
+    fn all_cancellations_confirmed_before_the_proven_time_are_known(
         steps in prop::collection::vec(step(), 20..200),
     ) {
-        let mut world = World::new();
+        let mut history = History::new();
         for step in steps {
-            world.apply(step);
-            world.check();
+            history.apply(step);
+            history.check();
         }
     }
 
-    /// A lease renewed at the last moment ends before a task of a job that was cancelled just after
-    /// the proven moment must be gone, however the clocks of the two machines drift.
+    /// A cancellation that was confirmed just after the proven time is unknown to the leader. Its tasks must
+    /// have stopped `cancel_s` later, so a lease that was renewed at the last moment must have expired by
+    /// then, however the clocks of leader and worker drift.
     #[test]
-    fn a_lease_that_is_renewed_ends_before_an_unknown_cancellation_must(
+    fn renewed_lease_expires_before_the_time_limit_of_an_unknown_cancellation(
         lease_s in 0.5f64..200.0,
         cancel_s in 0.5f64..400.0,
         leader_drift in -0.0005f64..0.0005,
         worker_drift in -0.0005f64..0.0005,
-        share in 0.0f64..1.0,
+        renewal_share in 0.0f64..1.0,
     ) {
         let workers = Workers { report_s: 1.0, lease_s, gang_wait_s: 1.0, gang_peer_s: 1.0, cancel_s };
         let mut evidence = CancellationEvidence::new(&[name(0)]);
         evidence.records_read(0.0);
-        let renewed_at = renewal_s(&workers) * share;
+        let renewed_at = renewal_s(&workers) * renewal_share;
         prop_assert!(!evidence.may_renew(&workers, renewal_s(&workers)));
         if evidence.may_renew(&workers, renewed_at) {
             let renewed_after = renewed_at / (1.0 + leader_drift);
-            let over_after = renewed_after + lease_s / (1.0 + worker_drift);
-            prop_assert!(over_after <= cancel_s, "over after {over_after} of {cancel_s} s");
+            let expired_after = renewed_after + lease_s / (1.0 + worker_drift);
+            prop_assert!(expired_after <= cancel_s, "expired after {expired_after} of {cancel_s} s");
         }
     }
 }
 
-/// The evidence of a leader with one peer, which it has asked before it read the records.
-fn asked_once(log: &CancellationLog) -> CancellationEvidence {
+/// The evidence of a leader that has received a response of its only peer at 1 s, and a read of the records
+/// that was sent at 2 s.
+fn initial_evidence(log: &CancellationLog) -> CancellationEvidence {
     let mut evidence = CancellationEvidence::new(&[name(0)]);
     ask(&mut evidence, log, 1.0);
     evidence.records_read(2.0);
     evidence
 }
 
-/// Asks the peer once; returns the jobs in its answer.
+/// Sends one request to the only peer; returns the jobs in the response, which is received at once.
 fn ask(evidence: &mut CancellationEvidence, log: &CancellationLog, now: f64) -> Vec<String> {
     let asked = evidence.cursor(&name(0));
     let page = log.page(asked);
@@ -277,9 +271,9 @@
 }
 
 #[test]
-fn while_the_peers_answer_an_outage_of_any_length_ends_no_lease() {
-    let log = CancellationLog::with_incarnation(1, CAPACITY);
-    let mut evidence = asked_once(&log);
+fn leases_are_renewed_during_any_outage_while_all_peers_respond() {
+    let log = CancellationLog::with_incarnation(1, LOG_CAPACITY);
+    let mut evidence = initial_evidence(&log);
     for second in 3..2000 {
         ask(&mut evidence, &log, f64::from(second));
         assert_eq!(
@@ -290,29 +284,29 @@
 }
 
 #[test]
-fn a_peer_that_has_restarted_proves_nothing_until_the_records_are_read_again() {
-    let log = CancellationLog::with_incarnation(1, CAPACITY);
-    let mut evidence = asked_once(&log);
+fn restarted_peer_proves_nothing_until_the_records_are_read_again() {
+    let log = CancellationLog::with_incarnation(1, LOG_CAPACITY);
+    let mut evidence = initial_evidence(&log);
     ask(&mut evidence, &log, 3.0);
     assert_eq!(evidence.known_until(3.0), Some(3.0));
     log.record("req-1");
-    let restarted = CancellationLog::with_incarnation(2, CAPACITY);
+    let restarted = CancellationLog::with_incarnation(2, LOG_CAPACITY);
     assert!(ask(&mut evidence, &restarted, 4.0).is_empty());
     ask(&mut evidence, &restarted, 5.0);
     assert_eq!(
         evidence.known_until(5.0),
         Some(2.0),
-        "the records alone count"
+        "only the read of the records counts"
     );
     evidence.records_read(4.5);
     assert_eq!(evidence.known_until(5.0), Some(5.0));
 }
 
 #[test]
-fn a_peer_whose_log_has_dropped_entries_proves_nothing_until_the_records_are_read_again() {
-    let log = CancellationLog::with_incarnation(1, CAPACITY);
-    let mut evidence = asked_once(&log);
-    for job in 0..=CAPACITY {
+fn peer_whose_log_has_dropped_entries_proves_nothing_until_the_records_are_read_again() {
+    let log = CancellationLog::with_incarnation(1, LOG_CAPACITY);
+    let mut evidence = initial_evidence(&log);
+    for job in 0..=LOG_CAPACITY {
         log.record(&format!("req-{job}"));
     }
     assert!(ask(&mut evidence, &log, 3.0).is_empty());
@@ -321,46 +315,50 @@
 }
 
 #[test]
-fn a_controller_without_others_knows_all_that_it_has_confirmed_itself() {
+fn controller_without_peers_knows_all_cancellations_once_it_has_read_the_records() {
     let mut evidence = CancellationEvidence::new(&[]);
     assert_eq!(
         evidence.known_until(1.0),
         None,
-        "but not what its earlier process had"
+        "an earlier process may have confirmed cancellations"
     );
     evidence.records_read(2.0);
     assert_eq!(evidence.known_until(9.0), Some(9.0));
 }
 
 #[test]
-fn without_an_answer_of_every_peer_only_the_records_count() {
+fn only_the_records_count_until_every_peer_has_responded() {
     let names = [name(0), name(1)];
     let mut evidence = CancellationEvidence::new(&names);
-    assert_eq!(evidence.known_until(1.0), None, "nothing has been read");
-    let log = CancellationLog::with_incarnation(1, CAPACITY);
+    assert_eq!(
+        evidence.known_until(1.0),
+        None,
+        "the records have not been read"
+    );
+    let log = CancellationLog::with_incarnation(1, LOG_CAPACITY);
     ask(&mut evidence, &log, 1.0);
     evidence.records_read(2.0);
     ask(&mut evidence, &log, 9.0);
     assert_eq!(
         evidence.known_until(9.0),
         Some(2.0),
-        "the other peer is silent"
+        "the other peer has not responded"
     );
 }
 
 #[test]
-fn a_long_log_is_read_page_by_page() {
+fn long_log_is_read_page_by_page() {
     let log = CancellationLog::with_incarnation(1, 10_000);
-    let mut evidence = asked_once(&log);
+    let mut evidence = initial_evidence(&log);
     for job in 0..2500 {
         log.record(&format!("req-{job}"));
         log.record(&format!("req-{job}"));
     }
-    let mut told = Vec::new();
+    let mut received = Vec::new();
     for _ in 0..3 {
-        assert_ne!(evidence.known_until(3.0), Some(3.0), "more is to come");
-        told.extend(ask(&mut evidence, &log, 3.0));
+        assert_ne!(evidence.known_until(3.0), Some(3.0), "more pages follow");
+        received.extend(ask(&mut evidence, &log, 3.0));
     }
-    assert_eq!(told.len(), 2500, "each once");
+    assert_eq!(received.len(), 2500, "each job once");
     assert_eq!(evidence.known_until(3.0), Some(3.0));
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Three real controllers on loopback, against stand-ins of the state service, the cloud and one
+//! Up to three controller processes on loopback, with stand-ins for the state service, the cloud and one
 //! worker.
 
 #[path = "common/standins.rs"]
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 #[test]
-fn a_job_outlives_the_leader_that_started_it() {
+fn job_survives_failover_and_restart_of_all_controllers() {
     let grid = Grid::new("outlives");
-    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
+    let mut controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let worker = &grid.worker;
     let send_heartbeats = || grid.send_heartbeats(&[0, 1, 2]);
     let job = small_job("req-1");
@@ -25,49 +25,53 @@
         (worker.lock().unwrap().tasks.len() == 2).then_some(())
     });
     let leader = until("there is a leader", || grid.leader());
-    nodes[leader] = None;
+    controllers[leader] = None;
     let other = &grid.front((leader + 1) % 3);
     let token = worker.lock().unwrap().token;
-    until("another node leads", || {
+    until("another controller leads", || {
         send_heartbeats();
         (worker.lock().unwrap().token > token).then_some(())
     });
-    assert_eq!(accepted(other, &job), 200, "a repeat is known");
+    assert_eq!(
+        accepted(other, &job),
+        200,
+        "a repeated submission is recognised"
+    );
     worker.lock().unwrap().finish = true;
-    let told = until("the job is done", || {
+    let job_status = until("the job is done", || {
         send_heartbeats();
         let (_, answer) = call("GET", other, "/v2/runs/req-1", &Value::Null)?;
         (answer["status"] == "done").then_some(answer)
     });
-    assert_eq!(told["name_id"], "req-1");
+    assert_eq!(job_status["name_id"], "req-1");
     let mut starts = worker.lock().unwrap().starts.clone();
     starts.sort();
     assert_eq!(starts, ["req-1/0", "req-1/1"], "no task was started twice");
-    let (status, _) = until("an unknown job is denied", || {
+    let (status, _) = until("an unknown job is answered", || {
         call("GET", other, "/v2/runs/req-2", &Value::Null).filter(|a| a.0 < 500)
     });
     assert_eq!(status, 404);
     let (status, _) = call("POST", other, "/v2/runs", &json!([1])).unwrap();
     assert_eq!(status, 400);
 
-    // All controllers restart while the cloud is down: the machine types are on record.
+    // All controllers restart while the cloud is down; they read the machine types from the stored record.
     grid.cloud_down.store(true, Ordering::Relaxed);
-    nodes.clear();
-    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
+    controllers.clear();
+    let _controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let another = small_job("req-3");
     until("a job is accepted without the cloud", || {
         call("POST", other, "/v2/runs", &another).filter(|a| a.0 == 201 || a.0 == 200)
     });
-    let (_, told) = until("the end outlives all controllers", || {
+    let (_, answer) = until("the final state is available after the restart", || {
         call("GET", other, "/v2/runs/req-1", &Value::Null).filter(|a| a.0 == 200)
     });
-    assert_eq!(told["status"], "done");
+    assert_eq!(answer["status"], "done");
 }
 
 #[test]
-fn a_leader_that_hears_no_worker_hands_over_to_one_that_does() {
-    let grid = Grid::new("deaf");
-    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
+fn leader_that_receives_no_heartbeats_is_replaced_by_a_controller_that_does() {
+    let grid = Grid::new("no-heartbeats");
+    let _controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     accepted(&grid.front(0), &small_job("req-1"));
     until("both tasks run", || {
         grid.send_heartbeats(&[0, 1, 2]);
@@ -75,23 +79,27 @@
     });
     let cut_off = until("there is a leader", || grid.leader());
     let others: Vec<usize> = (0..3).filter(|i| *i != cut_off).collect();
-    // The leader answers its peers and holds its lease; the worker only gets through to them.
-    until("another node leads", || {
+    // The leader answers its peers and holds its lease, but the worker reaches only the peers.
+    until("another controller leads", || {
         grid.send_heartbeats(&others);
         grid.leader().filter(|leader| *leader != cut_off)
     });
-    until("the worker follows it", || {
+    until("the worker has the token of the new leader", || {
         grid.send_heartbeats(&others);
         let token = grid.state.lock().unwrap().keys.get("leader")?.version;
         (grid.worker.lock().unwrap().token == token).then_some(())
     });
-    assert_eq!(grid.worker.lock().unwrap().starts.len(), 2, "none twice");
+    assert_eq!(
+        grid.worker.lock().unwrap().starts.len(),
+        2,
+        "no task is started twice"
+    );
 }
 
 #[test]
-fn a_restarted_controller_leads_by_a_new_token_though_the_record_names_it() {
-    // The record of its former process is on a lease that holds for long.
-    let grid = Grid::new("namesake");
+fn restarted_controller_leads_with_a_new_token_although_the_leader_record_names_it() {
+    // The leader record of the controller's former process is attached to a lease of an hour.
+    let grid = Grid::new("restarted");
     {
         let mut state = grid.state.lock().unwrap();
         state.revision = 7;
@@ -104,7 +112,7 @@
         let lease = Lease::new(Duration::from_secs(3600));
         state.leases.insert(7, lease);
     }
-    let _node = grid.start(0);
+    let _controller = grid.start(0);
     until("the worker is answered with a newer token", || {
         grid.send_heartbeats(&[0]);
         (grid.worker.lock().unwrap().token > 7).then_some(())
@@ -117,50 +125,61 @@
 }
 
 #[test]
-fn a_job_whose_news_was_lost_is_found_by_reading_the_records_anew() {
+fn job_whose_watch_event_was_lost_is_found_by_rereading_the_records() {
     let grid = Grid::new("reread");
-    let _nodes: Vec<Option<ControllerProcess>> = (0..2).map(|i| grid.start(i)).collect();
+    let _controllers: Vec<Option<ControllerProcess>> = (0..2).map(|i| grid.start(i)).collect();
     let leader = until("there is a leader", || grid.leader());
     until("the worker is known", || {
         grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().token > 0).then_some(())
     });
     grid.job_changes_lost.store(true, Ordering::Relaxed);
-    // Recorded by the other node: the leader's watch would tell of it.
+    // The other controller stores the job, so the leader would learn of it from its watch.
     accepted(&grid.front(1 - leader), &small_job("req-1"));
     until("a task runs", || {
         grid.send_heartbeats(&[leader]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
     });
-    assert_eq!(grid.leader(), Some(leader), "by no other leader's reading");
+    assert_eq!(
+        grid.leader(),
+        Some(leader),
+        "the same leader has read the records again"
+    );
 }
 
 #[test]
-fn a_node_that_reaches_neither_the_state_service_nor_a_peer_leaves_the_rotation() {
-    let grid = Grid::new("alone");
-    let _node = grid.start(0);
-    let healthy = || Some(call("GET", &grid.front(0), "/healthz", &Value::Null)?.0);
-    until("it serves", || healthy().filter(|s| *s == 200));
+fn controller_that_reaches_neither_the_state_service_nor_a_peer_fails_health_checks() {
+    let grid = Grid::new("unreachable");
+    let _controller = grid.start(0);
+    let health_status = || Some(call("GET", &grid.front(0), "/healthz", &Value::Null)?.0);
+    until("the controller is healthy", || {
+        health_status().filter(|s| *s == 200)
+    });
     grid.state_down.store(true, Ordering::Relaxed);
-    until("it leaves", || healthy().filter(|s| *s == 503));
-    // A submission is refused at once, and told when to come back.
+    until("the controller is unhealthy", || {
+        health_status().filter(|s| *s == 503)
+    });
+    // A submission is rejected at once with Retry-After.
     let address = format!("http://{}/v2/runs", grid.front(0));
-    let refused = ureq::post(&address).send_json(small_job("req-1"));
-    match refused {
+    let rejected = ureq::post(&address).send_json(small_job("req-1"));
+    match rejected {
         Err(ureq::Error::Status(503, response)) => assert!(response.has("Retry-After")),
         other => panic!("{other:?}"),
     }
-    // A peer that answers is a way to serve users: an outage takes no node out of the rotation.
+    // A reachable peer may still serve users, so an outage of the state service alone does not fail health
+    // checks.
     let _peer = grid.start(1);
-    until("it is back by its peer", || healthy().filter(|s| *s == 200));
+    until("the controller is healthy with a peer", || {
+        health_status().filter(|s| *s == 200)
+    });
     grid.state_down.store(false, Ordering::Relaxed);
     assert_eq!(accepted(&grid.front(0), &small_job("req-1")) / 100, 2);
 }
 
 #[test]
-fn a_leader_without_the_state_service_stops_what_another_controller_has_confirmed_as_cancelled() {
-    let grid = Grid::new("refused");
-    let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
+fn leader_without_the_state_service_stops_jobs_whose_cancellation_a_peer_has_confirmed() {
+    let grid = Grid::new("state-outage");
+    let _controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     accepted(&grid.front(0), &small_job("req-1"));
     accepted(&grid.front(0), &small_job("req-2"));
     let leader = until("there is a leader", || grid.leader());
@@ -168,7 +187,7 @@
         grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().tasks.len() == 4).then_some(())
     });
-    // Nobody else is elected before the state service is down for all.
+    // No other leader is elected before the state service is down for all controllers.
     grid.keep_leases();
     grid.state_refuses[leader].store(true, Ordering::Relaxed);
     let other = grid.front((leader + 1) % 3);
@@ -176,91 +195,97 @@
         call("POST", &other, "/v2/runs/req-1/abort", &json!({})).filter(|a| a.0 == 200)
     });
     grid.state_down.store(true, Ordering::Relaxed);
-    until("its tasks are stopped", || {
+    until("the tasks of the cancelled job are stopped", || {
         grid.send_heartbeats(&[leader]);
         let worker = grid.worker.lock().unwrap();
-        let left = worker.tasks.keys().all(|id| id.task.starts_with("req-2/"));
-        left.then_some(())
+        let stopped = worker.tasks.keys().all(|id| id.task.starts_with("req-2/"));
+        stopped.then_some(())
     });
     grid.send_heartbeats(&[leader]);
     assert_eq!(
         grid.worker.lock().unwrap().tasks.len(),
         2,
-        "the others live on"
+        "the tasks of req-2 keep running"
     );
 }
 
-/// A job of two small tasks that waits for others.
-fn waiting(id: &str, waits_on: &[&str]) -> Value {
+/// A job of two small tasks with dependencies.
+fn dependent_job(id: &str, waits_on: &[&str]) -> Value {
     let mut job = small_job(id);
     job["waits_on"] = json!(waits_on);
     job
 }
 
-/// The state of a job as a node tells it, if it does.
-fn job_state(grid: &Grid, node: usize, id: &str) -> Option<String> {
+/// The status of a job as a controller reports it, or none if it answers with an error.
+fn job_state(grid: &Grid, controller: usize, id: &str) -> Option<String> {
     let path = format!("/v2/runs/{id}");
-    let (status, answer) = call("GET", &grid.front(node), &path, &Value::Null)?;
+    let (status, answer) = call("GET", &grid.front(controller), &path, &Value::Null)?;
     (status == 200).then(|| answer["status"].as_str().unwrap().to_string())
 }
 
-/// A node accepts a job. A try that was accepted may have gone unanswered: the next one is told
-/// that it is known.
-fn submit(grid: &Grid, node: usize, job: &Value) {
-    assert_eq!(accepted(&grid.front(node), job) / 100, 2);
+/// Submits a job to a controller. Either success status will do: if the response to an accepted submission
+/// was lost, the retry is answered as a repeated submission.
+fn submit(grid: &Grid, controller: usize, job: &Value) {
+    assert_eq!(accepted(&grid.front(controller), job) / 100, 2);
 }
 
-/// The tasks of all jobs that were started, in their order.
+/// The started tasks of all jobs, in the order of their starts.
 fn starts(grid: &Grid) -> Vec<String> {
     grid.worker.lock().unwrap().starts.clone()
 }
 
-/// Whether a task of a job was started.
+/// Whether any task of a job was started.
 fn has_started(grid: &Grid, id: &str) -> bool {
     let starts = starts(grid);
     starts.iter().any(|s| s.starts_with(&format!("{id}/")))
 }
 
-/// What was never accepted cannot be waited for, nor can the job itself, nor too many jobs.
-fn check_impossible_dependencies_are_refused(grid: &Grid) {
-    let front = &grid.front(1);
-    assert_eq!(accepted(front, &waiting("req-2", &["req-1"])), 422);
-    assert_eq!(accepted(front, &waiting("req-2", &["req-2"])), 422);
-    assert_eq!(accepted(front, &waiting("req-2", &["nothing"])), 400);
-    // More than a record can hold: the answer names the bound, and asks nobody first.
+/// A dependency on an unknown job or on the job itself is rejected, and so are too many dependencies.
+fn check_invalid_dependencies_are_rejected(grid: &Grid) {
+    let address = &grid.front(1);
+    assert_eq!(accepted(address, &dependent_job("req-2", &["req-1"])), 422);
+    assert_eq!(accepted(address, &dependent_job("req-2", &["req-2"])), 422);
+    assert_eq!(
+        accepted(address, &dependent_job("req-2", &["nothing"])),
+        400
+    );
+    // More dependencies than a record can hold: the answer names the limit, and is sent without any lookup.
     let many: Vec<String> = (100..2000).map(|n| format!("req-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
-    let (status, told) = until("an answer", || {
-        call("POST", front, "/v2/runs", &waiting("req-2", &many)).filter(|a| a.0 < 500)
+    let (status, answer) = until("the submission is answered", || {
+        call("POST", address, "/v2/runs", &dependent_job("req-2", &many)).filter(|a| a.0 < 500)
     });
     assert_eq!(status, 400);
     assert!(
-        told["error"].as_str().unwrap().contains("of at most 13926"),
-        "{told}"
+        answer["error"]
+            .as_str()
+            .unwrap()
+            .contains("of at most 13926"),
+        "{answer}"
     );
 }
 
-/// A pipeline of three jobs, submitted to one node each, is done in its order though the leader
-/// ends. Returns the nodes that are left.
-fn check_a_pipeline_outlives_the_leader(
+/// A pipeline of three jobs, each submitted to another controller, is done in order although the leader
+/// process is killed. Returns the remaining controllers.
+fn check_pipeline_survives_failover(
     grid: &Grid,
-    nodes: &mut [Option<ControllerProcess>],
+    controllers: &mut [Option<ControllerProcess>],
 ) -> Vec<usize> {
     submit(grid, 0, &small_job("req-1"));
-    submit(grid, 1, &waiting("req-2", &["req-1"]));
-    submit(grid, 2, &waiting("req-3", &["req-2", "req-1"]));
-    let repeated = accepted(&grid.front(0), &waiting("req-3", &["req-9"]));
-    assert_eq!(repeated, 200, "is known");
-    until("the first runs", || {
+    submit(grid, 1, &dependent_job("req-2", &["req-1"]));
+    submit(grid, 2, &dependent_job("req-3", &["req-2", "req-1"]));
+    let repeated = accepted(&grid.front(0), &dependent_job("req-3", &["req-9"]));
+    assert_eq!(repeated, 200, "the repeated submission is recognised");
+    until("the first job runs", || {
         grid.send_heartbeats(&[0, 1, 2]);
         has_started(grid, "req-1").then_some(())
     });
     let leader = until("there is a leader", || grid.leader());
-    nodes[leader] = None;
+    controllers[leader] = None;
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
     assert!(!has_started(grid, "req-2") && !has_started(grid, "req-3"));
     grid.worker.lock().unwrap().finish = true;
-    until("the last is done", || {
+    until("the last job is done", || {
         grid.send_heartbeats(&others);
         (job_state(grid, others[0], "req-3")? == "done").then_some(())
     });
@@ -271,60 +296,59 @@
     others
 }
 
-/// Jobs that need a cancelled one are cancelled too, whichever of two nodes is asked.
+/// Dependents of a cancelled job are cancelled too; both controllers report so.
 fn check_dependents_of_a_cancelled_job_are_cancelled(grid: &Grid, a: usize, b: usize) {
     grid.worker.lock().unwrap().finish = false;
     submit(grid, a, &small_job("req-4"));
-    submit(grid, b, &waiting("req-5", &["req-4"]));
-    submit(grid, a, &waiting("req-6", &["req-5", "req-3"]));
-    until("the cancellation is taken", || {
+    submit(grid, b, &dependent_job("req-5", &["req-4"]));
+    submit(grid, a, &dependent_job("req-6", &["req-5", "req-3"]));
+    until("the cancellation is confirmed", || {
         call("POST", &grid.front(b), "/v2/runs/req-4/abort", &json!({})).filter(|a| a.0 == 200)
     });
-    for (node, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
-        until("what needs it is cancelled", || {
+    for (controller, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
+        until("its dependents are cancelled", || {
             grid.send_heartbeats(&[a, b]);
-            (job_state(grid, node, id)? == "cancelled").then_some(())
+            (job_state(grid, controller, id)? == "cancelled").then_some(())
         });
     }
 }
 
-/// A job that is submitted after the one that it needs was cancelled.
-fn check_late_dependents_of_a_cancelled_job(grid: &Grid, a: usize, b: usize) {
-    // It is accepted, and cancelled at once.
-    submit(grid, a, &waiting("req-7", &["req-6"]));
-    let told = until("a node tells", || job_state(grid, b, "req-7"));
-    assert_eq!(told, "cancelled");
-    let repeated = accepted(&grid.front(b), &waiting("req-7", &["req-6"]));
+/// A job that is submitted after its dependency was cancelled is accepted and cancelled at once.
+fn check_late_dependent_of_a_cancelled_job(grid: &Grid, a: usize, b: usize) {
+    submit(grid, a, &dependent_job("req-7", &["req-6"]));
+    let status = until("the status is available", || job_state(grid, b, "req-7"));
+    assert_eq!(status, "cancelled");
+    let repeated = accepted(&grid.front(b), &dependent_job("req-7", &["req-6"]));
     assert_eq!(repeated, 200);
     assert!(!has_started(grid, "req-5") && !has_started(grid, "req-6"));
-    // A cancelled one does not hide another that was never accepted, whichever is named first.
-    let hidden_last = accepted(&grid.front(a), &waiting("req-8", &["req-6", "req-9"]));
-    assert_eq!(hidden_last, 422);
-    let hidden_first = accepted(&grid.front(b), &waiting("req-8", &["req-0", "req-6"]));
-    assert_eq!(hidden_first, 422);
+    // A cancelled dependency does not hide an unknown one, whichever of them is listed first.
+    let unknown_last = accepted(&grid.front(a), &dependent_job("req-8", &["req-6", "req-9"]));
+    assert_eq!(unknown_last, 422);
+    let unknown_first = accepted(&grid.front(b), &dependent_job("req-8", &["req-0", "req-6"]));
+    assert_eq!(unknown_first, 422);
 }
 
 #[test]
-fn pipelines_go_through_any_node_and_outlive_the_leader() {
+fn dependencies_work_across_controllers_and_survive_failover() {
     let grid = Grid::new("pipelines");
-    let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
-    check_impossible_dependencies_are_refused(&grid);
-    let others = check_a_pipeline_outlives_the_leader(&grid, &mut nodes);
+    let mut controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
+    check_invalid_dependencies_are_rejected(&grid);
+    let others = check_pipeline_survives_failover(&grid, &mut controllers);
     let (a, b) = (others[0], others[1]);
     check_dependents_of_a_cancelled_job_are_cancelled(&grid, a, b);
-    check_late_dependents_of_a_cancelled_job(&grid, a, b);
+    check_late_dependent_of_a_cancelled_job(&grid, a, b);
 }
 
 #[test]
-fn a_node_without_a_leader_does_not_call_a_job_pending_that_needs_a_cancelled_one() {
-    let grid = Grid::new("orphans");
-    let spec = |id: &str, waits_on: &[&str]| {
-        let spec = JobSpec::parse(waiting(id, waits_on).to_string().as_bytes()).unwrap();
+fn dependents_of_a_cancelled_job_are_not_called_pending_while_there_is_no_leader() {
+    let grid = Grid::new("cancelled-dependency");
+    let open_record = |id: &str, waits_on: &[&str]| {
+        let spec = JobSpec::parse(dependent_job(id, waits_on).to_string().as_bytes()).unwrap();
         let record = OpenRecord::accepted(spec, 0);
         serde_json::to_value(&record).unwrap()
     };
     {
-        // The leader is gone, and its lease holds for long.
+        // The leader is gone; its lease lasts another hour.
         let mut state = grid.state.lock().unwrap();
         state.revision = 9;
         let mut put = |key: &str, value: Value| {
@@ -339,13 +363,13 @@
         put("leader", json!({"node": "n9"}));
         put("end/req-1", json!({"state": "cancelled"}));
         put("end/req-2", json!({"state": "done"}));
-        put("open/req-3", spec("req-3", &["req-2", "req-1"]));
-        put("open/req-4", spec("req-4", &["req-3"]));
-        put("open/req-5", spec("req-5", &["req-2"]));
+        put("open/req-3", open_record("req-3", &["req-2", "req-1"]));
+        put("open/req-4", open_record("req-4", &["req-3"]));
+        put("open/req-5", open_record("req-5", &["req-2"]));
         let lease = Lease::new(Duration::from_secs(3600));
         state.leases.insert(7, lease);
     }
-    let _node = grid.start(0);
+    let _controller = grid.start(0);
     let poll = |id: &str| {
         call(
             "GET",
@@ -354,10 +378,10 @@
             &Value::Null,
         )
     };
-    let (_, told) = until("one that needs what is done is answered", || {
+    let (_, answer) = until("the dependent of a done job is answered", || {
         poll("req-5").filter(|a| a.0 == 200)
     });
-    assert_eq!(told["status"], "pending");
+    assert_eq!(answer["status"], "pending");
     for id in ["req-3", "req-4"] {
         let status = until("there is an answer", || poll(id)).0;
         assert_eq!(status, 503, "{id}");
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -1,5 +1,5 @@
-//! The demand for machines (`src/coordination/demand.rs`) in small cases: jobs that no machine at hand
-//! could hold, however little work there is. Each says what is rented for one job beside one machine.
+//! Scale-out and scale-in in small fleets: which machines are rented for jobs that none of the present
+//! machines can hold, however little work there is, and which are returned.
 
 mod common;
 
@@ -15,10 +15,10 @@
 use stairstage::protocol::worker::{Command, TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
 
-/// Seconds after which a job that has not begun is overdue, and a little more.
+/// Seconds after which a job that has not started is overdue, with a margin.
 const OVERDUE_S: i32 = 140;
 
-/// A fleet of one machine in zone `z`; the only type is offered in two zones.
+/// A fleet of one machine in zone `z`; the only machine type is offered in zones `z` and `y`.
 fn one_machine() -> ClusterManager {
     let mut manager = manager();
     manager.set_machine_types(vec![MachineType {
@@ -29,15 +29,16 @@
     manager
 }
 
-/// What is rented within a few seconds for a job, described by what differs from a plain one.
+/// The rental requests in the first seconds after a job is submitted; `overrides` are fields of its
+/// submission that differ from the default.
 fn rented(
     manager: &mut ClusterManager,
     rig: &str,
     tasks: u32,
-    differs: &[(&str, Value)],
+    overrides: &[(&str, Value)],
 ) -> Vec<Rent> {
     let mut body = submission("req-1", rig, "normal", tasks);
-    for (field, value) in differs {
+    for (field, value) in overrides {
         body[*field] = value.clone();
     }
     manager.job_accepted(OpenRecord::accepted(parsed(&body), 0), 1, 0, 0.0);
@@ -56,27 +57,27 @@
 }
 
 #[test]
-fn a_job_that_fits_the_machine_at_hand_rents_none() {
+fn job_that_fits_the_present_machine_rents_none() {
     let rents = rented(&mut one_machine(), "sweep", 1, &[]);
     assert!(rents.is_empty(), "{rents:?}");
 }
 
 #[test]
-fn a_job_bound_to_a_zone_without_machines_gets_one_there() {
+fn job_bound_to_a_zone_without_machines_rents_one_in_that_zone() {
     let rents = rented(&mut one_machine(), "sweep", 1, &[("berth", json!("y"))]);
     assert_eq!(rents.len(), 1, "{rents:?}");
     assert_eq!((rents[0].zone.as_str(), rents[0].count), ("y", 1));
 }
 
 #[test]
-fn a_spread_gang_gets_a_machine_in_another_zone() {
+fn spread_gang_rents_a_machine_in_another_zone() {
     let rents = rented(&mut one_machine(), "group", 2, &[("spread", json!(true))]);
     assert_eq!(rents.len(), 1, "{rents:?}");
     assert_eq!((rents[0].zone.as_str(), rents[0].count), ("y", 1));
 }
 
 #[test]
-fn a_gang_that_is_larger_than_the_fleet_gets_the_room_it_lacks() {
+fn gang_in_one_zone_larger_than_the_fleet_rents_the_missing_machine() {
     let rents = rented(
         &mut one_machine(),
         "group",
@@ -88,20 +89,20 @@
 }
 
 #[test]
-fn a_spread_gang_that_is_larger_than_the_fleet_gets_machines_in_both_zones() {
+fn spread_gang_larger_than_the_fleet_rents_machines_in_both_zones() {
     let rents = rented(&mut one_machine(), "group", 16, &[("spread", json!(true))]);
     let by_zone: Vec<(&str, u32)> = rents.iter().map(|r| (r.zone.as_str(), r.count)).collect();
     assert_eq!(by_zone, [("z", 1), ("y", 2)]);
 }
 
 #[test]
-fn an_overdue_spread_gang_gets_no_machine_where_it_helps_nothing() {
+fn overdue_spread_gang_rents_only_in_the_zone_that_lacks_a_machine() {
     let mut manager = one_machine();
     let first = rented(&mut manager, "group", 2, &[("spread", json!(true))]);
-    let mut unanswered = first;
+    let mut pending = first;
     for second in 5..OVERDUE_S {
         let now = f64::from(second);
-        for rent in unanswered.drain(..) {
+        for rent in pending.drain(..) {
             assert_eq!(rent.zone, "y", "at {second} s");
             manager.machines_rented(&rent.request, Some(Vec::new()), now);
         }
@@ -109,25 +110,25 @@
         manager.tick(now);
         carry_out(&mut manager, now, |_, effect| {
             if let Effect::RentMachines(rent) = effect {
-                unanswered.push(rent);
+                pending.push(rent);
             }
         });
     }
 }
 
-/// Idle machines of the smaller type.
+/// The number of idle machines of the smaller type.
 const SMALL_MACHINES: usize = 6;
 
-/// Idle machines of the smaller of two types; the cloud has none of the larger type.
-struct SmallFleet {
+/// A fleet of idle machines of the smaller of two types; the cloud grants no rental request.
+struct IdleFleet {
     manager: ClusterManager,
     now: f64,
     rented: Vec<Rent>,
     returned: Vec<String>,
 }
 
-impl SmallFleet {
-    fn new() -> SmallFleet {
+impl IdleFleet {
+    fn new() -> IdleFleet {
         let large = MachineType {
             name: "m16".into(),
             cpus: 16.0,
@@ -135,7 +136,7 @@
         };
         let mut manager = manager();
         manager.set_machine_types(vec![machine_type(), large]);
-        let mut fleet = SmallFleet {
+        let mut fleet = IdleFleet {
             manager,
             now: 0.0,
             rented: Vec::new(),
@@ -145,7 +146,7 @@
         fleet
     }
 
-    /// A job that arrives now: so many tasks of so many processors, for so long.
+    /// Submits an array of tasks that each request `cpus` and have an estimated run time of `run_s`.
     fn submit(&mut self, number: u64, tasks: u32, cpus: f64, run_s: f64) {
         let mut body = submission(&format!("req-{number}"), "sweep", "normal", tasks);
         body["cpus"] = json!(cpus);
@@ -154,7 +155,7 @@
         self.manager.job_accepted(record, number, 0, self.now);
     }
 
-    /// Seconds in which all machines report that they hold nothing.
+    /// Lets time pass; each second, all machines that were not returned send heartbeats without tasks.
     fn pass(&mut self, seconds: u32) {
         for _ in 0..seconds {
             self.now += 1.0;
@@ -189,16 +190,16 @@
 }
 
 #[test]
-fn idle_machines_go_back_though_tasks_wait_that_fit_none_of_them() {
-    let mut fleet = SmallFleet::new();
+fn idle_machines_are_returned_while_waiting_tasks_fit_none_of_them() {
+    let mut fleet = IdleFleet::new();
     fleet.submit(1, 100, 8.0, 300.0);
     fleet.pass(200);
     assert_eq!(fleet.returned.len(), SMALL_MACHINES);
 }
 
 #[test]
-fn what_waits_for_other_machines_rents_none_for_a_job_that_those_at_hand_suffice_for() {
-    let mut fleet = SmallFleet::new();
+fn job_that_waits_for_large_machines_does_not_make_small_jobs_rent_more() {
+    let mut fleet = IdleFleet::new();
     fleet.submit(1, 500, 8.0, 300.0);
     fleet.pass(3);
     fleet.submit(2, 30, 1.0, 20.0);
@@ -206,10 +207,10 @@
     let small = fleet.rented.iter().filter(|r| r.kind == "m4");
     assert_eq!(small.count(), 0, "{:?}", fleet.rented);
     let large = fleet.rented.iter().filter(|r| r.kind == "m16");
-    assert!(large.count() > 0, "the first job wants larger machines");
+    assert!(large.count() > 0, "the first job needs larger machines");
 }
 
-/// What a heartbeat in the second incarnation of the only machine's worker is answered.
+/// The commands in the response to a heartbeat of the second incarnation of the only worker.
 fn answer_in_second_incarnation(
     manager: &mut ClusterManager,
     sequence: u64,
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn a_job_that_lost_its_machine_to_long_tasks_gets_another_one() {
+fn job_that_lost_its_machine_to_long_tasks_rents_another() {
     let mut manager = one_machine();
     let mut job = submission("req-1", "sweep", "normal", 1);
     job["cpus"] = json!(4.0);
@@ -238,7 +239,7 @@
         shown(&first, TaskState::Running, None),
         1.0,
     );
-    // Its machine loses its lease, and longer tasks of a higher priority take the room.
+    // The lease of its worker expires, and long tasks of a higher priority take the machine's resources.
     let mut long = submission("req-2", "sweep", "urgent", 4);
     long["passage_s"] = json!(5000.0);
     manager.job_accepted(OpenRecord::accepted(parsed(&long), 0), 2, 0, 16.0);
--- a/tests/failing_jobs.rs
+++ b/tests/failing_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs that were submitted with a mistake fail on every machine until their users cancel them: what
-//! they cost until then.
+//! Jobs with a mistake in their submission fail on every machine until their users cancel them. These tests
+//! bound the launches, writes and machine time that such a job takes until then.
 
 mod common;
 
@@ -10,21 +10,22 @@
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
-/// Machines of the only type.
+/// The number of machines, all of the only type.
 const MACHINES: u64 = 20;
-/// Tasks that run at once.
+/// The number of tasks that run at the same time.
 const SLOTS: usize = 4 * MACHINES as usize;
 
-/// A fleet whose tasks fail when their machine next reports, or run on.
+/// A fleet whose tasks either fail before the next heartbeat of their machine or keep running.
 struct Fleet {
     manager: ClusterManager,
     tasks: BTreeMap<String, Vec<TaskStatus>>,
     sequence: u64,
     now: f64,
     launches: usize,
-    changes: usize,
-    /// Machine seconds that failing tasks have taken.
-    busy_s: f64,
+    /// Write operations in all transactions.
+    writes: usize,
+    /// Task seconds that failing tasks have taken.
+    failing_task_s: f64,
 }
 
 impl Fleet {
@@ -37,21 +38,21 @@
             sequence: 1,
             now: 0.0,
             launches: 0,
-            changes: 0,
-            busy_s: 0.0,
+            writes: 0,
+            failing_task_s: 0.0,
         };
         fleet.heartbeat(|_| false);
         fleet
     }
 
-    /// Opens an array.
-    fn open(&mut self, id: &str, tasks: u32, sequence: u64) {
+    /// Submits an array.
+    fn submit(&mut self, id: &str, tasks: u32, sequence: u64) {
         let spec = parsed(&submission(id, "sweep", "normal", tasks));
         let record = OpenRecord::accepted(spec, 0);
         self.manager.job_accepted(record, sequence, 0, self.now);
     }
 
-    /// All machines report; tasks of which `fails` holds have failed since the last time.
+    /// Sends a heartbeat of each machine; tasks for which `fails` is true have failed since the last one.
     fn heartbeat(&mut self, fails: impl Fn(&str) -> bool) {
         self.sequence += 1;
         for (machine, tasks) in &mut self.tasks {
@@ -75,15 +76,15 @@
         }
     }
 
-    /// Two seconds pass, with what the leader decides in them.
+    /// Lets two seconds pass, with a scheduling step each half second, and then sends heartbeats.
     fn pass(&mut self, fails: impl Fn(&str) -> bool) {
-        let (tasks, launches, changes) = (&mut self.tasks, &mut self.launches, &mut self.changes);
+        let (tasks, launches, writes) = (&mut self.tasks, &mut self.launches, &mut self.writes);
         for half in 0..4 {
             let at = self.now + f64::from(half) / 2.0;
             self.manager.tick(at);
             each_effect(&mut self.manager, at, |manager, effect| match effect {
                 Effect::Write { id, transaction } => {
-                    *changes += transaction.operations.len();
+                    *writes += transaction.operations.len();
                     manager.write_finished(id, WriteOutcome::Applied(100 + id), at);
                 }
                 Effect::SendCommands {
@@ -93,54 +94,62 @@
                 } => {
                     let started = starts(&batch.commands);
                     *launches += started.len();
-                    let here = tasks.get_mut(&*machine).unwrap();
-                    here.extend(shown(&started, TaskState::Fetching, None));
+                    let on_machine = tasks.get_mut(&*machine).unwrap();
+                    on_machine.extend(shown(&started, TaskState::Fetching, None));
                 }
-                Effect::ReturnMachines(names) => panic!("healthy machines go back: {names:?}"),
+                Effect::ReturnMachines(names) => panic!("healthy machines are returned: {names:?}"),
                 _ => {}
             });
         }
         self.now += 2.0;
         let failing = self.tasks.values().flatten().filter(|t| fails(&t.task));
-        self.busy_s += 2.0 * failing.count() as f64;
+        self.failing_task_s += 2.0 * failing.count() as f64;
         self.heartbeat(fails);
     }
 }
 
-/// Whether a task is of this job.
-fn of_job<'a>(id: &'a str) -> impl Fn(&str) -> bool + 'a {
-    move |task| task.starts_with(id)
+/// Selects the tasks whose ids begin with `prefix`.
+fn with_prefix<'a>(prefix: &'a str) -> impl Fn(&str) -> bool + 'a {
+    move |task| task.starts_with(prefix)
 }
 
 #[test]
-fn a_job_that_fails_everywhere_is_tried_with_one_task_after_each_pause() {
+fn job_that_fails_everywhere_is_retried_with_one_task_after_each_backoff() {
     let mut fleet = Fleet::new();
-    fleet.open("req-1", 4 * SLOTS as u32, 1);
+    fleet.submit("req-1", 4 * SLOTS as u32, 1);
     for _ in 0..150 {
-        fleet.pass(of_job("req-1/"));
+        fleet.pass(with_prefix("req-1/"));
     }
-    // Each slot once, then a task for each pause: pauses grow from 4 to 45 s within 300 s.
-    let tries = 12;
-    let most = SLOTS + tries;
+    // One launch per slot, then one task after each backoff; backoffs grow from 4 to 45 s within 300 s.
+    let retries = 12;
+    let max_launches = SLOTS + retries;
     assert!(fleet.launches >= SLOTS, "{} launches", fleet.launches);
-    assert!(fleet.launches <= most, "{} launches", fleet.launches);
-    assert!(fleet.changes <= 4 * tries, "{} changes", fleet.changes);
-    assert!(fleet.busy_s <= 2.0 * most as f64, "{} s", fleet.busy_s);
+    assert!(
+        fleet.launches <= max_launches,
+        "{} launches",
+        fleet.launches
+    );
+    assert!(fleet.writes <= 4 * retries, "{} writes", fleet.writes);
+    assert!(
+        fleet.failing_task_s <= 2.0 * max_launches as f64,
+        "{} s",
+        fleet.failing_task_s
+    );
 }
 
 #[test]
-fn a_job_that_failed_and_then_runs_gets_all_its_machines_soon() {
+fn job_that_stops_failing_gets_all_its_machines_again_soon() {
     let mut fleet = Fleet::new();
-    fleet.open("req-1", SLOTS as u32, 1);
+    fleet.submit("req-1", SLOTS as u32, 1);
     for _ in 0..4 {
-        fleet.pass(of_job("req-1/"));
+        fleet.pass(with_prefix("req-1/"));
     }
     assert!(fleet.launches >= SLOTS);
-    // The mistake was elsewhere, and is mended: its pause and the trial together are shorter than the
-    // time for which no job waits beside room.
-    let mended_at = fleet.now;
+    // The cause lay outside the job and is fixed. The backoff and the trial of one task together take less
+    // than the time for which a job may wait while resources for it are free.
+    let fixed_at = fleet.now;
     while fleet.tasks.values().map(Vec::len).sum::<usize>() < SLOTS {
         fleet.pass(|_| false);
-        assert!(fleet.now - mended_at < 45.0, "{} s", fleet.now - mended_at);
+        assert!(fleet.now - fixed_at < 45.0, "{} s", fleet.now - fixed_at);
     }
 }
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery from single faults: late copies, lost answers, restarted processes and a leader in doubt.
+//! Recovery from single faults: delayed or duplicate heartbeats, lost responses, restarted processes, and a
+//! leader whose leadership lease is unconfirmed.
 
 mod common;
 
@@ -17,8 +18,8 @@
 use stairstage::settings::Workers;
 use stairstage::storage::records::OpenRecord;
 
-/// A job whose four tasks run on the one machine, which has reported twice.
-fn running_on_one() -> (ClusterManager, Vec<AttemptId>) {
+/// A job whose four tasks run on the only machine, which has sent two heartbeats.
+fn running_job() -> (ClusterManager, Vec<AttemptId>) {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
@@ -29,12 +30,12 @@
 }
 
 #[test]
-fn a_worker_that_acknowledges_no_answer_gets_no_more_work_and_is_returned() {
+fn worker_that_applies_no_responses_gets_no_more_work_and_is_returned() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "standing", "critical", None, 1);
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     assert!(!out_of_reach(&mut manager, 0.0).0.is_empty());
-    // Its heartbeats go on; nothing of what the answers say shows in them.
+    // The heartbeats of m-1 continue, but show no effect of the responses.
     answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
     answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 4.0);
     answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 6.0);
@@ -44,7 +45,7 @@
     assert_eq!(
         launched.len(),
         4,
-        "all go to the other machine: {launched:?}"
+        "all tasks start on the other machine: {launched:?}"
     );
     let mut returned = Vec::new();
     for i in 0..8 {
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_worker_that_hears_again_is_used_again() {
+fn worker_that_applies_responses_again_gets_work_again() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
@@ -65,20 +66,20 @@
     answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
     answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 2.0);
     answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 3.0);
-    // The answers get through: the tasks show, and end.
+    // Responses arrive again: the heartbeats show the tasks, and then their completion.
     let running = shown(&attempts, TaskState::Running, None);
     answered(&mut manager, &worker_heartbeat("m-1", 5, 1, running), 4.0);
     let done = shown(&attempts, TaskState::Exited, Some(Cause::Done));
     answered(&mut manager, &worker_heartbeat("m-1", 6, 1, done), 5.0);
     submit(&mut manager, "req-2", "sweep", "normal", None, 2);
-    let mut again = launched(&mut manager, 5.5);
-    again.extend(starts(&heartbeat(&mut manager, 7, Vec::new(), 6.0)));
-    assert_eq!(again.len(), 4, "{again:?}");
+    let mut next = launched(&mut manager, 5.5);
+    next.extend(starts(&heartbeat(&mut manager, 7, Vec::new(), 6.0)));
+    assert_eq!(next.len(), 4, "{next:?}");
 }
 
 #[test]
-fn a_late_copy_is_no_sign_of_life_to_a_new_leader() {
-    // Tokens of this leader begin at 5; the copy is from before.
+fn delayed_heartbeat_does_not_prove_to_a_new_leader_that_a_worker_is_reachable() {
+    // The fencing tokens of this leader begin at 5; the heartbeat was sent under an earlier leader.
     let mut manager = manager_with_token(5);
     answered(&mut manager, &worker_heartbeat("m-1", 9, 3, vec![]), 0.0);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
@@ -91,16 +92,16 @@
 }
 
 #[test]
-fn a_late_copy_brings_no_returned_machine_back() {
+fn delayed_heartbeat_does_not_bring_back_a_returned_machine() {
     let mut manager = manager();
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     manager.machines_returned(&["m-1".to_string()], true, 1.0);
-    let copy = worker_heartbeat("m-1", 2, 1, vec![]);
-    // Well over a lease later, with time passing meanwhile.
+    let delayed = worker_heartbeat("m-1", 2, 1, vec![]);
+    // At any time, until well after the worker's lease has expired.
     for i in 1..40 {
         manager.tick(f64::from(i));
         assert_eq!(
-            manager.heartbeat(&copy, f64::from(i)),
+            manager.heartbeat(&delayed, f64::from(i)),
             HeartbeatOutcome::Stale
         );
         assert_eq!(manager.machine_count(), 0);
@@ -108,8 +109,8 @@
 }
 
 #[test]
-fn what_a_late_copy_says_has_completed_has_completed() {
-    let (mut manager, attempts) = running_on_one();
+fn completions_in_a_delayed_heartbeat_of_a_returned_machine_count() {
+    let (mut manager, attempts) = running_job();
     manager.machines_returned(&["m-1".to_string()], true, 2.0);
     assert_eq!(manager.status("req-1").unwrap().done, 0);
     let done = shown(&attempts, TaskState::Exited, Some(Cause::Done));
@@ -118,23 +119,23 @@
 }
 
 #[test]
-fn a_leader_in_doubt_keeps_tasks_alive_and_starts_nothing() {
+fn leader_with_unconfirmed_lease_keeps_tasks_alive_and_starts_none() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
-    // The launches are recorded, but no direct command got through.
+    // The launches are stored, but no direct command has reached the worker.
     assert_eq!(out_of_reach(&mut manager, 0.0).0.len(), 4);
     manager.set_lease_valid_until(1.0);
     let starts = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
     assert!(starts.is_empty(), "{starts:?}");
     manager.set_lease_valid_until(10.0);
     let starts = answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 3.0);
-    assert_eq!(starts.len(), 4, "the lease held after all");
+    assert_eq!(starts.len(), 4, "the lease was still held");
 }
 
 #[test]
-fn a_leader_in_doubt_stops_what_was_cancelled_without_waiting_for_a_report() {
-    let (mut manager, attempts) = running_on_one();
+fn leader_with_unconfirmed_lease_stops_cancelled_tasks_without_waiting_for_a_heartbeat() {
+    let (mut manager, attempts) = running_job();
     manager.commands_answered(&"m-1".into(), CommandOutcome::Unknown, 1.0);
     manager.set_lease_valid_until(1.0);
     manager.job_finished("req-1", JobState::Cancelled, 8.0);
@@ -154,10 +155,10 @@
 }
 
 #[test]
-fn a_task_that_vanished_with_its_worker_s_process_does_not_stay_for_ever() {
-    let (mut manager, _) = running_on_one();
-    // The process was back at once, and its counters have caught up: only a new token proves
-    // that no launch can still arrive.
+fn tasks_lost_in_a_worker_restart_are_started_again() {
+    let (mut manager, _) = running_job();
+    // The worker restarted at once and its sequence numbers have caught up, so only a new fencing token
+    // proves that no earlier launch can still arrive.
     answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 8.0);
     manager.step(9.0);
     let raises = |e: &Effect| matches!(e, Effect::RaiseToken);
@@ -166,31 +167,31 @@
     answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 10.0);
     answered(&mut manager, &worker_heartbeat("m-1", 5, 2, vec![]), 10.5);
     assert_eq!(manager.status("req-1").unwrap().running, 0);
-    // The first direct command is still without an answer, so the launches come with a heartbeat's.
+    // The first direct command is still unanswered, so the launches are sent in the response to a heartbeat.
     launched(&mut manager, 11.0);
-    let again = answered(&mut manager, &worker_heartbeat("m-1", 6, 2, vec![]), 11.5);
-    assert_eq!(again.len(), 4, "they start anew");
+    let restarted = answered(&mut manager, &worker_heartbeat("m-1", 6, 2, vec![]), 11.5);
+    assert_eq!(restarted.len(), 4, "all tasks are started again");
 }
 
 #[test]
-fn a_copy_from_before_a_machine_s_process_ended_proves_nothing() {
+fn delayed_heartbeat_of_an_earlier_worker_process_is_stale() {
     let mut manager = manager_with_token(5);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     answered(&mut manager, &worker_heartbeat("m-1", 1, 0, vec![]), 0.0);
     answered(&mut manager, &worker_heartbeat("m-1", 2, 5, vec![]), 0.5);
     assert_eq!(launched(&mut manager, 0.5).len(), 4);
-    // An earlier process of that machine had come to its second incarnation, under an earlier leader.
-    let mut copy = worker_heartbeat("m-1", 9, 3, vec![]);
-    copy.incarnation = Incarnation(2);
-    assert_eq!(manager.heartbeat(&copy, 1.0), HeartbeatOutcome::Stale);
+    // Sent by an earlier process on m-1 in its second incarnation, under an earlier leader.
+    let mut delayed = worker_heartbeat("m-1", 9, 3, vec![]);
+    delayed.incarnation = Incarnation(2);
+    assert_eq!(manager.heartbeat(&delayed, 1.0), HeartbeatOutcome::Stale);
     answered(&mut manager, &worker_heartbeat("m-2", 1, 5, vec![]), 1.0);
     assert!(
         launched(&mut manager, 2.0).is_empty(),
-        "they may run on m-1"
+        "the tasks may still run on m-1"
     );
 }
 
-/// How workers report, with such a lease.
+/// Worker settings with a lease of `lease_s`.
 fn workers_with_lease(lease_s: f64) -> Workers {
     Workers {
         report_s: 2.0,
@@ -202,11 +203,11 @@
 }
 
 #[test]
-fn a_copy_of_a_report_is_no_worker_that_comes_back() {
-    let mut redirects = HeartbeatRouter::new(&workers_with_lease(30.0));
+fn duplicate_or_older_heartbeat_does_not_count_as_a_return_after_a_redirect() {
+    let mut router = HeartbeatRouter::new(&workers_with_lease(30.0));
     let mut route = |sequence, now| {
         let heartbeat = (Incarnation(1), HeartbeatSequence(sequence));
-        redirects.route("m-1", heartbeat, now)
+        router.route("m-1", heartbeat, now)
     };
     assert_eq!(route(5, 0.0), Route::Redirect);
     for _ in 0..5 {
@@ -215,21 +216,22 @@
     }
     assert_eq!(route(6, 2.0), Route::Redirect);
     assert_eq!(route(7, 3.0), Route::Forward);
-    // Much later it is a worker like any other.
+    // After a long pause, the count of redirects starts again.
     assert_eq!(route(8, 20.0), Route::Redirect);
 }
 
-/// It may have come because it does not reach the leader, and has lost half of its lease there.
+/// The worker may have come because it cannot reach the leader, and may have lost half of its lease while it
+/// tried.
 #[test]
-fn the_first_report_of_a_worker_with_a_short_lease_is_passed_on() {
-    let mut redirects = HeartbeatRouter::new(&workers_with_lease(10.0));
+fn first_heartbeat_of_a_worker_with_a_short_lease_is_forwarded() {
+    let mut router = HeartbeatRouter::new(&workers_with_lease(10.0));
     let mut route = |sequence, now| {
         let heartbeat = (Incarnation(1), HeartbeatSequence(sequence));
-        redirects.route("m-1", heartbeat, now)
+        router.route("m-1", heartbeat, now)
     };
     assert_eq!(route(5, 0.0), Route::Forward);
     assert_eq!(route(6, 2.0), Route::Redirect);
-    // Neither the leader nor a new try within its patience: it comes back, and does not get through.
+    // A worker that comes back a third time cannot reach the leader.
     assert_eq!(route(7, 8.0), Route::Forward);
     assert_eq!(route(8, 10.0), Route::Forward);
     assert_eq!(route(9, 40.0), Route::Forward);
@@ -237,7 +239,7 @@
 }
 
 #[test]
-fn repeats_of_what_was_carried_out_change_nothing() {
+fn repeated_submissions_cancellations_and_returns_have_no_effect() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     submit(&mut manager, "req-1", "sweep", "normal", None, 7);
@@ -249,14 +251,17 @@
     manager.job_accepted(record, 1, 0, 1.0);
     assert!(manager.status("req-1").is_none_or(|s| s.done == 0));
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 1.0);
-    assert!(launched(&mut manager, 1.0).is_empty(), "it stays cancelled");
+    assert!(
+        launched(&mut manager, 1.0).is_empty(),
+        "the job stays cancelled"
+    );
     manager.machines_returned(&["m-1".to_string()], true, 2.0);
     manager.machines_returned(&["m-1".to_string()], true, 2.5);
     assert_eq!(manager.machine_count(), 0);
 }
 
 #[test]
-fn a_new_leader_returns_idle_machines_by_their_age_not_its_own() {
+fn new_leader_returns_idle_machine_by_its_age_since_rental_not_since_election() {
     let mut manager = manager();
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     let listed = ListedMachine {
@@ -275,18 +280,18 @@
         manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, vec![]), now);
         returned.extend(out_of_reach(&mut manager, now).1);
     }
-    assert_eq!(returned, ["m-1"], "long paid for, and idle");
+    assert_eq!(returned, ["m-1"], "rented long ago, and idle");
 }
 
-/// An array of one task, as it is opened.
-fn open_one_task(manager: &mut ClusterManager, id: &str, sequence: u64, now: f64) {
+/// Submits an array of one task.
+fn submit_one_task(manager: &mut ClusterManager, id: &str, sequence: u64, now: f64) {
     let spec = parsed(&submission(id, "sweep", "normal", 1));
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, now);
 }
 
-/// Lets the manager decide. Writes succeed; returns the keys that they delete, and what is launched by
-/// direct commands, which get no answer yet.
-fn decided(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<AttemptId>) {
+/// Runs a scheduling step in which all writes succeed. Returns the deleted keys, and the attempts launched by
+/// direct commands, which stay unanswered.
+fn run_step(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<AttemptId>) {
     let (mut deleted, mut launches) = (Vec::new(), Vec::new());
     each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, transaction } => {
@@ -305,42 +310,45 @@
 }
 
 #[test]
-fn a_command_that_overtakes_an_answer_proves_nothing_of_its_launches() {
+fn command_response_does_not_prove_that_a_launch_in_a_heartbeat_response_is_lost() {
     let mut manager = manager();
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
-    open_one_task(&mut manager, "req-1", 1, 0.0);
-    let (_, launches) = decided(&mut manager, 0.0);
+    submit_one_task(&mut manager, "req-1", 1, 0.0);
+    let (_, launches) = run_step(&mut manager, 0.0);
     assert_eq!(launches.len(), 1);
-    // While that command is under way, the other job's launch leaves with the response to a heartbeat.
-    open_one_task(&mut manager, "req-2", 2, 0.5);
-    assert!(decided(&mut manager, 0.5).1.is_empty());
-    let by_answer = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 0.6);
-    assert!(by_answer.contains(&"req-2/0".to_string()), "{by_answer:?}");
+    // While that command is unanswered, the launch of req-2 is sent in the response to a heartbeat.
+    submit_one_task(&mut manager, "req-2", 2, 0.5);
+    assert!(run_step(&mut manager, 0.5).1.is_empty());
+    let in_response = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 0.6);
+    assert!(
+        in_response.contains(&"req-2/0".to_string()),
+        "{in_response:?}"
+    );
     manager.cancel("req-2", 0.7);
-    // The command is answered first: nothing of the second job is there yet, but it may come.
+    // The command is answered first. The answer does not show req-2, whose launch may still arrive.
     let running = shown(&launches, TaskState::Running, None);
     let after_command = worker_heartbeat("m-1", 3, 1, running.clone());
     manager.commands_answered(&"m-1".into(), CommandOutcome::Executed(after_command), 0.8);
-    let (deleted, _) = decided(&mut manager, 1.5);
+    let (deleted, _) = run_step(&mut manager, 1.5);
     assert!(deleted.is_empty(), "{deleted:?}");
-    // The worker's next own heartbeat shows that it did not take the answer.
+    // The worker's next regular heartbeat shows that it has not applied the response with the launch.
     answered(&mut manager, &worker_heartbeat("m-1", 4, 1, running), 2.0);
-    let (deleted, _) = decided(&mut manager, 2.5);
+    let (deleted, _) = run_step(&mut manager, 2.5);
     assert_eq!(deleted, ["open/req-2"]);
 }
 
 #[test]
-fn a_worker_that_answers_commands_but_sends_no_reports_gets_no_work_and_is_returned() {
+fn worker_that_answers_commands_but_sends_no_heartbeats_gets_no_work_and_is_returned() {
     let mut manager = manager();
     answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     answered(&mut manager, &worker_heartbeat("m-2", 1, 1, vec![]), 0.0);
-    let (mut on_first, mut on_second) = (Vec::new(), Vec::new());
+    let (mut started_on_1, mut started_on_2) = (Vec::new(), Vec::new());
     let mut returned = Vec::new();
     for second in 1..40 {
         let now = f64::from(second);
         let number = 1 + second as u64;
-        // The first goes on reporting; the second only answers commands, and loses its leases.
-        let running = shown(&on_first, TaskState::Running, None);
+        // m-1 keeps sending heartbeats; m-2 only answers commands, and its leases expire.
+        let running = shown(&started_on_1, TaskState::Running, None);
         manager.heartbeat(&worker_heartbeat("m-1", number, 1, running), now);
         if second == 8 {
             submit(&mut manager, "req-1", "sweep", "normal", None, 1);
@@ -354,16 +362,16 @@
                 ..
             } => {
                 match machine.as_ref() {
-                    "m-2" => on_second.extend(starts(&batch.commands)),
-                    _ => on_first.extend(starts(&batch.commands)),
+                    "m-2" => started_on_2.extend(starts(&batch.commands)),
+                    _ => started_on_1.extend(starts(&batch.commands)),
                 }
-                let mut after = worker_heartbeat(&machine, 1000 + number, 1, vec![]);
-                after.incarnation = Incarnation(1 + second as u64 / 12);
-                let result = match machine.as_ref() {
-                    "m-2" => CommandOutcome::Executed(after),
+                let mut response = worker_heartbeat(&machine, 1000 + number, 1, vec![]);
+                response.incarnation = Incarnation(1 + second as u64 / 12);
+                let outcome = match machine.as_ref() {
+                    "m-2" => CommandOutcome::Executed(response),
                     _ => CommandOutcome::NotSent,
                 };
-                manager.commands_answered(&machine, result, now);
+                manager.commands_answered(&machine, outcome, now);
             }
             Effect::ReturnMachines(names) => {
                 manager.machines_returned(&names, true, now);
@@ -372,13 +380,13 @@
             _ => {}
         });
     }
-    assert_eq!(on_first.len(), 4);
-    assert!(on_second.is_empty(), "{on_second:?}");
+    assert_eq!(started_on_1.len(), 4);
+    assert!(started_on_2.is_empty(), "{started_on_2:?}");
     assert_eq!(returned, ["m-2"]);
 }
 
 #[test]
-fn a_task_that_no_open_job_accounts_for_is_stopped() {
+fn task_that_belongs_to_no_open_job_is_stopped() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     let unknown = shown(&[AttemptId::new("req-9/0", 7)], TaskState::Running, None);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Small cases of what failures on the users' bench and in generated histories have taught.
+//! Regression tests for failures that the users' bench and generated histories have found.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use stairstage::protocol::worker::{Cause, Command, TaskState, TaskStatus};
 
 #[test]
-fn no_launch_leaves_before_its_place_is_recorded() {
+fn no_launch_is_sent_before_its_allocation_is_stored() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_deadline_brings_a_job_forward() {
+fn job_with_the_earlier_deadline_starts_first() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", Some(300.0), 1);
     submit(&mut manager, "req-2", "sweep", "normal", Some(50.0), 2);
@@ -35,39 +35,43 @@
 }
 
 #[test]
-fn a_job_that_failed_on_the_only_machine_is_tried_there_again() {
+fn job_that_failed_on_the_only_machine_is_retried_on_it() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
     let tasks = launched(&mut manager, 0.0);
     let failed = shown(&tasks, TaskState::Exited, Some(Cause::Error));
-    // The first direct command is still unanswered, so launches come with the answers.
-    let mut pass = |sequence, shown: &[TaskStatus], now| {
+    // The first direct command is still unanswered, so launches are sent in the responses to heartbeats.
+    let mut pass = |sequence, tasks: &[TaskStatus], now| {
         launched(&mut manager, now);
-        starts(&heartbeat(&mut manager, sequence, shown.to_vec(), now))
+        starts(&heartbeat(&mut manager, sequence, tasks.to_vec(), now))
     };
     assert!(pass(2, &failed, 1.0).is_empty());
     let again = pass(3, &failed, 1.5);
     assert_eq!(again.len(), 4, "{again:?}");
-    assert!(again.iter().all(|t| !tasks.contains(t)), "attempts are new");
-    // Failing there once more makes it pause, and one pause is enough for all four.
+    assert!(
+        again.iter().all(|t| !tasks.contains(t)),
+        "must be new attempts"
+    );
+    // Another failure of all four tasks starts one backoff of the job.
     let failed = shown(&again, TaskState::Exited, Some(Cause::Error));
     assert!(pass(4, &failed, 2.0).is_empty());
     assert!(pass(5, &[], 5.0).is_empty());
-    // It has completed nothing, so one task shows whether it fails again; then all are tried.
-    let tried = pass(6, &[], 6.5);
-    assert_eq!(tried.len(), 1, "{tried:?}");
-    let runs = shown(&tried, TaskState::Running, None);
+    // The job has completed no task, so a single task is retried first; the others follow once it has run
+    // for a while.
+    let trial = pass(6, &[], 6.5);
+    assert_eq!(trial.len(), 1, "{trial:?}");
+    let running = shown(&trial, TaskState::Running, None);
     for (sequence, now) in [(7, 12.0), (8, 18.0), (9, 23.5)] {
-        assert!(pass(sequence, &runs, now).is_empty(), "at {now}");
+        assert!(pass(sequence, &running, now).is_empty(), "at {now}");
     }
-    let rest = pass(10, &runs, 24.5);
+    let rest = pass(10, &running, 24.5);
     assert_eq!(rest.len(), 3, "{rest:?}");
-    assert!(rest.iter().all(|t| !tried.contains(t)), "the others");
+    assert!(rest.iter().all(|t| !trial.contains(t)), "the other tasks");
 }
 
 #[test]
-fn a_service_stops_lesser_work_for_its_room() {
+fn service_preempts_tasks_of_lower_priority() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
@@ -111,11 +115,14 @@
     let first_stop = commands
         .iter()
         .position(|c| matches!(c, Command::Stop { .. }));
-    assert!(first_stop < first_start, "room is made before it is used");
+    assert!(
+        first_stop < first_start,
+        "tasks are stopped before the service starts"
+    );
 }
 
 #[test]
-fn a_direct_launch_is_not_forgotten_while_a_copy_may_come() {
+fn direct_launch_is_not_forgotten_while_a_delayed_copy_of_it_may_arrive() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
@@ -129,7 +136,7 @@
 }
 
 #[test]
-fn a_notice_stops_a_whole_gang_so_that_it_can_save() {
+fn reclaim_notice_on_one_machine_stops_the_whole_gang_with_time_to_save() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "group", "normal", None, 1);
     heartbeat_from(&mut manager, "m-1", 1, None, Vec::new(), 0.0);
@@ -140,13 +147,13 @@
         tasks.iter().all(|t| t.attempt == tasks[0].attempt),
         "one attempt for all"
     );
-    let (one, other) = tasks.split_at(4);
+    let (first_half, second_half) = tasks.split_at(4);
     heartbeat_from(
         &mut manager,
         "m-1",
         2,
         None,
-        shown(one, TaskState::Running, None),
+        shown(first_half, TaskState::Running, None),
         1.0,
     );
     heartbeat_from(
@@ -154,7 +161,7 @@
         "m-2",
         2,
         None,
-        shown(other, TaskState::Running, None),
+        shown(second_half, TaskState::Running, None),
         1.0,
     );
     let mut commands = heartbeat_from(
@@ -162,7 +169,7 @@
         "m-1",
         3,
         Some(8.0),
-        shown(one, TaskState::Running, None),
+        shown(first_half, TaskState::Running, None),
         2.0,
     );
     commands.extend(heartbeat_from(
@@ -170,7 +177,7 @@
         "m-2",
         3,
         None,
-        shown(other, TaskState::Running, None),
+        shown(second_half, TaskState::Running, None),
         2.5,
     ));
     let saves = |c: &&Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s >= 2.0);
--- a/tests/silent_machines.rs
+++ b/tests/silent_machines.rs
@@ -1,4 +1,4 @@
-//! What a leader concludes from the silence of one machine, of many, or of all.
+//! How a leader treats missing heartbeats of one machine, of many, or of all.
 
 mod common;
 
@@ -13,8 +13,7 @@
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
-/// A leader of forty machines, each with a running task, that report one after the other; what
-/// each of them runs.
+/// A leader of forty machines, and the tasks that run on each of them.
 fn forty_machines() -> (ClusterManager, BTreeMap<String, Vec<TaskStatus>>) {
     let mut manager = manager();
     let mut tasks: BTreeMap<String, Vec<TaskStatus>> = BTreeMap::new();
@@ -36,33 +35,32 @@
             ..
         } = effect
         {
-            let here = tasks.entry(machine.to_string()).or_default();
-            here.extend(shown(&starts(&batch.commands), TaskState::Running, None));
-            let heartbeat = worker_heartbeat(&machine, 2, 1, here.clone());
+            let on_machine = tasks.entry(machine.to_string()).or_default();
+            on_machine.extend(shown(&starts(&batch.commands), TaskState::Running, None));
+            let heartbeat = worker_heartbeat(&machine, 2, 1, on_machine.clone());
             manager.commands_answered(&machine, CommandOutcome::Executed(heartbeat), 0.0);
         }
     });
     (manager, tasks)
 }
 
-/// The name of a machine.
 fn machine_name(i: u64) -> String {
     format!("m-{i:02}")
 }
 
-/// Lets machines report every two seconds, one after the other, from one time to another. Returns
-/// those that were given back.
-fn beats(
+/// Lets the machines in `reporting` send a heartbeat every two seconds, evenly spaced in the order of their
+/// numbers. Returns the machines that the leader returns to the cloud meanwhile.
+fn send_heartbeats(
     manager: &mut ClusterManager,
     tasks: &BTreeMap<String, Vec<TaskStatus>>,
     reporting: std::ops::Range<u64>,
     seconds: std::ops::Range<u64>,
 ) -> Vec<String> {
-    beats_from(HeartbeatSource::Worker, manager, tasks, reporting, seconds)
+    send_heartbeats_from(HeartbeatSource::Worker, manager, tasks, reporting, seconds)
 }
 
-/// The same for reports that come here in such a way.
-fn beats_from(
+/// The same as [`send_heartbeats`] for heartbeats that reach the leader from `source`.
+fn send_heartbeats_from(
     source: HeartbeatSource,
     manager: &mut ClusterManager,
     tasks: &BTreeMap<String, Vec<TaskStatus>>,
@@ -89,29 +87,33 @@
 }
 
 #[test]
-fn a_leader_that_hears_no_worker_at_all_gives_back_none() {
-    // What is missing is its own network: the heartbeats of many machines leave no gap by chance.
+fn leader_without_any_heartbeats_keeps_its_machines_until_their_leases_have_expired() {
+    // The heartbeats of many machines leave no gap by chance: the leader's own network is at fault.
     let (mut manager, tasks) = forty_machines();
-    assert!(beats(&mut manager, &tasks, 0..40, 1..5).is_empty());
+    assert!(send_heartbeats(&mut manager, &tasks, 0..40, 1..5).is_empty());
     assert!(
-        beats(&mut manager, &tasks, 0..0, 5..10).is_empty(),
-        "cut off"
+        send_heartbeats(&mut manager, &tasks, 0..0, 5..10).is_empty(),
+        "during the network fault"
     );
-    // Those that are heard first make the others no more silent than they were.
+    // The first heartbeats afterwards do not make the machines that are still missing count as silent.
     assert!(
-        beats(&mut manager, &tasks, 0..30, 10..12).is_empty(),
-        "back"
+        send_heartbeats(&mut manager, &tasks, 0..30, 10..12).is_empty(),
+        "after the network fault"
     );
-    let returned = beats(&mut manager, &tasks, 0..30, 12..20);
+    let returned = send_heartbeats(&mut manager, &tasks, 0..30, 12..20);
     assert_eq!(returned, (30..40).map(machine_name).collect::<Vec<_>>());
-    // Nor does it keep what is gone for ever.
-    let returned = beats(&mut manager, &tasks, 0..0, 20..50);
-    assert_eq!(returned.len(), 30, "after a lease, and the silence");
+    // Machines that stay silent are not kept forever.
+    let returned = send_heartbeats(&mut manager, &tasks, 0..0, 20..50);
+    assert_eq!(
+        returned.len(),
+        30,
+        "returned after the lease and the heartbeat timeout"
+    );
 }
 
-/// Carries effects out; direct commands go unanswered by some machines, and wait at the others.
-/// Returns which machines were sent any.
-fn some_silent(
+/// Executes effects. Direct commands to the machines in `silent` time out, those to other machines stay
+/// pending. Returns the machines that were sent commands.
+fn run_with_silent_machines(
     manager: &mut ClusterManager,
     silent: std::ops::Range<u64>,
     now: f64,
@@ -136,10 +138,10 @@
 }
 
 #[test]
-fn while_machines_fall_together_replicas_go_where_a_report_has_come_since() {
+fn replicas_avoid_machines_without_a_heartbeat_since_a_mass_failure_began() {
     let (mut manager, tasks) = forty_machines();
-    // The last to report comes first by name, so that it would be chosen among equals.
-    let beat = |manager: &mut ClusterManager, step: u64, reporting: std::ops::Range<u64>| {
+    // The machine with the latest heartbeat has the first name, so it would be chosen among equals.
+    let send_next = |manager: &mut ClusterManager, step: u64, reporting: std::ops::Range<u64>| {
         let i = step % 40;
         let number = if i % 2 == 1 { 19 - i / 2 } else { 20 + i / 2 };
         let name = machine_name(number);
@@ -147,25 +149,28 @@
         if reporting.contains(&number) {
             manager.heartbeat(&heartbeat, step as f64 / 20.0);
         }
-        some_silent(manager, 0..20, step as f64 / 20.0);
+        run_with_silent_machines(manager, 0..20, step as f64 / 20.0);
     };
     for step in 20..120 {
-        beat(&mut manager, step, 0..40);
+        send_next(&mut manager, step, 0..40);
     }
-    // The first twenty by name fall silent. Those whose reports are late are asked, in vain; others
-    // are not late yet, though they have fallen as well.
+    // The first twenty by name fail. Those whose heartbeats are overdue are probed without success; the
+    // heartbeats of the others are not overdue yet.
     for step in 120..164 {
-        beat(&mut manager, step, 20..40);
+        send_next(&mut manager, step, 20..40);
     }
     submit(&mut manager, "req-900", "standing", "critical", None, 900);
-    let gone_to = some_silent(&mut manager, 0..20, 8.2);
-    assert!(!gone_to.is_empty());
-    let fallen: Vec<_> = (0..20).map(machine_name).collect();
-    assert!(gone_to.iter().all(|m| !fallen.contains(m)), "{gone_to:?}");
+    let commanded = run_with_silent_machines(&mut manager, 0..20, 8.2);
+    assert!(!commanded.is_empty());
+    let failed: Vec<_> = (0..20).map(machine_name).collect();
+    assert!(
+        commanded.iter().all(|m| !failed.contains(m)),
+        "{commanded:?}"
+    );
 }
 
 #[test]
-fn a_machine_that_leaves_a_command_unanswered_gets_nothing_new_until_it_is_heard() {
+fn machine_with_an_unanswered_command_gets_no_new_work_until_its_next_heartbeat() {
     let mut manager = manager();
     let two_tasks = |manager: &mut ClusterManager, id: &str, sequence: u64| {
         let spec = parsed(&submission(id, "sweep", "normal", 2));
@@ -179,42 +184,43 @@
     out_of_reach(&mut manager, 0.5);
     assert_eq!(manager.status("req-2").unwrap().running, 0);
     let answer = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
-    assert_eq!(answer.len(), 2, "only what was sent before: {answer:?}");
+    assert_eq!(answer.len(), 2, "only the earlier launches: {answer:?}");
     let (launched, _) = out_of_reach(&mut manager, 1.1);
     assert_eq!(launched, ["req-2/0", "req-2/1"]);
 }
 
 #[test]
-fn reports_that_peers_pass_on_make_no_other_machine_silent() {
+fn heartbeats_forwarded_by_peers_make_no_other_machine_count_as_silent() {
     let (mut manager, tasks) = forty_machines();
-    assert!(beats(&mut manager, &tasks, 0..40, 1..5).is_empty());
-    // Workers that reach no leader come to other controllers one after the other. Those that have not
-    // got there yet are no more silent than the others, and fewer than half.
-    let returned = beats_from(HeartbeatSource::Peer, &mut manager, &tasks, 0..25, 5..16);
+    assert!(send_heartbeats(&mut manager, &tasks, 0..40, 1..5).is_empty());
+    // Workers that cannot reach the leader try the other controllers one after the other. Machines
+    // whose heartbeats have not been forwarded yet, here fewer than half, do not count as silent.
+    let returned = send_heartbeats_from(HeartbeatSource::Peer, &mut manager, &tasks, 0..25, 5..16);
     assert!(returned.is_empty(), "{returned:?}");
-    // Once workers report here again, what stays silent is.
-    assert!(beats(&mut manager, &tasks, 0..25, 16..18).is_empty());
-    let returned = beats(&mut manager, &tasks, 0..25, 18..28);
+    // Once workers reach the leader directly again, machines without heartbeats are returned.
+    assert!(send_heartbeats(&mut manager, &tasks, 0..25, 16..18).is_empty());
+    let returned = send_heartbeats(&mut manager, &tasks, 0..25, 18..28);
     assert_eq!(returned, (25..40).map(machine_name).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_leader_of_many_workers_that_hears_none_of_them_notices_within_a_fraction_of_an_interval() {
+fn leader_of_many_workers_detects_missing_heartbeats_within_a_fraction_of_an_interval() {
     let (mut manager, tasks) = forty_machines();
-    beats(&mut manager, &tasks, 0..40, 1..5);
-    // Forty machines that report every two seconds leave gaps of half a second at the most.
+    send_heartbeats(&mut manager, &tasks, 0..40, 1..5);
+    // Heartbeats of forty machines, one every two seconds each, leave gaps of half a second at most.
     assert!(!manager.receives_no_heartbeats(5.7));
     assert!(manager.receives_no_heartbeats(6.1));
-    // What peers pass on says nothing of this node's own network.
-    beats_from(HeartbeatSource::Peer, &mut manager, &tasks, 0..40, 6..7);
+    // Heartbeats forwarded by peers prove nothing about the leader's own network.
+    send_heartbeats_from(HeartbeatSource::Peer, &mut manager, &tasks, 0..40, 6..7);
     assert!(manager.receives_no_heartbeats(7.0));
-    beats(&mut manager, &tasks, 0..40, 7..8);
+    send_heartbeats(&mut manager, &tasks, 0..40, 7..8);
     assert!(!manager.receives_no_heartbeats(8.0));
 }
 
 #[test]
-fn a_leader_that_few_workers_know_yet_waits_a_whole_interval_for_the_others() {
-    // Thirty of forty wait for the former leader's answer, and come together some seconds later.
+fn new_leader_known_to_few_workers_allows_a_whole_interval_without_heartbeats() {
+    // Thirty of forty workers still wait for a response of the former leader, and will find the new one
+    // together some seconds later.
     let (_, tasks) = forty_machines();
     let mut manager = manager_with_token(100);
     for (i, machine) in tasks.keys().enumerate() {
@@ -225,7 +231,7 @@
     out_of_reach(&mut manager, 1.0);
     assert!(
         !manager.receives_no_heartbeats(2.5),
-        "only ten are known to know it"
+        "only ten workers have acknowledged the new leader"
     );
     assert!(
         manager.receives_no_heartbeats(3.1),
@@ -234,7 +240,7 @@
 }
 
 #[test]
-fn workers_have_a_whole_interval_to_find_a_new_leader() {
+fn workers_have_a_whole_interval_to_reach_a_new_leader() {
     let mut manager = manager();
     let heartbeat = worker_heartbeat("m-1", 1, 1, Vec::new());
     manager.heartbeat_from(HeartbeatSource::Peer, &heartbeat, 0.5);
