--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -339,19 +339,19 @@
     assert_eq!((launches_of("req-3/"), launches_of("req-2/")), (2, 2));
 }
 
-/// Which of the jobs req-1 and req-2 starts first on a machine that holds one of them, after `add_first` and
-/// `add_second` have submitted their dependents.
+/// Which of the jobs req-1 and req-2 starts first on a machine that holds one of them, after two
+/// changes to their dependents.
 fn first_launched(
-    add_first: impl FnOnce(&mut Leader),
-    add_second: impl FnOnce(&mut Leader),
+    first_change: impl FnOnce(&mut Leader),
+    second_change: impl FnOnce(&mut Leader),
 ) -> String {
     let mut leader = Leader::new();
     leader.heartbeat(1, &[], 0.0);
     let wide = |v: &mut Value| v["cpus"] = json!(2.0);
     leader.submit("req-1", &[], wide, 0.0);
     leader.submit("req-2", &[], wide, 0.0);
-    add_first(&mut leader);
-    add_second(&mut leader);
+    first_change(&mut leader);
+    second_change(&mut leader);
     leader.step(0.5);
     leader.launched[0]
         .task
@@ -373,7 +373,7 @@
         l.submit("req-4", &["req-3"], urgent, 0.0);
     };
     assert_eq!(first_launched(|_| (), pipeline), "req-2");
-    // It is no longer inherited once the job that has it is cancelled.
+    // A cancelled job no longer passes its priority on.
     let cancelled = |l: &mut Leader| l.cancel("req-4", 0.0);
     assert_eq!(first_launched(pipeline, cancelled), "req-1");
     // The deadline of req-6 is 10 s earlier than that of req-3, and req-5 with its 20 s comes before req-6.
