--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,24 +1,26 @@
 //! Three real controllers on loopback, against stand-ins of the state service, the cloud and one
 //! worker.
 
-#[path = "common/standins.rs"]
-mod standins;
+#[path = "common/local_cluster.rs"]
+mod local_cluster;
 
+use local_cluster::{
+    call, small_job, submit_job, until, ControllerProcess, Entry, Lease, LocalCluster,
+};
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobSpec;
 use stairstage::storage::records::OpenRecord;
-use standins::{accepted, call, small_job, until, ControllerProcess, Entry, Grid, Lease};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 #[test]
 fn a_job_outlives_the_leader_that_started_it() {
-    let grid = Grid::new("outlives");
+    let grid = LocalCluster::new("outlives");
     let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let worker = &grid.worker;
     let send_heartbeats = || grid.send_heartbeats(&[0, 1, 2]);
     let job = small_job("req-1");
-    let submitted = accepted(&grid.front(0), &job);
+    let submitted = submit_job(&grid.api_address(0), &job);
     assert!(submitted == 201 || submitted == 200, "{submitted}");
     until("both tasks run", || {
         send_heartbeats();
@@ -26,13 +28,13 @@
     });
     let leader = until("there is a leader", || grid.leader());
     nodes[leader] = None;
-    let other = &grid.front((leader + 1) % 3);
+    let other = &grid.api_address((leader + 1) % 3);
     let token = worker.lock().unwrap().token;
     until("another node leads", || {
         send_heartbeats();
         (worker.lock().unwrap().token > token).then_some(())
     });
-    assert_eq!(accepted(other, &job), 200, "a repeat is known");
+    assert_eq!(submit_job(other, &job), 200, "a repeat is known");
     worker.lock().unwrap().finish = true;
     let told = until("the job is done", || {
         send_heartbeats();
@@ -66,9 +68,9 @@
 
 #[test]
 fn a_leader_that_hears_no_worker_hands_over_to_one_that_does() {
-    let grid = Grid::new("deaf");
+    let grid = LocalCluster::new("deaf");
     let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
-    accepted(&grid.front(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
     until("both tasks run", || {
         grid.send_heartbeats(&[0, 1, 2]);
         (grid.worker.lock().unwrap().tasks.len() == 2).then_some(())
@@ -91,7 +93,7 @@
 #[test]
 fn a_restarted_controller_leads_by_a_new_token_though_the_record_names_it() {
     // The record of its former process is on a lease that holds for long.
-    let grid = Grid::new("namesake");
+    let grid = LocalCluster::new("namesake");
     {
         let mut state = grid.state.lock().unwrap();
         state.revision = 7;
@@ -109,7 +111,7 @@
         grid.send_heartbeats(&[0]);
         (grid.worker.lock().unwrap().token > 7).then_some(())
     });
-    accepted(&grid.front(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
     until("a task runs", || {
         grid.send_heartbeats(&[0]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
@@ -118,7 +120,7 @@
 
 #[test]
 fn a_job_whose_news_was_lost_is_found_by_reading_the_records_anew() {
-    let grid = Grid::new("reread");
+    let grid = LocalCluster::new("reread");
     let _nodes: Vec<Option<ControllerProcess>> = (0..2).map(|i| grid.start(i)).collect();
     let leader = until("there is a leader", || grid.leader());
     until("the worker is known", || {
@@ -127,7 +129,7 @@
     });
     grid.job_changes_lost.store(true, Ordering::Relaxed);
     // Recorded by the other node: the leader's watch would tell of it.
-    accepted(&grid.front(1 - leader), &small_job("req-1"));
+    submit_job(&grid.api_address(1 - leader), &small_job("req-1"));
     until("a task runs", || {
         grid.send_heartbeats(&[leader]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
@@ -137,14 +139,14 @@
 
 #[test]
 fn a_node_that_reaches_neither_the_state_service_nor_a_peer_leaves_the_rotation() {
-    let grid = Grid::new("alone");
+    let grid = LocalCluster::new("alone");
     let _node = grid.start(0);
-    let healthy = || Some(call("GET", &grid.front(0), "/healthz", &Value::Null)?.0);
+    let healthy = || Some(call("GET", &grid.api_address(0), "/healthz", &Value::Null)?.0);
     until("it serves", || healthy().filter(|s| *s == 200));
     grid.state_down.store(true, Ordering::Relaxed);
     until("it leaves", || healthy().filter(|s| *s == 503));
     // A submission is refused at once, and told when to come back.
-    let address = format!("http://{}/v2/runs", grid.front(0));
+    let address = format!("http://{}/v2/runs", grid.api_address(0));
     let refused = ureq::post(&address).send_json(small_job("req-1"));
     match refused {
         Err(ureq::Error::Status(503, response)) => assert!(response.has("Retry-After")),
@@ -154,24 +156,27 @@
     let _peer = grid.start(1);
     until("it is back by its peer", || healthy().filter(|s| *s == 200));
     grid.state_down.store(false, Ordering::Relaxed);
-    assert_eq!(accepted(&grid.front(0), &small_job("req-1")) / 100, 2);
+    assert_eq!(
+        submit_job(&grid.api_address(0), &small_job("req-1")) / 100,
+        2
+    );
 }
 
 #[test]
 fn a_leader_without_the_state_service_stops_what_another_controller_has_confirmed_as_cancelled() {
-    let grid = Grid::new("refused");
+    let grid = LocalCluster::new("refused");
     let _nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
-    accepted(&grid.front(0), &small_job("req-1"));
-    accepted(&grid.front(0), &small_job("req-2"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-2"));
     let leader = until("there is a leader", || grid.leader());
     until("all tasks run", || {
         grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().tasks.len() == 4).then_some(())
     });
     // Nobody else is elected before the state service is down for all.
-    grid.keep_leases();
+    grid.extend_all_leases();
     grid.state_refuses[leader].store(true, Ordering::Relaxed);
-    let other = grid.front((leader + 1) % 3);
+    let other = grid.api_address((leader + 1) % 3);
     until("another controller confirms the cancellation", || {
         call("POST", &other, "/v2/runs/req-1/abort", &json!({})).filter(|a| a.0 == 200)
     });
@@ -198,35 +203,35 @@
 }
 
 /// The state of a job as a node tells it, if it does.
-fn job_state(grid: &Grid, node: usize, id: &str) -> Option<String> {
+fn job_state(grid: &LocalCluster, node: usize, id: &str) -> Option<String> {
     let path = format!("/v2/runs/{id}");
-    let (status, answer) = call("GET", &grid.front(node), &path, &Value::Null)?;
+    let (status, answer) = call("GET", &grid.api_address(node), &path, &Value::Null)?;
     (status == 200).then(|| answer["status"].as_str().unwrap().to_string())
 }
 
 /// A node accepts a job. A try that was accepted may have gone unanswered: the next one is told
 /// that it is known.
-fn submit(grid: &Grid, node: usize, job: &Value) {
-    assert_eq!(accepted(&grid.front(node), job) / 100, 2);
+fn submit(grid: &LocalCluster, node: usize, job: &Value) {
+    assert_eq!(submit_job(&grid.api_address(node), job) / 100, 2);
 }
 
 /// The tasks of all jobs that were started, in their order.
-fn starts(grid: &Grid) -> Vec<String> {
+fn starts(grid: &LocalCluster) -> Vec<String> {
     grid.worker.lock().unwrap().starts.clone()
 }
 
 /// Whether a task of a job was started.
-fn has_started(grid: &Grid, id: &str) -> bool {
+fn has_started(grid: &LocalCluster, id: &str) -> bool {
     let starts = starts(grid);
     starts.iter().any(|s| s.starts_with(&format!("{id}/")))
 }
 
 /// What was never accepted cannot be waited for, nor can the job itself, nor too many jobs.
-fn check_impossible_dependencies_are_refused(grid: &Grid) {
-    let front = &grid.front(1);
-    assert_eq!(accepted(front, &waiting("req-2", &["req-1"])), 422);
-    assert_eq!(accepted(front, &waiting("req-2", &["req-2"])), 422);
-    assert_eq!(accepted(front, &waiting("req-2", &["nothing"])), 400);
+fn check_impossible_dependencies_are_refused(grid: &LocalCluster) {
+    let front = &grid.api_address(1);
+    assert_eq!(submit_job(front, &waiting("req-2", &["req-1"])), 422);
+    assert_eq!(submit_job(front, &waiting("req-2", &["req-2"])), 422);
+    assert_eq!(submit_job(front, &waiting("req-2", &["nothing"])), 400);
     // More than a record can hold: the answer names the bound, and asks nobody first.
     let many: Vec<String> = (100..2000).map(|n| format!("req-{n}")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
@@ -243,13 +248,13 @@
 /// A pipeline of three jobs, submitted to one node each, is done in its order though the leader
 /// ends. Returns the nodes that are left.
 fn check_a_pipeline_outlives_the_leader(
-    grid: &Grid,
+    grid: &LocalCluster,
     nodes: &mut [Option<ControllerProcess>],
 ) -> Vec<usize> {
     submit(grid, 0, &small_job("req-1"));
     submit(grid, 1, &waiting("req-2", &["req-1"]));
     submit(grid, 2, &waiting("req-3", &["req-2", "req-1"]));
-    let repeated = accepted(&grid.front(0), &waiting("req-3", &["req-9"]));
+    let repeated = submit_job(&grid.api_address(0), &waiting("req-3", &["req-9"]));
     assert_eq!(repeated, 200, "is known");
     until("the first runs", || {
         grid.send_heartbeats(&[0, 1, 2]);
@@ -272,13 +277,19 @@
 }
 
 /// Jobs that need a cancelled one are cancelled too, whichever of two nodes is asked.
-fn check_dependents_of_a_cancelled_job_are_cancelled(grid: &Grid, a: usize, b: usize) {
+fn check_dependents_of_a_cancelled_job_are_cancelled(grid: &LocalCluster, a: usize, b: usize) {
     grid.worker.lock().unwrap().finish = false;
     submit(grid, a, &small_job("req-4"));
     submit(grid, b, &waiting("req-5", &["req-4"]));
     submit(grid, a, &waiting("req-6", &["req-5", "req-3"]));
     until("the cancellation is taken", || {
-        call("POST", &grid.front(b), "/v2/runs/req-4/abort", &json!({})).filter(|a| a.0 == 200)
+        call(
+            "POST",
+            &grid.api_address(b),
+            "/v2/runs/req-4/abort",
+            &json!({}),
+        )
+        .filter(|a| a.0 == 200)
     });
     for (node, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
         until("what needs it is cancelled", || {
@@ -289,24 +300,24 @@
 }
 
 /// A job that is submitted after the one that it needs was cancelled.
-fn check_late_dependents_of_a_cancelled_job(grid: &Grid, a: usize, b: usize) {
+fn check_late_dependents_of_a_cancelled_job(grid: &LocalCluster, a: usize, b: usize) {
     // It is accepted, and cancelled at once.
     submit(grid, a, &waiting("req-7", &["req-6"]));
     let told = until("a node tells", || job_state(grid, b, "req-7"));
     assert_eq!(told, "cancelled");
-    let repeated = accepted(&grid.front(b), &waiting("req-7", &["req-6"]));
+    let repeated = submit_job(&grid.api_address(b), &waiting("req-7", &["req-6"]));
     assert_eq!(repeated, 200);
     assert!(!has_started(grid, "req-5") && !has_started(grid, "req-6"));
     // A cancelled one does not hide another that was never accepted, whichever is named first.
-    let hidden_last = accepted(&grid.front(a), &waiting("req-8", &["req-6", "req-9"]));
+    let hidden_last = submit_job(&grid.api_address(a), &waiting("req-8", &["req-6", "req-9"]));
     assert_eq!(hidden_last, 422);
-    let hidden_first = accepted(&grid.front(b), &waiting("req-8", &["req-0", "req-6"]));
+    let hidden_first = submit_job(&grid.api_address(b), &waiting("req-8", &["req-0", "req-6"]));
     assert_eq!(hidden_first, 422);
 }
 
 #[test]
 fn pipelines_go_through_any_node_and_outlive_the_leader() {
-    let grid = Grid::new("pipelines");
+    let grid = LocalCluster::new("pipelines");
     let mut nodes: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     check_impossible_dependencies_are_refused(&grid);
     let others = check_a_pipeline_outlives_the_leader(&grid, &mut nodes);
@@ -317,7 +328,7 @@
 
 #[test]
 fn a_node_without_a_leader_does_not_call_a_job_pending_that_needs_a_cancelled_one() {
-    let grid = Grid::new("orphans");
+    let grid = LocalCluster::new("orphans");
     let spec = |id: &str, waits_on: &[&str]| {
         let spec = JobSpec::parse(waiting(id, waits_on).to_string().as_bytes()).unwrap();
         let record = OpenRecord::accepted(spec, 0);
@@ -349,7 +360,7 @@
     let poll = |id: &str| {
         call(
             "GET",
-            &grid.front(0),
+            &grid.api_address(0),
             &format!("/v2/runs/{id}"),
             &Value::Null,
         )
--- a/tests/common/standins.rs
+++ b/tests/common/local_cluster.rs
@@ -429,7 +429,7 @@
 }
 
 /// What a grid's controllers speak to, and where they listen.
-pub(crate) struct Grid {
+pub(crate) struct LocalCluster {
     pub state: Arc<Mutex<KeyValueStore>>,
     /// Whether the state service refuses everybody.
     pub state_down: Arc<AtomicBool>,
@@ -448,9 +448,9 @@
     name: &'static str,
 }
 
-impl Grid {
+impl LocalCluster {
     /// `name` keeps the settings files of tests apart.
-    pub(crate) fn new(name: &'static str) -> Grid {
+    pub(crate) fn new(name: &'static str) -> LocalCluster {
         let state = Arc::new(Mutex::new(KeyValueStore::default()));
         let state_down = Arc::new(AtomicBool::new(false));
         let job_changes_lost = Arc::new(AtomicBool::new(false));
@@ -462,7 +462,7 @@
         let cloud_address = serve_cloud(&cloud_down);
         let worker = Arc::new(Mutex::new(Worker::default()));
         let worker_address = serve_worker(&worker);
-        let grid = Grid {
+        let grid = LocalCluster {
             state,
             state_down,
             state_refuses,
@@ -553,7 +553,7 @@
     }
 
     /// The address where users and workers reach a controller.
-    pub(crate) fn front(&self, i: usize) -> String {
+    pub(crate) fn api_address(&self, i: usize) -> String {
         format!("127.0.0.1:{}", self.ports[i].0)
     }
 
@@ -561,14 +561,14 @@
     pub(crate) fn send_heartbeats(&self, nodes: &[usize]) {
         for i in nodes {
             let body = self.worker.lock().unwrap().heartbeat(self.worker_address);
-            if let Some((200, answer)) = call("POST", &self.front(*i), "/agent/beat", &body) {
+            if let Some((200, answer)) = call("POST", &self.api_address(*i), "/agent/beat", &body) {
                 self.worker.lock().unwrap().execute(&answer);
             }
         }
     }
 
     /// Lets no lease end, however long nobody renews it.
-    pub(crate) fn keep_leases(&self) {
+    pub(crate) fn extend_all_leases(&self) {
         let mut state = self.state.lock().unwrap();
         for lease in state.leases.values_mut() {
             lease.life = Duration::from_secs(3600);
@@ -594,7 +594,7 @@
 }
 
 /// Submits to a node until it is accepted.
-pub(crate) fn accepted(front: &str, job: &Value) -> u16 {
+pub(crate) fn submit_job(front: &str, job: &Value) -> u16 {
     until("a submission is accepted", || {
         let (status, _) = call("POST", front, "/v2/runs", job)?;
         (status < 500).then_some(status)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! What several tests of the manager begin with.
 #![allow(dead_code)] // no test uses all of it
 
-pub(crate) mod full_fleet;
 pub(crate) mod http;
 pub(crate) mod random;
+pub(crate) mod saturated_fleet;
 
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::recovery::Records;
@@ -60,8 +60,8 @@
 }
 
 /// A submission of small tasks that never save.
-pub(crate) fn submission(id: &str, rig: &str, precedence: &str, tasks: u32) -> Value {
-    json!({"name_id":id,"duty":"c","crew":"t","rig":rig,"precedence":precedence,"legs":tasks,
+pub(crate) fn submission(id: &str, kind: &str, priority: &str, tasks: u32) -> Value {
+    json!({"name_id":id,"duty":"c","crew":"t","rig":kind,"precedence":priority,"legs":tasks,
         "cpus":1.0,"gpus":0.0,"mem_gb":1.0,"kit":"i","size_gb":1.0,"hulls":null,"berth":null,
         "same_place":false,"spread":false,"driftwood":false,"passage_s":20.0,
         "fix_interval_s":0.0,"fix_s":0.0,"due_s":null})
@@ -117,14 +117,14 @@
 pub(crate) fn submit(
     manager: &mut ClusterManager,
     id: &str,
-    rig: &str,
-    precedence: &str,
+    kind: &str,
+    priority: &str,
     due_s: Option<f64>,
     sequence: u64,
 ) {
     // Gangs save, and need two machines.
-    let gang = rig == "group";
-    let mut body = submission(id, rig, precedence, if gang { 8 } else { 4 });
+    let gang = kind == "group";
+    let mut body = submission(id, kind, priority, if gang { 8 } else { 4 });
     if gang {
         body["fix_interval_s"] = json!(10.0);
         body["fix_s"] = json!(2.0);
@@ -183,7 +183,7 @@
 }
 
 /// Lets the manager decide until it has nothing more to say.
-pub(crate) fn each_effect(
+pub(crate) fn for_each_effect(
     manager: &mut ClusterManager,
     now: f64,
     mut take: impl FnMut(&mut ClusterManager, Effect),
@@ -202,12 +202,12 @@
 }
 
 /// The same; writes succeed at once, and other effects are handed to `other`.
-pub(crate) fn carry_out(
+pub(crate) fn apply_effects(
     manager: &mut ClusterManager,
     now: f64,
     mut other: impl FnMut(&mut ClusterManager, Effect),
 ) {
-    each_effect(manager, now, |manager, effect| match effect {
+    for_each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, .. } => {
             manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
         }
@@ -216,9 +216,9 @@
 }
 
 /// The names of tasks that are then launched directly.
-pub(crate) fn launched(manager: &mut ClusterManager, now: f64) -> Vec<AttemptId> {
+pub(crate) fn started_attempts(manager: &mut ClusterManager, now: f64) -> Vec<AttemptId> {
     let mut launched = Vec::new();
-    carry_out(manager, now, |_, effect| {
+    apply_effects(manager, now, |_, effect| {
         if let Effect::SendCommands {
             commands: batch, ..
         } = effect
@@ -239,7 +239,7 @@
 }
 
 /// How a heartbeat shows these attempts.
-pub(crate) fn shown(
+pub(crate) fn task_statuses(
     tasks: &[AttemptId],
     state: TaskState,
     cause: Option<Cause>,
@@ -283,7 +283,7 @@
 
 impl Store {
     /// Whether a transaction keeps within the bounds of the service.
-    fn takes(&self, txn: &Transaction) -> bool {
+    fn is_within_limits(&self, txn: &Transaction) -> bool {
         let fits = |change: &WriteOperation| match change {
             WriteOperation::Put { value, .. } => value.to_string().len() <= self.value_bytes,
             WriteOperation::Delete { .. } => true,
@@ -302,7 +302,7 @@
 
     /// Applies a transaction if all its conditions hold; returns the new revision.
     pub(crate) fn commit(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
-        if !self.takes(txn) {
+        if !self.is_within_limits(txn) {
             return Err(Refusal::TooLarge);
         }
         if !self.conflicts(txn).is_empty() {
@@ -334,7 +334,7 @@
     }
 
     /// What a comparison of these conditions gives.
-    pub(crate) fn compared(&self, txn: &Transaction) -> CommitOutcome {
+    pub(crate) fn check_conditions(&self, txn: &Transaction) -> CommitOutcome {
         let conflicts = self.conflicts(txn);
         if conflicts.is_empty() {
             CommitOutcome::Applied(self.revision)
@@ -359,7 +359,7 @@
     }
 
     /// What all keys under a prefix hold.
-    pub(crate) fn under(&self, prefix: &str) -> Vec<VersionedValue> {
+    pub(crate) fn with_prefix(&self, prefix: &str) -> Vec<VersionedValue> {
         let keys = self.values.keys().filter(|k| k.starts_with(prefix));
         keys.filter_map(|k| self.item(k)).collect()
     }
@@ -367,9 +367,9 @@
     /// What a new leader reads.
     pub(crate) fn records(&self) -> Records {
         Records {
-            open_jobs: self.under(OPEN_PREFIX),
-            completions: self.under(COMPLETION_PREFIX),
-            placements: self.under(PLACEMENT_PREFIX),
+            open_jobs: self.with_prefix(OPEN_PREFIX),
+            completions: self.with_prefix(COMPLETION_PREFIX),
+            placements: self.with_prefix(PLACEMENT_PREFIX),
         }
     }
 
@@ -380,7 +380,7 @@
     }
 
     /// The recorded ends of jobs.
-    pub(crate) fn ends(&self, ids: &[JobId]) -> Vec<(JobId, Option<EndRecord>)> {
+    pub(crate) fn final_states(&self, ids: &[JobId]) -> Vec<(JobId, Option<EndRecord>)> {
         let end = |id: &JobId| {
             let (value, _) = self.values.get(&end_key(id))?;
             Some(serde_json::from_value(value.clone()).unwrap())
@@ -390,19 +390,19 @@
 
     /// What an earlier leader finds and leaves that knows one cut of records only: completed tasks
     /// counted from 0, and all places in one record.
-    pub(crate) fn led_by_production(&mut self, tasks_a_chunk: u32) {
+    pub(crate) fn rewrite_as_production_release(&mut self, tasks_per_chunk: u32) {
         self.revision += 1;
         let mut done: BTreeMap<String, std::collections::BTreeSet<u32>> = BTreeMap::new();
-        for item in self.under(COMPLETION_PREFIX) {
+        for item in self.with_prefix(COMPLETION_PREFIX) {
             let (id, _) = parse_completion_key(&item.key).unwrap();
             let record: StoredCompletions = serde_json::from_value(item.value).unwrap();
             let tasks = record.done.iter().flat_map(|(first, last)| *first..=*last);
             done.entry(id.to_string()).or_default().extend(tasks);
         }
         for (id, tasks) in done {
-            for chunk in 0..=tasks.last().unwrap_or(&0) / tasks_a_chunk {
+            for chunk in 0..=tasks.last().unwrap_or(&0) / tasks_per_chunk {
                 let mut record = StoredCompletions::default();
-                let of_chunk = |t: &&u32| **t / tasks_a_chunk == chunk;
+                let of_chunk = |t: &&u32| **t / tasks_per_chunk == chunk;
                 tasks
                     .iter()
                     .filter(of_chunk)
@@ -413,7 +413,7 @@
             }
         }
         let mut all = StoredPlacements::default();
-        for item in self.under(PLACEMENT_PREFIX) {
+        for item in self.with_prefix(PLACEMENT_PREFIX) {
             let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
             for (id, machines) in record.places {
                 for (machine, places) in machines {
@@ -434,10 +434,10 @@
 
 /// Carries effects out; direct commands get no answer. Returns the tasks that were launched so, and
 /// the machines that were given back.
-pub(crate) fn out_of_reach(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<String>) {
+pub(crate) fn lose_commands(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<String>) {
     let (mut launches, mut returned) = (Vec::new(), Vec::new());
     manager.tick(now);
-    carry_out(manager, now, |manager, effect| match effect {
+    apply_effects(manager, now, |manager, effect| match effect {
         Effect::SendCommands {
             machine,
             commands: batch,
@@ -456,7 +456,7 @@
 }
 
 /// Hands in a heartbeat; returns what its answer launches.
-pub(crate) fn answered(
+pub(crate) fn heartbeat_starts(
     manager: &mut ClusterManager,
     heartbeat: &Heartbeat,
     now: f64,
--- a/tests/common/full_fleet.rs
+++ b/tests/common/saturated_fleet.rs
@@ -1,7 +1,8 @@
 //! A leader whose machines are all full.
 
 use super::{
-    each_effect, heartbeat_from, manager, parsed, shown, starts, submission, worker_heartbeat,
+    for_each_effect, heartbeat_from, manager, parsed, starts, submission, task_statuses,
+    worker_heartbeat,
 };
 use serde_json::Value;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
@@ -12,16 +13,16 @@
 use std::collections::BTreeMap;
 
 /// A leader of many machines, each full of running tasks.
-pub(crate) struct FullFleet {
+pub(crate) struct SaturatedFleet {
     pub manager: ClusterManager,
     /// What runs on each machine.
     pub tasks: Vec<Vec<TaskStatus>>,
     /// Changes at the state service that it took to get there.
-    pub changes: usize,
+    pub write_operations: usize,
     /// The largest record, transaction and number of conditions on the way.
     pub largest: LargestWrite,
     /// The records of places, as they are left.
-    pub places: BTreeMap<String, (Value, u64)>,
+    pub placements: BTreeMap<String, (Value, u64)>,
     /// When it was full.
     pub now: f64,
 }
@@ -30,14 +31,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LargestWrite {
     pub value_bytes: usize,
-    pub changes: usize,
+    pub write_operations: usize,
     pub conditions: usize,
 }
 
 impl LargestWrite {
     /// Keeps the largest of what transactions hold.
     fn note(&mut self, transaction: &Transaction) {
-        self.changes = self.changes.max(transaction.operations.len());
+        self.write_operations = self.write_operations.max(transaction.operations.len());
         self.conditions = self.conditions.max(transaction.compares.len());
         for change in &transaction.operations {
             if let WriteOperation::Put { value, .. } = change {
@@ -54,7 +55,7 @@
 }
 
 /// A leader of so many machines of the only type, and of as many jobs, each with a machine's tasks.
-pub(crate) fn full_fleet(machines: u32) -> FullFleet {
+pub(crate) fn saturated_fleet(machines: u32) -> SaturatedFleet {
     let mut manager = manager();
     for i in 0..machines {
         heartbeat_from(&mut manager, &format!("m-{i}"), 1, None, Vec::new(), 0.0);
@@ -63,19 +64,19 @@
         manager.job_accepted(job_of_machine(i), u64::from(i) + 1, 0, 0.0);
     }
     let mut tasks: Vec<Vec<TaskStatus>> = vec![Vec::new(); machines as usize];
-    let mut places = BTreeMap::new();
+    let mut placements = BTreeMap::new();
     let mut largest = LargestWrite::default();
-    let mut changes = 0;
+    let mut write_operations = 0;
     let mut now = 0.0;
     while tasks.iter().map(Vec::len).sum::<usize>() < 4 * machines as usize {
         now += 0.1;
-        carry_out_all(&mut manager, now, |effect| match effect {
+        apply_all_effects(&mut manager, now, |effect| match effect {
             Effect::Write { id, transaction } => {
-                changes += transaction.operations.len();
+                write_operations += transaction.operations.len();
                 largest.note(transaction);
                 for change in &transaction.operations {
                     if let WriteOperation::Put { key, value, .. } = change {
-                        places.insert(key.clone(), (value.clone(), 100 + id));
+                        placements.insert(key.clone(), (value.clone(), 100 + id));
                     }
                 }
             }
@@ -85,7 +86,11 @@
                 ..
             } => {
                 let started = starts(&batch.commands);
-                tasks[machine_number(machine)].extend(shown(&started, TaskState::Running, None));
+                tasks[machine_number(machine)].extend(task_statuses(
+                    &started,
+                    TaskState::Running,
+                    None,
+                ));
             }
             _ => {}
         });
@@ -96,12 +101,12 @@
     }
     manager.step(now + 1.0);
     manager.take_effects();
-    FullFleet {
+    SaturatedFleet {
         manager,
         tasks,
-        changes,
+        write_operations,
         largest,
-        places,
+        placements,
         now: now + 1.0,
     }
 }
@@ -123,8 +128,12 @@
 }
 
 /// Like `carry_out`, but shows every effect.
-pub(crate) fn carry_out_all(manager: &mut ClusterManager, now: f64, mut show: impl FnMut(&Effect)) {
-    each_effect(manager, now, |manager, effect| {
+pub(crate) fn apply_all_effects(
+    manager: &mut ClusterManager,
+    now: f64,
+    mut show: impl FnMut(&Effect),
+) {
+    for_each_effect(manager, now, |manager, effect| {
         show(&effect);
         match effect {
             Effect::Write { id, .. } => {
@@ -142,7 +151,7 @@
 
 /// What twenty heartbeats of a machine cost in which nothing is new: looks at machines and places, and bytes
 /// of what is answered and sent.
-pub(crate) fn heartbeats_without_news(
+pub(crate) fn cost_of_unchanged_heartbeats(
     manager: &mut ClusterManager,
     tasks: &[Vec<TaskStatus>],
     now: f64,
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    carry_out, heartbeat, heartbeat_from, launched, machine_type, manager, parsed, shown, starts,
-    submission, worker_heartbeat,
+    apply_effects, heartbeat, heartbeat_from, machine_type, manager, parsed, started_attempts,
+    starts, submission, task_statuses, worker_heartbeat,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
@@ -46,7 +46,7 @@
         let now = f64::from(second);
         heartbeat(manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
-        carry_out(manager, now, |_, effect| {
+        apply_effects(manager, now, |_, effect| {
             if let Effect::RentMachines(rent) = effect {
                 rents.push(rent);
             }
@@ -107,7 +107,7 @@
         }
         heartbeat(&mut manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
-        carry_out(&mut manager, now, |_, effect| {
+        apply_effects(&mut manager, now, |_, effect| {
             if let Effect::RentMachines(rent) = effect {
                 unanswered.push(rent);
             }
@@ -173,7 +173,7 @@
             }
             self.manager.tick(now);
             let (rented, returned) = (&mut self.rented, &mut self.returned);
-            carry_out(&mut self.manager, now, |manager, effect| match effect {
+            apply_effects(&mut self.manager, now, |manager, effect| match effect {
                 Effect::RentMachines(rent) => {
                     manager.machines_rented(&rent.request, Some(Vec::new()), now);
                     rented.push(rent);
@@ -230,12 +230,12 @@
     let mut job = submission("req-1", "sweep", "normal", 1);
     job["cpus"] = json!(4.0);
     manager.job_accepted(OpenRecord::accepted(parsed(&job), 0), 1, 0, 0.0);
-    let first = launched(&mut manager, 0.5);
+    let first = started_attempts(&mut manager, 0.5);
     assert_eq!(first.len(), 1);
     heartbeat(
         &mut manager,
         2,
-        shown(&first, TaskState::Running, None),
+        task_statuses(&first, TaskState::Running, None),
         1.0,
     );
     // Its machine loses its lease, and longer tasks of a higher priority take the room.
@@ -243,7 +243,7 @@
     long["passage_s"] = json!(5000.0);
     manager.job_accepted(OpenRecord::accepted(parsed(&long), 0), 2, 0, 16.0);
     answer_in_second_incarnation(&mut manager, 3, Vec::new(), 16.5);
-    carry_out(&mut manager, 17.0, |_, _| {});
+    apply_effects(&mut manager, 17.0, |_, _| {});
     let others = starts(&answer_in_second_incarnation(
         &mut manager,
         4,
@@ -255,10 +255,10 @@
     let mut rented = 0;
     for second in 18..18 + OVERDUE_S {
         let now = f64::from(second);
-        let tasks = shown(&others, TaskState::Running, None);
+        let tasks = task_statuses(&others, TaskState::Running, None);
         answer_in_second_incarnation(&mut manager, second as u64, tasks, now);
         manager.tick(now);
-        carry_out(&mut manager, now, |_, effect| {
+        apply_effects(&mut manager, now, |_, effect| {
             rented += usize::from(matches!(effect, Effect::RentMachines(_)));
         });
     }
--- a/tests/failing_jobs.rs
+++ b/tests/failing_jobs.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{each_effect, heartbeat_from, manager, parsed, shown, starts, submission};
+use common::{for_each_effect, heartbeat_from, manager, parsed, starts, submission, task_statuses};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
@@ -71,7 +71,7 @@
                 self.now,
             );
             tasks.retain(|task| task.state != TaskState::Exited);
-            tasks.extend(shown(&starts(&answer), TaskState::Fetching, None));
+            tasks.extend(task_statuses(&starts(&answer), TaskState::Fetching, None));
         }
     }
 
@@ -81,7 +81,7 @@
         for half in 0..4 {
             let at = self.now + f64::from(half) / 2.0;
             self.manager.tick(at);
-            each_effect(&mut self.manager, at, |manager, effect| match effect {
+            for_each_effect(&mut self.manager, at, |manager, effect| match effect {
                 Effect::Write { id, transaction } => {
                     *changes += transaction.operations.len();
                     manager.write_finished(id, WriteOutcome::Applied(100 + id), at);
@@ -94,7 +94,7 @@
                     let started = starts(&batch.commands);
                     *launches += started.len();
                     let here = tasks.get_mut(&*machine).unwrap();
-                    here.extend(shown(&started, TaskState::Fetching, None));
+                    here.extend(task_statuses(&started, TaskState::Fetching, None));
                 }
                 Effect::ReturnMachines(names) => panic!("healthy machines go back: {names:?}"),
                 _ => {}
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -92,7 +92,7 @@
             }
             Effect::JobFinished { id, state } => self.check_told_end(&id, state),
             Effect::ReadFinalStates(ids) => {
-                let ends = self.store.ends(&ids);
+                let ends = self.store.final_states(&ids);
                 self.with_controller(from, |manager| manager.ends_found(ends, now));
             }
         }
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -373,7 +373,7 @@
     /// The version in production leads for a moment, as long as the limits are the old ones.
     fn let_production_lead(&mut self) {
         if self.store.value_bytes > self.settings.cluster.state.record_bytes() {
-            self.store.led_by_production(2048);
+            self.store.rewrite_as_production_release(2048);
             self.elect();
         }
     }
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -419,7 +419,7 @@
         while self.now < until
             && !self
                 .store
-                .under(stairstage::storage::records::OPEN_PREFIX)
+                .with_prefix(stairstage::storage::records::OPEN_PREFIX)
                 .is_empty()
         {
             self.run_for(1.0);
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -288,7 +288,7 @@
 
     /// Every job has come to its end: done, or cancelled if somebody asked for that.
     pub(crate) fn check_ends(&self) {
-        let open = self.store.under(OPEN_PREFIX);
+        let open = self.store.with_prefix(OPEN_PREFIX);
         let id = |key: &str| {
             key.strip_prefix(OPEN_PREFIX)
                 .expect("the key of a job")
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -1,15 +1,17 @@
 //! Fleets of up to 6,000 machines: half as many again as the largest in service.
 
 mod common;
-#[path = "common/standins.rs"]
-mod standins;
+#[path = "common/local_cluster.rs"]
+mod local_cluster;
 
-use common::full_fleet::{
-    full_fleet, heartbeats_without_news, job_of_machine, machine_number, FullFleet, LargestWrite,
-};
 use common::http::send;
+use common::saturated_fleet::{
+    cost_of_unchanged_heartbeats, job_of_machine, machine_number, saturated_fleet, LargestWrite,
+    SaturatedFleet,
+};
 use common::{
-    answered, carry_out, heartbeat_from, manager_with_token, starts, worker_heartbeat, SETTINGS,
+    apply_effects, heartbeat_from, heartbeat_starts, manager_with_token, starts, worker_heartbeat,
+    SETTINGS,
 };
 use crossbeam::channel::bounded;
 use serde_json::json;
@@ -59,15 +61,15 @@
 }
 
 /// What events cost the leader of this fleet.
-fn costs(fleet: FullFleet) -> Costs {
-    let FullFleet {
+fn costs(fleet: SaturatedFleet) -> Costs {
+    let SaturatedFleet {
         mut manager,
         mut tasks,
         largest,
         now,
         ..
     } = fleet;
-    let (report_looks, report_bytes) = heartbeats_without_news(&mut manager, &tasks, now);
+    let (report_looks, report_bytes) = cost_of_unchanged_heartbeats(&mut manager, &tasks, now);
     let looks = manager.machines_examined();
     for (i, here) in tasks.iter_mut().enumerate().skip(100).take(20) {
         here[0].state = TaskState::Exited;
@@ -87,7 +89,7 @@
 /// The bytes that a leader holds for each of so many machines, and what events cost it.
 fn measured(machines: u32) -> (f64, Costs) {
     let region = Region::new(ALLOCATOR);
-    let fleet = full_fleet(machines);
+    let fleet = saturated_fleet(machines);
     let change = region.change();
     let held = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
     (held / f64::from(machines), costs(fleet))
@@ -106,7 +108,7 @@
     let state = &settings.cluster.state;
     for written in [small.largest, large.largest] {
         assert!(written.value_bytes <= state.record_bytes(), "{written:?}");
-        assert!(written.changes <= state.changes(), "{written:?}");
+        assert!(written.write_operations <= state.changes(), "{written:?}");
         assert!(written.conditions <= state.conditions(), "{written:?}");
     }
     // With its job, its four tasks and what runs on it as the test keeps it. Of 72 MB, the least that
@@ -119,7 +121,7 @@
 
 /// Half of the fleet falls silent; the others report every two seconds. Returns the machines that are
 /// given back within 20 s, and the most direct commands that were under way without an answer.
-fn lose_half(fleet: &mut FullFleet) -> (BTreeSet<usize>, usize) {
+fn lose_half(fleet: &mut SaturatedFleet) -> (BTreeSet<usize>, usize) {
     let (manager, tasks) = (&mut fleet.manager, &fleet.tasks);
     let half = tasks.len() / 2;
     let mut returned = BTreeSet::new();
@@ -146,7 +148,7 @@
             manager.commands_answered(&machine.as_str().into(), CommandOutcome::Unknown, now);
         }
         manager.tick(now);
-        carry_out(manager, now, |manager, effect| match effect {
+        apply_effects(manager, now, |manager, effect| match effect {
             Effect::SendCommands { machine, .. } => unanswered.push((now, machine.to_string())),
             Effect::ReturnMachines(names) => {
                 returned.extend(names.iter().map(|n| machine_number(n)));
@@ -164,7 +166,7 @@
 #[test]
 fn the_loss_of_half_of_the_largest_fleet_is_noticed_with_few_connections() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
-    let mut fleet = full_fleet(LARGEST);
+    let mut fleet = saturated_fleet(LARGEST);
     let half = fleet.tasks.len() / 2;
     let (returned, most) = lose_half(&mut fleet);
     let settings = Settings::parse("test", SETTINGS).unwrap();
@@ -179,7 +181,7 @@
 }
 
 /// The records that a leader of a full fleet leaves to the next one.
-fn records_of(fleet: &FullFleet) -> Records {
+fn records_of(fleet: &SaturatedFleet) -> Records {
     let item = |key: String, value, version| VersionedValue {
         key,
         value,
@@ -189,7 +191,7 @@
         let value = serde_json::to_value(job_of_machine(i)).unwrap();
         item(format!("{OPEN_PREFIX}req-{i}"), value, u64::from(i) + 1)
     });
-    let places = fleet.places.iter();
+    let places = fleet.placements.iter();
     Records {
         open_jobs: open.collect(),
         completions: Vec::new(),
@@ -202,7 +204,7 @@
 #[test]
 fn a_new_leader_takes_the_largest_fleet_over_and_launches_nothing_twice() {
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
-    let fleet = full_fleet(LARGEST);
+    let fleet = saturated_fleet(LARGEST);
     let token = 1_000_000;
     let mut next = manager_with_token(token);
     next.recover(records_of(&fleet), 0, 0.0);
@@ -214,10 +216,10 @@
         let now = 2.0 * i as f64 / fleet.tasks.len() as f64;
         for (sequence, seen) in [(3, 1), (4, token)] {
             let heartbeat = worker_heartbeat(&format!("m-{i}"), sequence, seen, tasks.clone());
-            launched += answered(&mut next, &heartbeat, now).len();
+            launched += heartbeat_starts(&mut next, &heartbeat, now).len();
         }
         if i % 500 == 0 {
-            carry_out(&mut next, now, |manager, effect| {
+            apply_effects(&mut next, now, |manager, effect| {
                 if let Effect::SendCommands {
                     machine,
                     commands: batch,
@@ -239,10 +241,10 @@
 
 #[test]
 fn all_open_jobs_are_read_anew_in_one_message() {
-    let mut state = standins::KeyValueStore::default();
+    let mut state = local_cluster::KeyValueStore::default();
     for i in 0..LARGEST {
         state.revision += 1;
-        let record = standins::Entry {
+        let record = local_cluster::Entry {
             value: json!(job_of_machine(i)),
             version: state.revision,
             lease: None,
@@ -251,7 +253,7 @@
     }
     let state = Mutex::new(state);
     // Each watch finds that it has fallen behind.
-    let address = standins::serve(move |method, url, body| {
+    let address = local_cluster::serve(move |method, url, body| {
         if url.starts_with("/changes") {
             (410, json!({}))
         } else {
@@ -289,7 +291,7 @@
 #[test]
 fn a_list_of_the_largest_fleet_is_read_to_its_end_though_pages_come_too_fast() {
     let calls = AtomicUsize::new(0);
-    let address = standins::serve(move |_, url, _| {
+    let address = local_cluster::serve(move |_, url, _| {
         // Every second call is one too many.
         if calls.fetch_add(1, Ordering::Relaxed) % 2 == 1 {
             return (429, json!({}));
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    each_effect, machine_type, manager, manager_with_token, parsed, shown, starts, submission,
-    worker_heartbeat, AttemptId, Store, SETTINGS,
+    for_each_effect, machine_type, manager, manager_with_token, parsed, starts, submission,
+    task_statuses, worker_heartbeat, AttemptId, Store, SETTINGS,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
@@ -90,7 +90,7 @@
             ends_held,
             reads,
         } = self;
-        each_effect(manager, now, |manager, effect| match effect {
+        for_each_effect(manager, now, |manager, effect| match effect {
             Effect::Write { id, transaction } if !*ends_held || !ends(&transaction) => {
                 let written = match store.commit(&transaction) {
                     Ok(revision) => WriteOutcome::Applied(revision),
@@ -101,7 +101,11 @@
             Effect::ReadFinalStates(ids) => {
                 sought.extend(ids.iter().map(|id| id.to_string()));
                 let unread = || ids.iter().map(|id| (id.clone(), None)).collect();
-                let ends = if *reads { store.ends(&ids) } else { unread() };
+                let ends = if *reads {
+                    store.final_states(&ids)
+                } else {
+                    unread()
+                };
                 manager.ends_found(ends, now);
             }
             Effect::SendCommands {
@@ -123,7 +127,7 @@
             } else {
                 (TaskState::Running, None)
             };
-            shown(std::slice::from_ref(id), state, cause).remove(0)
+            task_statuses(std::slice::from_ref(id), state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(show).collect();
         let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token().0, tasks);
@@ -293,7 +297,7 @@
         .insert(end_key("req-2"), (json!({"state": "cancelled"}), 7));
     leader.act(0.0);
     leader.act(1.0);
-    assert!(leader.store.under(OPEN_PREFIX).is_empty());
+    assert!(leader.store.with_prefix(OPEN_PREFIX).is_empty());
     assert_eq!(leader.ended["req-2"], JobState::Cancelled);
 }
 
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -64,7 +64,9 @@
 fn answer_of(store: &Store, call: StoreCall) -> StoreAnswer {
     match call {
         StoreCall::Read(key) => StoreAnswer::Read(Ok(store.item(&key))),
-        StoreCall::Commit(transaction) => StoreAnswer::Committed(store.compared(&transaction)),
+        StoreCall::Commit(transaction) => {
+            StoreAnswer::Committed(store.check_conditions(&transaction))
+        }
         list => panic!("one record is not read in a page: {list:?}"),
     }
 }
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -122,7 +122,7 @@
                 panic!("polls write nothing: {transaction:?}")
             }
             StoreCall::Commit(transaction) => StoreAnswer::Committed(if allowed {
-                self.store.compared(transaction)
+                self.store.check_conditions(transaction)
             } else {
                 CommitOutcome::Limited
             }),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,11 +2,13 @@
 
 mod common;
 
-use common::full_fleet::{
-    carry_out_all, effect_bytes, full_fleet, heartbeats_without_news, FullFleet,
-};
 use common::http::{answer, send};
-use common::{heartbeat_from, machine_type, parsed, shown, starts, submission, submit, SETTINGS};
+use common::saturated_fleet::{
+    apply_all_effects, cost_of_unchanged_heartbeats, effect_bytes, saturated_fleet, SaturatedFleet,
+};
+use common::{
+    heartbeat_from, machine_type, parsed, starts, submission, submit, task_statuses, SETTINGS,
+};
 use stairstage::coordination::cluster::Effect;
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::ids::FencingToken;
@@ -23,15 +25,15 @@
 
 #[test]
 fn a_launch_writes_no_more_in_a_large_fleet_than_a_record_holds() {
-    let FullFleet {
+    let SaturatedFleet {
         mut manager, now, ..
-    } = full_fleet(2200);
+    } = saturated_fleet(2200);
     heartbeat_from(&mut manager, "m-new", 1, None, Vec::new(), now);
     submit(&mut manager, "req-9999", "sweep", "normal", None, 9999);
     let (mut launched, mut most) = (0, 0);
     for tenth in 0..20 {
         let at = now + f64::from(tenth) / 10.0;
-        carry_out_all(&mut manager, at, |effect| {
+        apply_all_effects(&mut manager, at, |effect| {
             most = most.max(effect_bytes(effect));
             if let Effect::SendCommands {
                 commands: batch, ..
@@ -50,13 +52,13 @@
 fn a_report_without_news_costs_the_same_in_any_fleet() {
     // Looks at machines and places, and bytes of what is answered and sent.
     let cost = |machines: u32| {
-        let FullFleet {
+        let SaturatedFleet {
             mut manager,
             tasks,
             now,
             ..
-        } = full_fleet(machines);
-        heartbeats_without_news(&mut manager, &tasks, now)
+        } = saturated_fleet(machines);
+        cost_of_unchanged_heartbeats(&mut manager, &tasks, now)
     };
     let small = cost(20);
     assert_eq!(small.0, 0);
@@ -65,12 +67,12 @@
 
 #[test]
 fn passes_are_paced_by_what_they_take() {
-    let FullFleet {
+    let SaturatedFleet {
         mut manager,
         mut tasks,
         now: begun,
         ..
-    } = full_fleet(20);
+    } = saturated_fleet(20);
     let mut passes = 0;
     for i in 0..200u32 {
         // A task ends at each step, so that there is always something to decide.
@@ -103,7 +105,7 @@
 
 #[test]
 fn launches_of_many_jobs_share_the_changes_of_their_records() {
-    let changes = full_fleet(120).changes;
+    let changes = saturated_fleet(120).write_operations;
     assert!(changes <= 30, "{changes} changes for 120 jobs");
 }
 
@@ -149,7 +151,7 @@
             heartbeat_from(&mut manager, &name, seqs[i], None, tasks[i].clone(), now);
             tasks[i].retain(|t| t.state != TaskState::Exited);
         }
-        carry_out_all(&mut manager, now, |effect| {
+        apply_all_effects(&mut manager, now, |effect| {
             if let Effect::SendCommands {
                 machine,
                 commands: batch,
@@ -159,7 +161,7 @@
                 let i: usize = machine[2..].parse().unwrap();
                 let started = starts(&batch.commands);
                 launched[i] += started.len();
-                tasks[i].extend(shown(&started, TaskState::Running, None));
+                tasks[i].extend(task_statuses(&started, TaskState::Running, None));
             }
         });
         if launched.iter().all(|n| *n >= 4) {
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{heartbeat, heartbeat_from, launched, manager, shown, starts, submit};
+use common::{heartbeat, heartbeat_from, manager, started_attempts, starts, submit, task_statuses};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::protocol::worker::{Cause, Command, TaskState, TaskStatus};
 
@@ -26,7 +26,7 @@
     submit(&mut manager, "req-1", "sweep", "normal", Some(300.0), 1);
     submit(&mut manager, "req-2", "sweep", "normal", Some(50.0), 2);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
+    let tasks = started_attempts(&mut manager, 0.0);
     assert_eq!(tasks.len(), 4);
     assert!(
         tasks.iter().all(|t| t.task.starts_with("req-2/")),
@@ -39,11 +39,11 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
-    let failed = shown(&tasks, TaskState::Exited, Some(Cause::Error));
+    let tasks = started_attempts(&mut manager, 0.0);
+    let failed = task_statuses(&tasks, TaskState::Exited, Some(Cause::Error));
     // The first direct command is still unanswered, so launches come with the answers.
     let mut pass = |sequence, shown: &[TaskStatus], now| {
-        launched(&mut manager, now);
+        started_attempts(&mut manager, now);
         starts(&heartbeat(&mut manager, sequence, shown.to_vec(), now))
     };
     assert!(pass(2, &failed, 1.0).is_empty());
@@ -51,13 +51,13 @@
     assert_eq!(again.len(), 4, "{again:?}");
     assert!(again.iter().all(|t| !tasks.contains(t)), "attempts are new");
     // Failing there once more makes it pause, and one pause is enough for all four.
-    let failed = shown(&again, TaskState::Exited, Some(Cause::Error));
+    let failed = task_statuses(&again, TaskState::Exited, Some(Cause::Error));
     assert!(pass(4, &failed, 2.0).is_empty());
     assert!(pass(5, &[], 5.0).is_empty());
     // It has completed nothing, so one task shows whether it fails again; then all are tried.
     let tried = pass(6, &[], 6.5);
     assert_eq!(tried.len(), 1, "{tried:?}");
-    let runs = shown(&tried, TaskState::Running, None);
+    let runs = task_statuses(&tried, TaskState::Running, None);
     for (sequence, now) in [(7, 12.0), (8, 18.0), (9, 23.5)] {
         assert!(pass(sequence, &runs, now).is_empty(), "at {now}");
     }
@@ -71,11 +71,11 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let batch = launched(&mut manager, 0.0);
+    let batch = started_attempts(&mut manager, 0.0);
     heartbeat(
         &mut manager,
         2,
-        shown(&batch, TaskState::Running, None),
+        task_statuses(&batch, TaskState::Running, None),
         1.0,
     );
     submit(&mut manager, "req-2", "standing", "critical", None, 2);
@@ -98,7 +98,7 @@
     commands.extend(heartbeat(
         &mut manager,
         3,
-        shown(&batch, TaskState::Running, None),
+        task_statuses(&batch, TaskState::Running, None),
         1.5,
     ));
     let stops = commands
@@ -119,8 +119,8 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
-    let stopped = shown(&tasks, TaskState::Exited, Some(Cause::Stopped));
+    let tasks = started_attempts(&mut manager, 0.0);
+    let stopped = task_statuses(&tasks, TaskState::Exited, Some(Cause::Stopped));
     let commands = heartbeat(&mut manager, 2, stopped, 1.0);
     let forgets = commands
         .iter()
@@ -134,7 +134,7 @@
     submit(&mut manager, "req-1", "group", "normal", None, 1);
     heartbeat_from(&mut manager, "m-1", 1, None, Vec::new(), 0.0);
     heartbeat_from(&mut manager, "m-2", 1, None, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
+    let tasks = started_attempts(&mut manager, 0.0);
     assert_eq!(tasks.len(), 8);
     assert!(
         tasks.iter().all(|t| t.attempt == tasks[0].attempt),
@@ -146,7 +146,7 @@
         "m-1",
         2,
         None,
-        shown(one, TaskState::Running, None),
+        task_statuses(one, TaskState::Running, None),
         1.0,
     );
     heartbeat_from(
@@ -154,7 +154,7 @@
         "m-2",
         2,
         None,
-        shown(other, TaskState::Running, None),
+        task_statuses(other, TaskState::Running, None),
         1.0,
     );
     let mut commands = heartbeat_from(
@@ -162,7 +162,7 @@
         "m-1",
         3,
         Some(8.0),
-        shown(one, TaskState::Running, None),
+        task_statuses(one, TaskState::Running, None),
         2.0,
     );
     commands.extend(heartbeat_from(
@@ -170,7 +170,7 @@
         "m-2",
         3,
         None,
-        shown(other, TaskState::Running, None),
+        task_statuses(other, TaskState::Running, None),
         2.5,
     ));
     let saves = |c: &&Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s >= 2.0);
--- a/tests/silent_machines.rs
+++ b/tests/silent_machines.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    answered, carry_out, manager, manager_with_token, out_of_reach, parsed, shown, starts,
-    submission, submit, worker_heartbeat,
+    apply_effects, heartbeat_starts, lose_commands, manager, manager_with_token, parsed, starts,
+    submission, submit, task_statuses, worker_heartbeat,
 };
 use stairstage::coordination::cluster::heartbeats::HeartbeatSource;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome};
@@ -23,13 +23,13 @@
         submit(&mut manager, &id, "sweep", "normal", None, i + 1);
     }
     for i in 0..40 {
-        answered(
+        heartbeat_starts(
             &mut manager,
             &worker_heartbeat(&machine_name(i), 1, 1, vec![]),
             0.0,
         );
     }
-    carry_out(&mut manager, 0.0, |manager, effect| {
+    apply_effects(&mut manager, 0.0, |manager, effect| {
         if let Effect::SendCommands {
             machine,
             commands: batch,
@@ -37,7 +37,11 @@
         } = effect
         {
             let here = tasks.entry(machine.to_string()).or_default();
-            here.extend(shown(&starts(&batch.commands), TaskState::Running, None));
+            here.extend(task_statuses(
+                &starts(&batch.commands),
+                TaskState::Running,
+                None,
+            ));
             let heartbeat = worker_heartbeat(&machine, 2, 1, here.clone());
             manager.commands_answered(&machine, CommandOutcome::Executed(heartbeat), 0.0);
         }
@@ -82,7 +86,7 @@
             );
         }
         if step % 20 == 0 {
-            returned.extend(out_of_reach(manager, now).1);
+            returned.extend(lose_commands(manager, now).1);
         }
     }
     returned
@@ -117,7 +121,7 @@
     now: f64,
 ) -> Vec<String> {
     let mut commanded = Vec::new();
-    carry_out(manager, now, |manager, effect| {
+    apply_effects(manager, now, |manager, effect| {
         if let Effect::SendCommands {
             machine,
             commands: batch,
@@ -172,15 +176,15 @@
         let record = OpenRecord::accepted(spec, 0);
         manager.job_accepted(record, sequence, 0, 0.0);
     };
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     two_tasks(&mut manager, "req-1", 1);
-    assert_eq!(out_of_reach(&mut manager, 0.0).0.len(), 2);
+    assert_eq!(lose_commands(&mut manager, 0.0).0.len(), 2);
     two_tasks(&mut manager, "req-2", 2);
-    out_of_reach(&mut manager, 0.5);
+    lose_commands(&mut manager, 0.5);
     assert_eq!(manager.status("req-2").unwrap().running, 0);
-    let answer = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
+    let answer = heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
     assert_eq!(answer.len(), 2, "only what was sent before: {answer:?}");
-    let (launched, _) = out_of_reach(&mut manager, 1.1);
+    let (launched, _) = lose_commands(&mut manager, 1.1);
     assert_eq!(launched, ["req-2/0", "req-2/1"]);
 }
 
@@ -220,9 +224,9 @@
     for (i, machine) in tasks.keys().enumerate() {
         let token = if i < 10 { 100 } else { 1 };
         let heartbeat = worker_heartbeat(machine, 5, token, tasks[machine].clone());
-        answered(&mut manager, &heartbeat, 0.01 * i as f64);
+        heartbeat_starts(&mut manager, &heartbeat, 0.01 * i as f64);
     }
-    out_of_reach(&mut manager, 1.0);
+    lose_commands(&mut manager, 1.0);
     assert!(
         !manager.receives_no_heartbeats(2.5),
         "only ten are known to know it"
--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -7,14 +7,14 @@
 //!     STAIRSTAGE_FORMER=PATH STAIRSTAGE_PROOF_S=150 \
 //!         cargo test --test upgrade_proof -- --ignored --nocapture
 
+#[path = "common/local_cluster.rs"]
+mod local_cluster;
 #[path = "common/random.rs"]
 mod random;
-#[path = "common/standins.rs"]
-mod standins;
 
+use local_cluster::{call, small_job, until, ControllerProcess, LocalCluster};
 use random::SplitMix64;
 use serde_json::{json, Value};
-use standins::{call, small_job, until, ControllerProcess, Grid};
 use std::collections::BTreeMap;
 use std::ffi::OsStr;
 use std::path::{Path, PathBuf};
@@ -36,7 +36,7 @@
 
 /// The grid under change, and what users know of their jobs.
 struct Proof {
-    grid: Grid,
+    grid: LocalCluster,
     former: PathBuf,
     policy: PathBuf,
     nodes: [Option<ControllerProcess>; 3],
@@ -52,7 +52,7 @@
 
 impl Proof {
     fn new(former: PathBuf) -> Proof {
-        let grid = Grid::new("proof");
+        let grid = LocalCluster::new("proof");
         let policy = grid.write_file("upgrade.lisp", POLICY);
         let mut proof = Proof {
             grid,
@@ -96,7 +96,7 @@
             job["waits_on"] = json!([needed]);
         }
         for _ in 0..20 {
-            let front = self.grid.front(self.random.next() as usize % 3);
+            let front = self.grid.api_address(self.random.next() as usize % 3);
             match call("POST", &front, "/v2/runs", &job) {
                 Some((200 | 201, _)) => {
                     self.last_state.insert(id, "pending".into());
@@ -127,7 +127,7 @@
     /// A user asks a node about a job; no end is taken back.
     fn ask_about(&mut self, id: &str, node: usize) {
         let path = format!("/v2/runs/{id}");
-        let answer = call("GET", &self.grid.front(node), &path, &Value::Null);
+        let answer = call("GET", &self.grid.api_address(node), &path, &Value::Null);
         let Some((200, answer)) = answer else {
             let denied = answer.is_some_and(|(status, _)| status == 404);
             assert!(!denied, "{id} is forgotten");
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,10 +1,10 @@
 //! Staged upgrades with three real controllers on loopback, and the command that operators use.
 
-#[path = "common/standins.rs"]
-mod standins;
+#[path = "common/local_cluster.rs"]
+mod local_cluster;
 
+use local_cluster::{call, small_job, submit_job, until, ControllerProcess, LocalCluster};
 use serde_json::{json, Value};
-use standins::{accepted, call, small_job, until, ControllerProcess, Grid};
 use std::ffi::OsStr;
 use std::path::Path;
 use std::process::Command;
@@ -19,7 +19,7 @@
 }
 
 /// Runs the command for operators.
-fn upgrade(grid: &Grid, policy: &Path, arguments: &[&str]) -> CommandOutput {
+fn upgrade(grid: &LocalCluster, policy: &Path, arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
         .arg("upgrade")
         .args(arguments)
@@ -36,7 +36,7 @@
 }
 
 /// Starts a controller that follows the policy.
-fn staged(grid: &Grid, i: usize, policy: &Path) -> Option<ControllerProcess> {
+fn staged(grid: &LocalCluster, i: usize, policy: &Path) -> Option<ControllerProcess> {
     grid.start_with(i, &[OsStr::new("--upgrade"), policy.as_os_str()])
 }
 
@@ -48,13 +48,13 @@
 }
 
 /// Whether a controller serves users.
-fn healthy(grid: &Grid, i: usize) -> bool {
-    call("GET", &grid.front(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
+fn healthy(grid: &LocalCluster, i: usize) -> bool {
+    call("GET", &grid.api_address(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
 }
 
 #[test]
 fn new_behaviour_is_off_until_every_controller_has_the_release_and_an_operator_finalizes() {
-    let grid = Grid::new("staged");
+    let grid = LocalCluster::new("staged");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
     let mut nodes: Vec<Option<ControllerProcess>> = vec![
         staged(&grid, 0, &policy),
@@ -72,10 +72,10 @@
     assert_eq!(status["next"], 2);
     assert_eq!(status["controllers"][2]["release"], Value::Null);
 
-    assert!([201, 200].contains(&accepted(&grid.front(0), &small_job("req-1"))));
+    assert!([201, 200].contains(&submit_job(&grid.api_address(0), &small_job("req-1"))));
     let pipeline = waiting_job("req-2", "req-1");
     let (code, answer) = until("it is answered", || {
-        call("POST", &grid.front(0), "/v2/runs", &pipeline)
+        call("POST", &grid.api_address(0), "/v2/runs", &pipeline)
     });
     assert_eq!(code, 503, "{answer}");
     assert!(answer["error"].as_str().unwrap().contains("finalized"));
@@ -99,7 +99,7 @@
     }
     assert_eq!(upgrade(&grid, &policy, &["abort"]).code, 3);
     for i in 0..3 {
-        let front = grid.front(i);
+        let front = grid.api_address(i);
         until("a job that waits is accepted", || {
             let answer = call("POST", &front, "/v2/runs", &pipeline)?;
             [200, 201].contains(&answer.0).then_some(())
@@ -110,7 +110,7 @@
 
 #[test]
 fn an_upgrade_that_is_called_off_stays_so_until_it_is_finalized_by_hand() {
-    let grid = Grid::new("called-off");
+    let grid = LocalCluster::new("called-off");
     let automatic = "(upgrade (finalize automatic) (soak 0) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
     let mut nodes = vec![staged(&grid, 0, &policy), staged(&grid, 1, &policy)];
@@ -147,7 +147,7 @@
 
 #[test]
 fn a_policy_finalizes_once_all_controllers_have_run_for_the_soak_time() {
-    let grid = Grid::new("automatic");
+    let grid = LocalCluster::new("automatic");
     let automatic = "(upgrade (finalize automatic) (soak 0.001) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
     let _nodes: Vec<Option<ControllerProcess>> =
@@ -160,7 +160,7 @@
 
 #[test]
 fn controllers_withdraw_from_a_cluster_that_has_gone_beyond_their_release() {
-    let grid = Grid::new("withdraws");
+    let grid = LocalCluster::new("withdraws");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
     let _nodes: Vec<Option<ControllerProcess>> =
         (0..3).map(|i| staged(&grid, i, &policy)).collect();
@@ -168,13 +168,13 @@
     until("all are healthy", || {
         (0..3).all(|i| healthy(&grid, i)).then_some(())
     });
-    accepted(&grid.front(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
     // A later release has finalized its version.
     let record = json!({"active": 9, "since_ms": 1});
     grid.state.lock().unwrap().put("cluster/version", record);
     until("nobody leads", || grid.leader().is_none().then_some(()));
     for i in 0..3 {
-        let front = grid.front(i);
+        let front = grid.api_address(i);
         until("it leaves the rotation", || {
             (!healthy(&grid, i)).then_some(())
         });
@@ -193,7 +193,7 @@
 
 #[test]
 fn what_an_operator_gets_wrong_is_named_with_file_field_and_value() {
-    let grid = Grid::new("mistaken");
+    let grid = LocalCluster::new("mistaken");
     let text = r#"(upgrade (window monday friday "20:00" "22:00" "Indian/Atlantis"))"#;
     let policy = grid.write_file("upgrade.lisp", text);
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    each_effect, heartbeat, launched, machine_type, manager, parsed, shown, starts, submission,
-    worker_heartbeat, AttemptId, Refusal, Store, SETTINGS,
+    for_each_effect, heartbeat, machine_type, manager, parsed, started_attempts, starts,
+    submission, task_statuses, worker_heartbeat, AttemptId, Refusal, Store, SETTINGS,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -55,7 +55,7 @@
 /// Carries effects out; at most so many writes are applied before the leader ends.
 fn work(manager: &mut ClusterManager, store: &mut Store, now: f64, most_writes: usize) {
     let mut writes = 0;
-    each_effect(manager, now, |manager, effect| match effect {
+    for_each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, transaction } if writes < most_writes => {
             writes += 1;
             let written = match store.commit(&transaction) {
@@ -92,7 +92,7 @@
 /// Every place that any record tells of.
 fn places(store: &Store) -> BTreeSet<(String, String, u32)> {
     let mut all = BTreeSet::new();
-    for item in store.under(PLACEMENT_PREFIX) {
+    for item in store.with_prefix(PLACEMENT_PREFIX) {
         let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
         for (id, machines) in record.places {
             for (machine, tasks) in machines {
@@ -129,7 +129,7 @@
         accept(&mut store, "req-1", TASKS);
         let recorded = |store: &Store| -> BTreeSet<u32> {
             let mut done = BTreeSet::new();
-            for item in store.under(COMPLETION_PREFIX) {
+            for item in store.with_prefix(COMPLETION_PREFIX) {
                 let record: StoredCompletions = serde_json::from_value(item.value).unwrap();
                 done.extend(record.done.iter().flat_map(|(first, last)| *first..=*last));
             }
@@ -138,13 +138,13 @@
         let mut now = 0.0;
         for (i, (value_kb, writes, done)) in terms.into_iter().enumerate() {
             if i == production {
-                store.led_by_production(32);
+                store.rewrite_as_production_release(32);
             }
             let before = recorded(&store);
             let mut manager = leader(&mut store, value_kb, now);
             prop_assert_eq!(manager.status("req-1").unwrap().done as usize, before.len());
             let done: Vec<AttemptId> = done.iter().map(|t| AttemptId::new(&format!("req-1/{t}"), 1)).collect();
-            let tasks = shown(&done, TaskState::Exited, Some(Cause::Done));
+            let tasks = task_statuses(&done, TaskState::Exited, Some(Cause::Done));
             manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, tasks), now);
             // Long enough for a record of what completes to be due, however scarce the budget.
             now += 60.0;
@@ -153,14 +153,14 @@
         }
         let mut manager = leader(&mut store, 2.0, now);
         let rest: Vec<AttemptId> = (0..TASKS).map(|t| AttemptId::new(&format!("req-1/{t}"), 1)).collect();
-        let tasks = shown(&rest, TaskState::Exited, Some(Cause::Done));
+        let tasks = task_statuses(&rest, TaskState::Exited, Some(Cause::Done));
         manager.heartbeat(&worker_heartbeat("m-1", 99, 1, tasks), now);
         now += 1.0;
         work(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
         work(&mut manager, &mut store, now, usize::MAX);
         prop_assert!(store.item(&end_key("req-1")).is_some(), "it ends");
-        let left = store.under(COMPLETION_PREFIX);
+        let left = store.with_prefix(COMPLETION_PREFIX);
         prop_assert!(left.is_empty(), "no record of it is left: {left:?}");
     }
 
@@ -179,7 +179,7 @@
         prop_assert_eq!(placed.len(), 36);
         for (i, (value_kb, writes, _)) in terms.into_iter().enumerate() {
             if i == production {
-                store.led_by_production(2048);
+                store.rewrite_as_production_release(2048);
             }
             let mut manager = leader(&mut store, value_kb, now);
             for _ in 0..writes {
@@ -203,7 +203,7 @@
     for second in 0..60 {
         work(&mut manager, &mut store, f64::from(second), usize::MAX);
     }
-    let large = store.under(PLACEMENT_PREFIX).into_iter();
+    let large = store.with_prefix(PLACEMENT_PREFIX).into_iter();
     let large = large.filter(|i| i.value.to_string().len() > 256).count();
     assert_eq!((large, places(&store).len()), (0, 36));
 }
@@ -220,7 +220,7 @@
     let mut launched = BTreeSet::new();
     for tenth in 0..100 {
         let now = f64::from(tenth) / 10.0;
-        each_effect(&mut manager, now, |manager, effect| match effect {
+        for_each_effect(&mut manager, now, |manager, effect| match effect {
             Effect::Write { id, transaction } => {
                 let written = match store.commit(&transaction) {
                     Ok(revision) => WriteOutcome::Applied(revision),
@@ -308,7 +308,7 @@
     let mut manager = manager();
     heartbeat(&mut manager, 1, vec![], 0.0);
     manager.job_accepted(back, 5, 0, 0.0);
-    assert!(launched(&mut manager, 0.0).is_empty());
+    assert!(started_attempts(&mut manager, 0.0).is_empty());
     assert_eq!(
         manager.status("req-000412").map(|s| s.state),
         None,
--- a/tests/play/overload.rs
+++ b/tests/workload_simulation/overload.rs
@@ -1,7 +1,8 @@
-//! A clock-free play of the scheduler over generated loads: more work than room, floods of small
-//! jobs, deadlines that cannot be met. Everybody is served, and the largest begin in time.
+//! A property test of the scheduler without faults, under generated overload: up to 1.6 times the capacity of
+//! the machines, high rates of small jobs, and deadlines that cannot be met. Every job starts in time, and at
+//! least half of each class, team and of the largest jobs is done.
 
-use crate::common::{manager, parsed, shown, submission, AttemptId};
+use crate::common::{manager, parsed, submission, task_statuses, AttemptId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
@@ -12,84 +13,84 @@
 use stairstage::storage::records::OpenRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job, and how long its tasks really run.
+/// A submitted job with the actual run time of its tasks.
 #[derive(Clone, Debug)]
-struct Load {
+struct Job {
     at_s: f64,
     class: &'static str,
     team: &'static str,
-    rig: &'static str,
+    kind: &'static str,
     tasks: u32,
     cpus: f64,
     run_s: f64,
     due_s: Option<f64>,
-    /// How much of its run time its owner expects.
+    /// The submitted estimate as a multiple of the actual run time.
     estimate: f64,
 }
 
-/// When a job arrived, first ran, and was done.
+/// When a job was submitted, first started, and was done.
 #[derive(Clone, Debug, Default)]
-struct Fate {
+struct JobTimes {
     arrived: f64,
     began: Option<f64>,
     done: Option<f64>,
 }
 
-/// Machines of the only type.
+/// The machines of the cluster, all of one type.
 const MACHINES: usize = 6;
 
-/// A leader with machines whose answers come at once.
-struct Play {
+/// A leader whose writes, commands and heartbeats succeed at once.
+struct FaultFreeCluster {
     manager: ClusterManager,
     now: f64,
-    seqs: [u64; MACHINES],
-    /// Tasks on each machine, with their ends.
+    sequences: [u64; MACHINES],
+    /// The tasks on each machine, with the time at which each completes.
     running: Vec<BTreeMap<AttemptId, f64>>,
     exited: Vec<BTreeSet<AttemptId>>,
     run_s: BTreeMap<String, f64>,
-    fates: BTreeMap<String, Fate>,
-    written: u64,
+    times: BTreeMap<String, JobTimes>,
+    revision: u64,
 }
 
-impl Play {
-    fn new() -> Play {
-        Play {
+impl FaultFreeCluster {
+    fn new() -> FaultFreeCluster {
+        FaultFreeCluster {
             manager: manager(),
             now: 0.0,
-            seqs: [0; MACHINES],
+            sequences: [0; MACHINES],
             running: vec![BTreeMap::new(); MACHINES],
             exited: vec![BTreeSet::new(); MACHINES],
             run_s: BTreeMap::new(),
-            fates: BTreeMap::new(),
-            written: 100,
+            times: BTreeMap::new(),
+            revision: 100,
         }
     }
 
     /// A user submits a job.
-    fn submit(&mut self, number: usize, load: &Load) {
+    fn submit(&mut self, number: usize, job: &Job) {
         let id = format!("req-{number}");
-        let mut body = submission(&id, load.rig, "normal", load.tasks);
-        body["duty"] = json!(load.class);
-        body["crew"] = json!(load.team);
-        body["cpus"] = json!(load.cpus);
-        body["passage_s"] = json!(load.run_s * load.estimate);
-        body["due_s"] = json!(load.due_s);
+        let mut body = submission(&id, job.kind, "normal", job.tasks);
+        body["duty"] = json!(job.class);
+        body["crew"] = json!(job.team);
+        body["cpus"] = json!(job.cpus);
+        body["passage_s"] = json!(job.run_s * job.estimate);
+        body["due_s"] = json!(job.due_s);
         let record = OpenRecord::accepted(parsed(&body), 0);
         let accepted_ms = record.at_ms;
         self.manager
             .job_accepted(record, number as u64 + 1, accepted_ms, self.now);
-        self.run_s.insert(id.clone(), load.run_s);
+        self.run_s.insert(id.clone(), job.run_s);
         let arrived = self.now;
-        self.fates.insert(
+        self.times.insert(
             id,
-            Fate {
+            JobTimes {
                 arrived,
-                ..Fate::default()
+                ..JobTimes::default()
             },
         );
     }
 
-    /// A machine carries out commands.
+    /// Executes commands on a machine.
     fn run(&mut self, machine: usize, commands: &[Command]) {
         for command in commands {
             match command {
@@ -101,8 +102,8 @@
                     }
                     let job = task.rsplit_once('/').unwrap().0;
                     self.running[machine].insert(id, self.now + self.run_s[job]);
-                    let fate = self.fates.get_mut(job).unwrap();
-                    fate.began.get_or_insert(self.now);
+                    let times = self.times.get_mut(job).unwrap();
+                    times.began.get_or_insert(self.now);
                 }
                 Command::Stop { task, attempt, .. } => {
                     self.running[machine].remove(&AttemptId::new(task, *attempt));
@@ -114,9 +115,9 @@
         }
     }
 
-    /// The next heartbeat of a machine; tasks that have run for long enough are done in it.
+    /// The next heartbeat of a machine. Tasks whose run time is over are reported as done.
     fn heartbeat(&mut self, machine: usize) -> Heartbeat {
-        self.seqs[machine] += 1;
+        self.sequences[machine] += 1;
         let now = self.now;
         let over: Vec<AttemptId> = self.running[machine]
             .iter()
@@ -129,8 +130,8 @@
         }
         let running: Vec<AttemptId> = self.running[machine].keys().cloned().collect();
         let exited: Vec<AttemptId> = self.exited[machine].iter().cloned().collect();
-        let mut tasks = shown(&running, TaskState::Running, None);
-        tasks.extend(shown(&exited, TaskState::Exited, Some(Cause::Done)));
+        let mut tasks = task_statuses(&running, TaskState::Running, None);
+        tasks.extend(task_statuses(&exited, TaskState::Exited, Some(Cause::Done)));
         Heartbeat {
             machine: format!("m-{machine}"),
             endpoint: "127.0.0.1:9".into(),
@@ -138,15 +139,15 @@
             zone: "z".into(),
             spot: false,
             incarnation: Incarnation(1),
-            sequence: HeartbeatSequence(self.seqs[machine]),
+            sequence: HeartbeatSequence(self.sequences[machine]),
             token: self.manager.token(),
             notice_s: None,
             tasks,
         }
     }
 
-    /// A second passes.
-    fn second(&mut self) {
+    /// Simulates one second: heartbeats, then decisions of the leader.
+    fn step(&mut self) {
         for machine in 0..MACHINES {
             let heartbeat = self.heartbeat(machine);
             if let HeartbeatOutcome::Answer(answer) = self.manager.heartbeat(&heartbeat, self.now) {
@@ -161,20 +162,20 @@
                 break;
             }
             for effect in effects {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
             self.manager.step(self.now);
         }
         self.now += 1.0;
     }
 
-    /// Carries out one effect.
-    fn carry_out(&mut self, effect: Effect) {
+    /// Applies one effect of the leader.
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Write { id, .. } => {
-                self.written += 1;
+                self.revision += 1;
                 self.manager
-                    .write_finished(id, WriteOutcome::Applied(self.written), self.now);
+                    .write_finished(id, WriteOutcome::Applied(self.revision), self.now);
             }
             Effect::SendCommands {
                 machine,
@@ -191,7 +192,7 @@
                 );
             }
             Effect::ReadFinalStates(_) => {}
-            // The fleet stays as it is.
+            // The cloud accepts no returns, so that the number of machines stays.
             Effect::ReturnMachines(names) => {
                 self.manager.machines_returned(&names, false, self.now);
             }
@@ -204,7 +205,7 @@
                 self.manager.token_raised(Some(token), self.now);
             }
             Effect::JobFinished { id, .. } => {
-                self.fates
+                self.times
                     .get_mut(&*id)
                     .unwrap()
                     .done
@@ -214,19 +215,18 @@
     }
 }
 
-/// A flood of small jobs that never ends, with larger ones among them; about `pressure` times as
-/// much as the machines can do.
-fn loads(sizes: &[(u32, bool, bool)], pressure: f64) -> Vec<Load> {
+/// Small jobs with one large job in six. Their load is about `pressure` times the capacity of the machines.
+fn generated_jobs(sizes: &[(u32, bool, bool)], pressure: f64) -> Vec<Job> {
     let capacity = 4.0 * MACHINES as f64;
     let mut at_s = 0.0;
-    let mut loads = Vec::new();
+    let mut jobs = Vec::new();
     for (i, (size, gang, late)) in sizes.iter().enumerate() {
         let large = i % 6 == 5;
-        let load = Load {
+        let job = Job {
             at_s,
             class: if large { "large" } else { "small" },
             team: if i % 2 == 0 { "t" } else { "u" },
-            rig: if *gang && large { "group" } else { "sweep" },
+            kind: if *gang && large { "group" } else { "sweep" },
             tasks: if large { 8 + size % 8 } else { 1 + size % 4 },
             cpus: if large { 2.0 } else { 1.0 },
             run_s: if large {
@@ -237,15 +237,15 @@
             due_s: late.then_some(if large { 60.0 } else { 30.0 }),
             estimate: 0.6 + f64::from(size % 7) / 6.0,
         };
-        let tasks = if load.rig == "group" {
-            load.tasks.min(10)
+        let tasks = if job.kind == "group" {
+            job.tasks.min(10)
         } else {
-            load.tasks
+            job.tasks
         };
-        at_s += f64::from(tasks) * load.cpus * load.run_s / capacity / pressure;
-        loads.push(Load { tasks, ..load });
+        at_s += f64::from(tasks) * job.cpus * job.run_s / capacity / pressure;
+        jobs.push(Job { tasks, ..job });
     }
-    loads
+    jobs
 }
 
 proptest! {
@@ -257,43 +257,43 @@
     })]
 
     #[test]
-    fn everybody_is_served_and_the_largest_begin_in_time(
+    fn every_class_and_team_is_served_and_every_job_starts_in_time(
         sizes in prop::collection::vec((0u32..40, any::<bool>(), any::<bool>()), 90..120),
         pressure in 1.0f64..1.6,
     ) {
-        let loads = loads(&sizes, pressure);
-        let mut play = Play::new();
+        let jobs = generated_jobs(&sizes, pressure);
+        let mut cluster = FaultFreeCluster::new();
         for machine in 0..MACHINES {
-            let heartbeat = play.heartbeat(machine);
-            play.manager.heartbeat(&heartbeat, 0.0);
+            let heartbeat = cluster.heartbeat(machine);
+            cluster.manager.heartbeat(&heartbeat, 0.0);
         }
-        let end_s = loads.last().unwrap().at_s + 240.0;
+        let end_s = jobs.last().unwrap().at_s + 240.0;
         let mut next = 0;
-        while play.now < end_s {
-            while next < loads.len() && loads[next].at_s <= play.now {
-                play.submit(next, &loads[next]);
+        while cluster.now < end_s {
+            while next < jobs.len() && jobs[next].at_s <= cluster.now {
+                cluster.submit(next, &jobs[next]);
                 next += 1;
             }
-            play.second();
+            cluster.step();
         }
-        let fate = |i: usize| &play.fates[&format!("req-{i}")];
+        let times = |i: usize| &cluster.times[&format!("req-{i}")];
         let mut groups: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut count = |group: String, served: bool| {
             let entry = groups.entry(group).or_default();
             entry.0 += 1;
             entry.1 += usize::from(served);
         };
-        for (i, load) in loads.iter().enumerate() {
-            let served = fate(i).done.is_some();
-            count(format!("class {}", load.class), served);
-            count(format!("team {}", load.team), served);
-            if load.class == "large" && load.tasks >= 12 {
+        for (i, job) in jobs.iter().enumerate() {
+            let served = times(i).done.is_some();
+            count(format!("class {}", job.class), served);
+            count(format!("team {}", job.team), served);
+            if job.class == "large" && job.tasks >= 12 {
                 count("the largest".into(), served);
             }
-            let began = fate(i).began.map(|t| t - fate(i).arrived);
+            let began = times(i).began.map(|t| t - times(i).arrived);
             prop_assert!(
                 began.is_some_and(|s| s <= 240.0),
-                "req-{i} began after {began:?}: {load:?}"
+                "req-{i} began after {began:?}: {job:?}"
             );
         }
         for (group, (all, served)) in groups {
--- a/tests/play/simulation/leader.rs
+++ b/tests/workload_simulation/simulation/leader.rs
@@ -1,8 +1,8 @@
-//! The leader: its election, its writes and what it has others do.
+//! The leader: its election, its writes and its other effects.
 
 use super::Simulation;
 use crate::common::Refusal;
-use crate::services::Fate;
+use crate::services::WriteHandling;
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
@@ -11,28 +11,28 @@
 use stairstage::protocol::worker::CommandBatch;
 use stairstage::storage::records::LEADER_KEY;
 
-/// A write whose answer is under way.
+/// A write whose response or timeout is pending.
 pub(super) struct PendingWrite {
     pub(super) at: f64,
     pub(super) leader: u64,
     pub(super) id: u64,
     pub(super) transaction: Transaction,
-    /// Carried out when the answer is due; else the answer was lost.
+    /// Whether the write is applied and confirmed when due. Otherwise it times out.
     pub(super) answered: bool,
 }
 
 impl Simulation {
-    /// The leader ends at once.
-    pub(crate) fn depose(&mut self) {
+    /// Stops the leader without a successor.
+    pub(crate) fn crash_leader(&mut self) {
         self.leader = None;
     }
 
-    /// Another leader begins, with what the state service holds.
-    pub(crate) fn elect(&mut self) {
+    /// Elects a new leader, which recovers from the records of the state service.
+    pub(crate) fn elect_leader(&mut self) {
         let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
         let mut manager = ClusterManager::new(self.settings.clone(), FencingToken(token), self.now);
-        manager.set_machine_types(self.types.clone());
+        manager.set_machine_types(self.machine_types.clone());
         manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), self.wall_ms(), self.now);
         if self.peers_promise {
@@ -41,24 +41,24 @@
         self.leader = Some(manager);
     }
 
-    /// Transactions that were given up on are carried out.
-    pub(super) fn carry_out_late(&mut self) {
+    /// Applies the transactions that arrive after their timeout.
+    pub(super) fn apply_delayed_writes(&mut self) {
         let now = self.now;
-        let late = std::mem::take(&mut self.late);
-        let (due, later) = late.into_iter().partition(|(at, _)| *at <= now);
-        self.late = later;
+        let delayed = std::mem::take(&mut self.delayed_writes);
+        let (due, later) = delayed.into_iter().partition(|(at, _)| *at <= now);
+        self.delayed_writes = later;
         for (_, txn) in due {
-            // It fails when anything that it depends on has changed since.
+            // Fails if one of its conditions no longer holds.
             let _ = self.store.commit(&txn);
         }
     }
 
-    /// Writes are answered, or found to be unanswered, when that is due.
-    pub(super) fn answer_writes(&mut self) {
+    /// Passes the outcomes of writes that are due to the leader that sent them.
+    pub(super) fn finish_writes(&mut self) {
         let now = self.now;
-        let pending = std::mem::take(&mut self.pending);
+        let pending = std::mem::take(&mut self.pending_writes);
         let (due, later): (Vec<_>, Vec<_>) = pending.into_iter().partition(|w| w.at <= now);
-        self.pending = later;
+        self.pending_writes = later;
         for write in due {
             let result = if write.answered {
                 self.commit(&write.transaction)
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Applies a transaction; what the leader hears of it.
+    /// Applies a transaction, and returns the outcome for the leader.
     pub(super) fn commit(&mut self, txn: &Transaction) -> WriteOutcome {
         match self.store.commit(txn) {
             Ok(revision) => WriteOutcome::Applied(revision),
@@ -81,8 +81,8 @@
         }
     }
 
-    /// The leader decides until it has nothing more to say.
-    pub(super) fn decide(&mut self) {
+    /// Runs the leader and applies its effects until there are none left.
+    pub(super) fn run_leader(&mut self) {
         let now = self.now;
         let Some(manager) = &mut self.leader else {
             return;
@@ -95,7 +95,7 @@
                 return;
             }
             for effect in effects {
-                self.carry_out(effect);
+                self.apply_effect(effect);
             }
             if let Some(manager) = &mut self.leader {
                 manager.step(now);
@@ -103,11 +103,11 @@
         }
     }
 
-    /// Carries out one effect of the leader.
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    /// Applies one effect of the leader.
+    pub(super) fn apply_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::Write { id, transaction } => self.write(id, transaction),
+            Effect::Write { id, transaction } => self.send_write(id, transaction),
             Effect::SendCommands {
                 machine,
                 commands: batch,
@@ -117,15 +117,15 @@
                 self.manager().commands_answered(&machine, result, now);
             }
             Effect::ReadFinalStates(ids) => {
-                let ends = self.store.ends(&ids);
+                let ends = self.store.final_states(&ids);
                 self.manager().ends_found(ends, now);
             }
             Effect::ReturnMachines(names) => {
-                let taken = self.cloud.takes_back;
-                if taken {
+                let accepted = self.cloud.accepts_returns;
+                if accepted {
                     self.workers.retain(|name, _| !names.contains(name));
                 }
-                self.manager().machines_returned(&names, taken, now);
+                self.manager().machines_returned(&names, accepted, now);
             }
             Effect::RentMachines(rent) => {
                 let machines = self.rent(&rent.zone, rent.count as usize);
@@ -136,45 +136,45 @@
                 let token = self.raise_token();
                 self.manager().token_raised(token.map(FencingToken), now);
             }
-            // Users are told by the record, which any node may read.
+            // Users learn of it from the record, which any controller may read.
             Effect::JobFinished { .. } => {}
         }
     }
 
-    /// The decisions of the leader, which there must be.
+    /// The manager of the leader; fails if there is none.
     pub(super) fn manager(&mut self) -> &mut ClusterManager {
-        self.leader.as_mut().expect("its effects are carried out")
+        self.leader.as_mut().expect("a simulation with a leader")
     }
 
-    /// Sends a write to the state service, which treats it as it does at the moment.
-    pub(super) fn write(&mut self, id: u64, transaction: Transaction) {
+    /// Sends a write to the state service, which handles it according to its present faults.
+    pub(super) fn send_write(&mut self, id: u64, transaction: Transaction) {
         let now = self.now;
-        let fate = self.state.fate(&transaction, &mut self.random, now);
-        let (at, answered) = match fate {
-            Fate::Refused => {
+        let handling = self.state.handle_write(&transaction, &mut self.random, now);
+        let (at, answered) = match handling {
+            WriteHandling::Rejected => {
                 return self
                     .manager()
                     .write_finished(id, WriteOutcome::Rejected, now)
             }
-            Fate::Answered(at) if at <= now => {
+            WriteHandling::Answered(at) if at <= now => {
                 let result = self.commit(&transaction);
                 return self.manager().write_finished(id, result, now);
             }
-            Fate::Answered(at) => (at, true),
-            Fate::Unanswered(at) => {
+            WriteHandling::Answered(at) => (at, true),
+            WriteHandling::ResponseLost(at) => {
                 let _ = self.store.commit(&transaction);
                 (at, false)
             }
-            Fate::Late {
-                given_up,
-                carried_out,
+            WriteHandling::Delayed {
+                timed_out_at,
+                applied_at,
             } => {
-                self.late.push((carried_out, transaction.clone()));
-                (given_up, false)
+                self.delayed_writes.push((applied_at, transaction.clone()));
+                (timed_out_at, false)
             }
         };
         let leader = self.manager().first_token().0;
-        self.pending.push(PendingWrite {
+        self.pending_writes.push(PendingWrite {
             at,
             leader,
             id,
@@ -183,7 +183,7 @@
         });
     }
 
-    /// Delivers direct commands; what their sender hears of it.
+    /// Delivers direct commands, and returns the outcome for their sender.
     pub(super) fn deliver(&mut self, name: &str, batch: &CommandBatch) -> CommandOutcome {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -198,7 +198,7 @@
             self.execute(name, &batch.commands);
         }
         let heartbeat = self.workers.get_mut(name).unwrap().heartbeat();
-        if self.random.chance(self.slow_links) {
+        if self.random.chance(self.late_response_rate) {
             return CommandOutcome::Unknown;
         }
         if accepted {
@@ -208,9 +208,9 @@
         }
     }
 
-    /// The record of the leader is written anew.
+    /// Rewrites the record of the leader, which gives it a higher token.
     pub(super) fn raise_token(&mut self) -> Option<u64> {
-        if self.state.refuses {
+        if self.state.unavailable {
             return None;
         }
         let txn = Transaction::default()
--- a/tests/play/simulation/machines.rs
+++ b/tests/workload_simulation/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! Machines and their workers: what they run, report and are told.
+//! Machines with their workers: tasks, heartbeats and commands.
 
 use super::Simulation;
 use crate::common::AttemptId;
@@ -9,10 +9,10 @@
 use stairstage::protocol::worker::{Cause, Command, TaskState};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Seconds between two looks at the cloud's list.
-const LIST_S: f64 = 5.0;
+/// The interval at which the leader lists the machines of the cloud.
+const LIST_INTERVAL_S: f64 = 5.0;
 
-/// An attempt of a gang: all its tasks have the same.
+/// An attempt of a gang, which is the same for all its tasks.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct GangAttempt {
     job: String,
@@ -20,7 +20,7 @@
 }
 
 impl GangAttempt {
-    /// The gang that an attempt of one of its tasks is part of.
+    /// The gang attempt that includes the attempt of a task.
     fn of(id: &AttemptId) -> GangAttempt {
         GangAttempt {
             job: parse_task(&id.task).unwrap().0.to_string(),
@@ -30,23 +30,30 @@
 }
 
 impl Simulation {
-    /// Adds machines that are up already; returns their names.
+    /// Adds machines that are already up, and returns their names.
     pub(crate) fn add_machines(&mut self, zone: &str, count: usize) -> Vec<String> {
         let now = self.now;
         (0..count).map(|_| self.add_machine(zone, now)).collect()
     }
 
-    /// Adds a machine that is up from then on.
-    pub(super) fn add_machine(&mut self, zone: &str, up_s: f64) -> String {
-        let name = format!("m-{:06}", self.rented);
-        self.rented += 1;
-        let kind = &self.types[0];
-        let worker = Worker::new(name.clone(), &kind.name, zone, kind.cpus, self.now, up_s);
+    /// Adds a machine that has booted at `up_at`, and returns its name.
+    pub(super) fn add_machine(&mut self, zone: &str, up_at: f64) -> String {
+        let name = format!("m-{:06}", self.machines_added);
+        self.machines_added += 1;
+        let machine_type = &self.machine_types[0];
+        let worker = Worker::new(
+            name.clone(),
+            &machine_type.name,
+            zone,
+            machine_type.cpus,
+            self.now,
+            up_at,
+        );
         self.workers.insert(name.clone(), worker);
         name
     }
 
-    /// Fetches and runs go on, and leases end.
+    /// Completes image fetches and runs that are due, and expires leases of workers.
     pub(super) fn advance_workers(&mut self) {
         let (now, lease_s) = (self.now, self.settings.cluster.workers.lease_s);
         for worker in self.workers.values_mut() {
@@ -60,7 +67,7 @@
         self.advance_gangs();
     }
 
-    /// The tasks of a gang start together, complete together, and exit when one is gone.
+    /// Starts the tasks of a gang together, completes them together, and stops them all if one is gone.
     pub(super) fn advance_gangs(&mut self) {
         let mut gangs: BTreeMap<GangAttempt, Vec<TaskState>> = BTreeMap::new();
         let mut done: BTreeSet<GangAttempt> = BTreeSet::new();
@@ -80,15 +87,17 @@
             let whole = states.len() == plan.tasks as usize;
             let ready = states.iter().all(|s| *s == TaskState::Waiting);
             let runs = states.contains(&TaskState::Running);
-            for t in self.of_gang(&gang) {
+            for t in self.gang_tasks(&gang) {
                 if done.contains(&gang) {
                     t.exit(Cause::Done);
                 } else if whole && ready {
                     t.state = TaskState::Running;
-                    t.until = now + plan.run_s;
+                    t.state_ends_at = now + plan.run_s;
                 } else if runs && !whole {
                     t.exit(Cause::Peers);
-                } else if t.state == TaskState::Waiting && now > t.until - plan.run_s + wait_s {
+                } else if t.state == TaskState::Waiting
+                    && now > t.state_ends_at - plan.run_s + wait_s
+                {
                     t.exit(Cause::Alone);
                 }
             }
@@ -96,7 +105,7 @@
     }
 
     /// The live tasks of an attempt of a gang, on all machines.
-    pub(super) fn of_gang<'a>(
+    pub(super) fn gang_tasks<'a>(
         &'a mut self,
         gang: &'a GangAttempt,
     ) -> impl Iterator<Item = &'a mut crate::worker::TaskOnWorker> + 'a {
@@ -107,8 +116,8 @@
         })
     }
 
-    /// Each machine that reaches the leader sends a heartbeat, and takes the response if it
-    /// arrives.
+    /// Sends the heartbeat of each machine that reaches the leader. The worker executes the commands in the
+    /// response if that arrives.
     pub(super) fn send_heartbeats(&mut self) {
         let now = self.now;
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -122,23 +131,23 @@
                 continue;
             };
             let outcome = manager.heartbeat(&worker.heartbeat(), now);
-            let in_time = !self.random.chance(self.slow_links);
+            let arrives = !self.random.chance(self.late_response_rate);
             if let HeartbeatOutcome::Answer(answer) = outcome {
-                if in_time && worker.receives(now) && worker.accept_response(&answer, now) {
+                if arrives && worker.receives(now) && worker.accept_response(&answer, now) {
                     self.execute(&name, &answer.commands);
                 }
             }
         }
     }
 
-    /// A machine carries out commands, and what starts is checked.
+    /// Executes commands on a machine, and checks each task that starts.
     pub(super) fn execute(&mut self, name: &str, commands: &[Command]) {
         for command in commands {
             let (Command::Start { task, .. }
             | Command::Stop { task, .. }
             | Command::Forget { task, .. }) = command;
             let (id, _) = parse_task(task).unwrap();
-            let outcome = self.outcomes.get_mut(id).expect("a job of this day");
+            let outcome = self.outcomes.get_mut(id).expect("a job of this run");
             let worker = self.workers.get_mut(name).unwrap();
             let started = worker.execute(command, &outcome.plan, self.now);
             if let Some(task) = started {
@@ -148,27 +157,28 @@
         }
     }
 
-    /// A task has started: it runs once, where it may, and its team is within its limit.
+    /// Asserts that a started task runs nowhere else, may use the zone, was not cancelled long ago, and keeps
+    /// its team within the limit.
     pub(super) fn check_start(&self, name: &str, task: &str) {
         let (id, _) = parse_task(task).unwrap();
         let outcome = &self.outcomes[id];
         let others = self.workers.values().filter(|w| w.name != name);
-        let twice = others
+        let runs_elsewhere = others
             .flat_map(Worker::live)
             .any(|(other, _)| other.task == task);
-        assert!(!twice, "ran_twice: {task} starts on {name}");
+        assert!(!runs_elsewhere, "ran_twice: {task} starts on {name}");
         let zone = &self.workers[name].zone;
-        let allowed = outcome.plan.zone.is_none_or(|z| z == zone);
-        assert!(allowed, "wrong_place: {task} starts in {zone}");
+        let is_allowed = outcome.plan.zone.is_none_or(|z| z == zone);
+        assert!(is_allowed, "wrong_place: {task} starts in {zone}");
         let cancel_s = self.settings.cluster.workers.cancel_s;
-        let late = outcome.cancelled.is_some_and(|t| self.now - t > cancel_s);
-        assert!(!late, "ran_cancelled: {task}");
+        let is_late = outcome.cancelled.is_some_and(|t| self.now - t > cancel_s);
+        assert!(!is_late, "ran_cancelled: {task}");
         let limit = self.limit(outcome.plan.team);
         let used = self.team_use().remove(outcome.plan.team).unwrap_or(0.0);
         assert!(used <= limit + 1e-6, "quota: {used} of {limit} CPUs");
     }
 
-    /// Processors that a team may use.
+    /// The CPUs that a team may use.
     pub(super) fn limit(&self, team: &str) -> f64 {
         match self.settings.team(team).expect("a known team").cpus_max {
             limit if limit > 0.0 => limit,
@@ -176,7 +186,7 @@
         }
     }
 
-    /// Processors that each team has in use.
+    /// The CPUs that each team uses.
     pub(super) fn team_use(&self) -> HashMap<&str, f64> {
         let mut team_use: HashMap<&str, f64> = HashMap::new();
         for (attempt, t) in self.workers.values().flat_map(Worker::live) {
@@ -186,19 +196,19 @@
         team_use
     }
 
-    /// The leader gets the list of the cloud, now and then.
+    /// Passes the machine list of the cloud to the leader, at most once per `LIST_INTERVAL_S`.
     pub(super) fn list_machines(&mut self) {
-        if self.now - self.listed < LIST_S {
+        if self.now - self.listed_at < LIST_INTERVAL_S {
             return;
         }
-        self.listed = self.now;
+        self.listed_at = self.now;
         let list: Vec<ListedMachine> = self.workers.values().map(|w| self.listing(w)).collect();
         if let Some(manager) = &mut self.leader {
             manager.machines_listed(&list, self.now);
         }
     }
 
-    /// A machine as the cloud lists it.
+    /// The entry of a machine in the list of the cloud.
     pub(super) fn listing(&self, worker: &Worker) -> ListedMachine {
         ListedMachine {
             name: worker.name.clone(),
@@ -211,17 +221,17 @@
             } else {
                 MachineState::Booting
             },
-            age_s: self.now - worker.rented_s,
+            age_s: self.now - worker.rented_at,
         }
     }
 
-    /// The cloud rents what it has in a zone.
+    /// Rents up to `count` machines in a zone, as far as the cloud has capacity.
     pub(super) fn rent(&mut self, zone: &str, count: usize) -> Vec<String> {
-        let there = self.workers.values().filter(|w| w.zone == zone).count();
-        let free = self.cloud.most_in_zone.saturating_sub(there);
-        let gives = self.cloud.rents && self.cloud.sold_out != Some(zone);
-        let count = if gives { count.min(free) } else { 0 };
-        let up_s = self.now + self.cloud.boot_s;
-        (0..count).map(|_| self.add_machine(zone, up_s)).collect()
+        let in_zone = self.workers.values().filter(|w| w.zone == zone).count();
+        let free = self.cloud.max_per_zone.saturating_sub(in_zone);
+        let has_capacity = self.cloud.accepts_rentals && self.cloud.sold_out_zone != Some(zone);
+        let count = if has_capacity { count.min(free) } else { 0 };
+        let up_at = self.now + self.cloud.boot_s;
+        (0..count).map(|_| self.add_machine(zone, up_at)).collect()
     }
 }
--- a/tests/play/simulation/mod.rs
+++ b/tests/workload_simulation/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated day in virtual time: users, workers, cloud and state service around the leader's manager.
+//! Discrete-time simulation of users, workers, the cloud and the state service around the leader's manager.
 
 mod leader;
 mod machines;
@@ -17,18 +17,18 @@
 use std::sync::Arc;
 pub(crate) use users::Outcome;
 
-/// Seconds of a step.
+/// The length of a step in seconds.
 pub(crate) const STEP_S: f64 = 1.0;
 
-/// A team with its limit on processors; 0 for none.
+/// A team with its guaranteed CPUs and its limit on CPUs; a limit of 0 means none.
 pub(crate) struct TeamLimit {
     pub name: &'static str,
     pub guarantee: f64,
     pub limit: f64,
 }
 
-/// The teams of most days, without limits.
-pub(crate) const UNLIMITED: [TeamLimit; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
+/// Two teams without guarantees and limits.
+pub(crate) const UNLIMITED_TEAMS: [TeamLimit; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
 
 /// A team with a guarantee and a limit.
 pub(crate) const fn team(name: &'static str, guarantee: f64, limit: f64) -> TeamLimit {
@@ -39,31 +39,31 @@
     }
 }
 
-/// All parts of a simulated day, and what became of its jobs.
+/// The state of a simulation, with the history of its jobs.
 pub(crate) struct Simulation {
     pub now: f64,
     pub random: Random,
     settings: Arc<Settings>,
-    types: Vec<MachineType>,
+    machine_types: Vec<MachineType>,
     pub store: Store,
     pub state: StateService,
     pub cloud: Cloud,
     pub leader: Option<ClusterManager>,
-    /// The share of responses to heartbeats, and of answers to direct commands, that take longer than their
-    /// receivers wait.
-    pub slow_links: f64,
-    /// Whether other controllers can promise a new leader to answer nothing in its place.
+    /// The share of responses to heartbeats and direct commands that arrive after the timeout of their
+    /// receivers.
+    pub late_response_rate: f64,
+    /// Whether the other controllers promise a new leader to answer no heartbeat with a lower token.
     pub peers_promise: bool,
     pub workers: BTreeMap<String, Worker>,
-    rented: usize,
+    machines_added: usize,
     plans: Vec<JobPlan>,
     next_plan: usize,
     pub outcomes: BTreeMap<String, Outcome>,
-    pending: Vec<PendingWrite>,
-    late: Vec<(f64, Transaction)>,
-    listed: f64,
-    /// When the last fault is over; what users wait for is counted from then on.
-    pub calm_from: f64,
+    pending_writes: Vec<PendingWrite>,
+    delayed_writes: Vec<(f64, Transaction)>,
+    listed_at: f64,
+    /// When the last fault ends. The waiting times of jobs are measured from then on.
+    pub faults_end_s: f64,
 }
 
 impl Simulation {
@@ -79,50 +79,50 @@
         let text = SETTINGS.replace(r#"teams = [{ name = "t" }, { name = "u" }]"#, &listed);
         assert!(text.contains(&listed), "the settings have changed");
         let mut settings = Settings::parse("test", &text).unwrap();
-        if cloud.keeps_idle {
+        if cloud.keeps_idle_machines {
             settings.policy.idle = f64::INFINITY;
         }
-        let types = vec![MachineType {
+        let machine_types = vec![MachineType {
             zones: zones.iter().map(|z| z.to_string()).collect(),
             ..machine_type()
         }];
-        let mut simulation = Simulation {
+        let mut sim = Simulation {
             now: 0.0,
             random: Random::new(seed),
             settings: Arc::new(settings),
-            types,
+            machine_types,
             store: Store::default(),
             state: StateService::default(),
             cloud,
             leader: None,
-            slow_links: 0.0,
+            late_response_rate: 0.0,
             peers_promise: true,
             workers: BTreeMap::new(),
-            rented: 0,
+            machines_added: 0,
             plans: Vec::new(),
             next_plan: 0,
             outcomes: BTreeMap::new(),
-            pending: Vec::new(),
-            late: Vec::new(),
-            listed: 0.0,
-            calm_from: 0.0,
+            pending_writes: Vec::new(),
+            delayed_writes: Vec::new(),
+            listed_at: 0.0,
+            faults_end_s: 0.0,
         };
-        simulation.elect();
-        simulation
+        sim.elect_leader();
+        sim
     }
 
-    /// Adds jobs that users submit when their time has come.
+    /// Adds jobs, which are submitted when they are due.
     pub(crate) fn plan(&mut self, plans: Vec<JobPlan>) {
         self.plans.extend(plans);
         self.plans.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     }
 
-    /// Milliseconds since the day began.
+    /// Milliseconds since the run began.
     fn wall_ms(&self) -> u64 {
         (1000.0 * self.now) as u64
     }
 
-    /// Plays until then; `fault` may change anything before each step.
+    /// Simulates until the given time. `fault` may change the simulation before each step.
     pub(crate) fn run(&mut self, until: f64, mut fault: impl FnMut(&mut Simulation)) {
         while self.now < until {
             fault(self);
@@ -130,20 +130,20 @@
         }
     }
 
-    /// A second passes, in which each part acts once.
+    /// Simulates one step, in which each part acts once.
     fn step(&mut self) {
-        self.carry_out_late();
-        self.answer_writes();
+        self.apply_delayed_writes();
+        self.finish_writes();
         self.advance_workers();
         self.submit_due();
         self.cancel_due();
         self.send_heartbeats();
         self.list_machines();
-        self.decide();
+        self.run_leader();
         self.advance_gangs();
-        self.note_ends();
-        if self.now >= self.calm_from {
-            self.watch_users();
+        self.record_final_states();
+        if self.now >= self.faults_end_s {
+            self.measure_waits();
         }
         self.now += STEP_S;
     }
--- a/tests/play/simulation/users.rs
+++ b/tests/workload_simulation/simulation/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they submit, cancel and wait for.
+//! Users, who submit and cancel jobs and wait for their results.
 
 use super::{Simulation, STEP_S};
 use crate::common::parsed;
@@ -9,7 +9,7 @@
 use stairstage::storage::records::{end_key, open_key, EndRecord, OpenRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What became of a job.
+/// The history of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
     pub plan: JobPlan,
@@ -17,11 +17,12 @@
     pub began: Option<f64>,
     pub done: Option<f64>,
     pub cancelled: Option<f64>,
-    /// Since the last fault: how long it has waited with room, and gone without an answer.
-    waits_s: f64,
-    silence_s: f64,
+    /// How long the job has waited by now while its tasks fit, counted after the last fault.
+    waiting_s: f64,
+    /// How long the status of the job has been unknown by now, counted after the last fault.
+    unknown_s: f64,
     pub longest_wait_s: f64,
-    pub longest_silence_s: f64,
+    pub longest_unknown_s: f64,
 }
 
 impl Outcome {
@@ -32,10 +33,11 @@
 }
 
 impl Simulation {
-    /// Users submit; what the state service does not take now is tried again.
+    /// Submits the jobs that are due. A job that the state service rejects is submitted again in the next
+    /// step.
     pub(super) fn submit_due(&mut self) {
         while let Some(plan) = self.plans.get(self.next_plan).cloned() {
-            if plan.at_s > self.now || self.state.refuses || !self.state.allows(1, self.now) {
+            if plan.at_s > self.now || self.state.unavailable || !self.state.allows(1, self.now) {
                 return;
             }
             let id = format!("req-{}", self.next_plan);
@@ -56,18 +58,18 @@
                 began: None,
                 done: None,
                 cancelled: None,
-                waits_s: 0.0,
-                silence_s: 0.0,
+                waiting_s: 0.0,
+                unknown_s: 0.0,
                 longest_wait_s: 0.0,
-                longest_silence_s: 0.0,
+                longest_unknown_s: 0.0,
             };
             self.outcomes.insert(id, outcome);
         }
     }
 
-    /// Users cancel the jobs whose time has come.
+    /// Cancels the jobs that are due for it.
     pub(super) fn cancel_due(&mut self) {
-        if self.state.refuses {
+        if self.state.unavailable {
             return;
         }
         let now = self.now;
@@ -85,7 +87,7 @@
         }
     }
 
-    /// A user cancels a job, unless it has ended or the state service has no changes left.
+    /// Cancels a job, unless it has finished or the rate limit of the state service is reached.
     pub(crate) fn cancel(&mut self, id: &str) {
         let Some(item) = self.store.item(&open_key(id)) else {
             return;
@@ -113,61 +115,62 @@
         }
     }
 
-    /// Users are told of the ends that are on record.
-    pub(super) fn note_ends(&mut self) {
+    /// Notes which jobs have a final state on record.
+    pub(super) fn record_final_states(&mut self) {
         for (id, outcome) in self.outcomes.iter_mut().filter(|(_, o)| o.is_open()) {
             let Some((end, _)) = self.store.values.get(&end_key(id)) else {
                 continue;
             };
-            assert_eq!(end["state"], "done", "{id}: nobody has cancelled it");
+            assert_eq!(end["state"], "done", "{id}: nobody has cancelled the job");
             outcome.done = Some(self.now);
         }
     }
 
-    /// Counts how long jobs wait though there is room, and how long nobody can say how they are.
-    pub(super) fn watch_users(&mut self) {
-        let waiting = self.waiting_with_room();
+    /// Measures how long jobs wait while their tasks fit, and for how long their status is unknown.
+    pub(super) fn measure_waits(&mut self) {
+        let waiting = self.waiting_despite_capacity();
         for (id, outcome) in &mut self.outcomes {
-            let ended = self.store.values.contains_key(&end_key(id));
+            let finished = self.store.values.contains_key(&end_key(id));
             let known = self.leader.as_ref().is_none_or(|c| c.status(id).is_some());
-            let answered = ended || known;
-            outcome.silence_s = if answered {
+            let is_status_known = finished || known;
+            outcome.unknown_s = if is_status_known {
                 0.0
             } else {
-                outcome.silence_s + STEP_S
+                outcome.unknown_s + STEP_S
             };
-            outcome.waits_s = if waiting.contains(id) {
-                outcome.waits_s + STEP_S
+            outcome.waiting_s = if waiting.contains(id) {
+                outcome.waiting_s + STEP_S
             } else {
                 0.0
             };
-            outcome.longest_wait_s = outcome.longest_wait_s.max(outcome.waits_s);
-            outcome.longest_silence_s = outcome.longest_silence_s.max(outcome.silence_s);
+            outcome.longest_wait_s = outcome.longest_wait_s.max(outcome.waiting_s);
+            outcome.longest_unknown_s = outcome.longest_unknown_s.max(outcome.unknown_s);
         }
     }
 
-    /// Open jobs of which nothing runs, though a task of them fits and their team is under its limit.
-    pub(super) fn waiting_with_room(&self) -> BTreeSet<String> {
+    /// Open jobs without a running task although a task, or the whole gang, fits and their team is under its
+    /// limit.
+    pub(super) fn waiting_despite_capacity(&self) -> BTreeSet<String> {
         let team_use = self.team_use();
         let tasks = self.workers.values().flat_map(Worker::live);
         let running: BTreeSet<&str> = tasks
             .map(|(attempt, _)| parse_task(&attempt.task).unwrap().0)
             .collect();
-        let waits = |(id, o): &(&String, &Outcome)| {
+        let is_waiting = |(id, o): &(&String, &Outcome)| {
             let tasks = if o.plan.is_gang() { o.plan.tasks } else { 1 };
             let used = team_use.get(o.plan.team).copied().unwrap_or(0.0);
             let more = f64::from(tasks) * o.plan.cpus;
             o.is_open()
                 && !running.contains(id.as_str())
                 && used + more <= self.limit(o.plan.team)
-                && self.has_room(&o.plan, tasks)
+                && self.fits_on_machines(&o.plan, tasks)
         };
-        let open = self.outcomes.iter().filter(waits);
+        let open = self.outcomes.iter().filter(is_waiting);
         open.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether machines have room for so many tasks of a job.
-    pub(super) fn has_room(&self, plan: &JobPlan, tasks: u32) -> bool {
+    /// Whether the free resources suffice for this many tasks of a job.
+    pub(super) fn fits_on_machines(&self, plan: &JobPlan, tasks: u32) -> bool {
         let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
         for worker in self.workers.values() {
             let fits = plan.zone.is_none_or(|z| z == worker.zone);
@@ -176,12 +179,12 @@
                 *slots.entry(&worker.zone).or_default() += free;
             }
         }
-        let most_in_zone = if plan.spread {
+        let max_per_zone = if plan.spread {
             plan.tasks.div_ceil(2)
         } else {
             u32::MAX
         };
-        let usable = slots.values().map(|n| *n.min(&most_in_zone));
+        let usable = slots.values().map(|n| *n.min(&max_per_zone));
         if plan.same_zone {
             usable.max().unwrap_or(0) >= tasks
         } else {
--- a/tests/play/worker.rs
+++ b/tests/workload_simulation/worker.rs
@@ -9,9 +9,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a fetch of an image takes.
+/// How long fetching an image takes.
 const FETCH_S: f64 = 1.0;
-/// How long a task runs before it fails, if it does.
+/// How long a failing task runs before it fails.
 const FAILS_AFTER_S: f64 = 1.0;
 
 /// A task on a machine.
@@ -19,48 +19,49 @@
 pub(crate) struct TaskOnWorker {
     pub state: TaskState,
     pub cause: Option<Cause>,
-    /// When its present state is over: its fetch, its wait for a gang or its run.
-    pub until: f64,
+    /// When the present state ends: the image fetch or the run.
+    pub state_ends_at: f64,
     pub cpus: f64,
     pub gang: bool,
 }
 
 impl TaskOnWorker {
-    /// Whether it has not exited.
+    /// Whether the task has not exited.
     pub(crate) fn is_live(&self) -> bool {
         self.state != TaskState::Exited
     }
 
-    /// It exits for this cause.
+    /// Marks the task as exited for this cause.
     pub(crate) fn exit(&mut self, cause: Cause) {
         self.state = TaskState::Exited;
         self.cause = Some(cause);
     }
 }
 
-/// A machine with its worker, and what keeps it from others.
+/// A machine with its worker and its network faults.
 pub(crate) struct Worker {
     pub name: String,
     pub kind: String,
     pub zone: String,
     pub cpus: f64,
-    pub rented_s: f64,
-    pub up_s: f64,
+    pub rented_at: f64,
+    pub up_at: f64,
     incarnation: u64,
     sequence: u64,
     pub token: u64,
     lease_renewed_at: f64,
     pub tasks: BTreeMap<AttemptId, TaskOnWorker>,
     images: BTreeSet<String>,
-    /// Results of tasks that completed here: started again, they exit at once.
-    results: BTreeSet<String>,
-    /// Until then it reaches no controller, and none reaches it.
+    /// Tasks that completed on this machine. Their results are kept, so that they exit at once when started
+    /// again.
+    completed_tasks: BTreeSet<String>,
+    /// Until then the machine and the controllers can't reach each other.
     pub partitioned_until: f64,
-    /// Until then its heartbeats arrive; responses and direct commands are lost.
+    /// Until then heartbeats arrive, while responses and direct commands are lost.
     pub inbound_lost_until: f64,
-    /// Until then direct commands arrive; its heartbeats are lost.
+    /// Until then direct commands arrive, while heartbeats are lost.
     pub heartbeats_lost_until: f64,
-    /// Every task fails on it.
+    /// Whether every task fails on this machine.
     pub faulty: bool,
 }
 
@@ -70,23 +71,23 @@
         kind: &str,
         zone: &str,
         cpus: f64,
-        rented_s: f64,
-        up_s: f64,
+        rented_at: f64,
+        up_at: f64,
     ) -> Self {
         Worker {
             name,
             kind: kind.into(),
             zone: zone.into(),
             cpus,
-            rented_s,
-            up_s,
+            rented_at,
+            up_at,
             incarnation: 1,
             sequence: 0,
             token: 0,
-            lease_renewed_at: up_s,
+            lease_renewed_at: up_at,
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
-            results: BTreeSet::new(),
+            completed_tasks: BTreeSet::new(),
             partitioned_until: 0.0,
             inbound_lost_until: 0.0,
             heartbeats_lost_until: 0.0,
@@ -94,22 +95,22 @@
         }
     }
 
-    /// Whether it has booted.
+    /// Whether the machine has booted.
     pub(crate) fn is_up(&self, now: f64) -> bool {
-        now >= self.up_s
+        now >= self.up_at
     }
 
-    /// Whether it is up and not partitioned.
+    /// Whether the machine is up and not partitioned.
     pub(crate) fn is_reachable(&self, now: f64) -> bool {
         self.is_up(now) && now >= self.partitioned_until
     }
 
-    /// Whether its heartbeats arrive, and whether commands and answers do.
+    /// Whether heartbeats reach the leader.
     pub(crate) fn heartbeats_arrive(&self, now: f64) -> bool {
         self.is_reachable(now) && now >= self.heartbeats_lost_until
     }
 
-    /// Whether responses and direct commands reach it.
+    /// Whether responses and direct commands reach the worker.
     pub(crate) fn receives(&self, now: f64) -> bool {
         self.is_reachable(now) && now >= self.inbound_lost_until
     }
@@ -119,7 +120,7 @@
         self.tasks.iter().filter(|(_, t)| t.is_live())
     }
 
-    /// Processors that no live task uses.
+    /// The CPUs that no live task uses.
     pub(crate) fn free_cpus(&self) -> f64 {
         self.cpus - self.live().map(|(_, t)| t.cpus).sum::<f64>()
     }
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Takes a response to the heartbeat that it sent then, unless its token is outdated.
+    /// Accepts the response to a heartbeat sent at `sent`, and renews the lease, unless the token is
+    /// outdated.
     pub(crate) fn accept_response(&mut self, answer: &HeartbeatResponse, sent: f64) -> bool {
         if answer.token.0 < self.token {
             return false;
@@ -158,12 +160,12 @@
         true
     }
 
-    /// Whether it executes direct commands.
+    /// Whether the token and the incarnation of direct commands are valid.
     pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
         batch.token.0 >= self.token && batch.incarnation.0 == self.incarnation
     }
 
-    /// If its lease is over, it has killed and forgotten every task.
+    /// Kills and forgets every task if the lease has expired.
     pub(crate) fn expire(&mut self, lease_s: f64, now: f64) {
         if self.is_up(now) && now - self.lease_renewed_at > lease_s {
             self.incarnation += 1;
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Takes a command; returns the task that it started.
+    /// Executes a command, and returns the task that it started.
     pub(crate) fn execute(
         &mut self,
         command: &Command,
@@ -185,11 +187,11 @@
                 if self.tasks.contains_key(&id) {
                     return None;
                 }
-                let (state, cause) = self.start_state(task, plan);
+                let (state, cause) = self.initial_state(task, plan);
                 let placed = TaskOnWorker {
                     state,
                     cause,
-                    until: now + FETCH_S,
+                    state_ends_at: now + FETCH_S,
                     cpus: plan.cpus,
                     gang: plan.is_gang(),
                 };
@@ -198,7 +200,7 @@
                     return None;
                 }
                 if self.images.contains(plan.class) {
-                    self.fetched(&id, plan, now);
+                    self.finish_fetch(&id, plan, now);
                 }
                 Some(task.clone())
             }
@@ -219,8 +221,8 @@
         }
     }
 
-    /// How a task begins: fetching its image, or refused.
-    fn start_state(&self, task: &str, plan: &JobPlan) -> (TaskState, Option<Cause>) {
+    /// The initial state of a task: fetching its image, or exited if it is rejected.
+    fn initial_state(&self, task: &str, plan: &JobPlan) -> (TaskState, Option<Cause>) {
         let refused = |cause| (TaskState::Exited, Some(cause));
         if self.live().any(|(other, _)| other.task == *task) {
             refused(Cause::Busy)
@@ -231,13 +233,13 @@
         }
     }
 
-    /// The machine has the image that a task waits for.
-    fn fetched(&mut self, id: &AttemptId, plan: &JobPlan, now: f64) {
+    /// Completes the image fetch of a task, which then runs, or waits for its gang.
+    fn finish_fetch(&mut self, id: &AttemptId, plan: &JobPlan, now: f64) {
         self.images.insert(plan.class.to_string());
-        let fails = plan.broken || self.faulty;
+        let fails = plan.always_fails || self.faulty;
         let (_, task) = parse_task(&id.task).unwrap();
         let t = self.tasks.get_mut(id).expect("known task");
-        if self.results.contains(&id.task) {
+        if self.completed_tasks.contains(&id.task) {
             return t.exit(Cause::Done);
         }
         let run_s = if fails {
@@ -245,7 +247,7 @@
         } else {
             plan.task_run_s(task)
         };
-        t.until = now + run_s;
+        t.state_ends_at = now + run_s;
         t.state = if plan.is_gang() && !fails {
             TaskState::Waiting
         } else {
@@ -253,19 +255,19 @@
         };
     }
 
-    /// Lets a task's fetch or run come to its end.
+    /// Completes the image fetch or the run of a task if it is due.
     pub(crate) fn advance(&mut self, id: &AttemptId, plan: &JobPlan, now: f64) {
-        let fails = plan.broken || self.faulty;
+        let fails = plan.always_fails || self.faulty;
         let t = self.tasks.get_mut(id).expect("known task");
-        if now < t.until {
+        if now < t.state_ends_at {
             return;
         }
         match t.state {
-            TaskState::Fetching => self.fetched(id, plan, now),
+            TaskState::Fetching => self.finish_fetch(id, plan, now),
             TaskState::Running if fails => t.exit(Cause::Error),
             TaskState::Running => {
                 t.exit(Cause::Done);
-                self.results.insert(id.task.clone());
+                self.completed_tasks.insert(id.task.clone());
             }
             _ => {}
         }
--- a/tests/play/workload.rs
+++ b/tests/workload_simulation/workload.rs
@@ -1,10 +1,10 @@
-//! Generated jobs, and the numbers they are generated from.
+//! Generated jobs, and the random numbers for them.
 
 use crate::common::random::SplitMix64;
 use crate::common::submission;
 use serde_json::{json, Value};
 
-/// Numbers with a fixed sequence for each seed.
+/// Pseudo-random numbers with a fixed sequence for each seed.
 pub(crate) struct Random(SplitMix64);
 
 impl Random {
@@ -12,29 +12,29 @@
         Random(SplitMix64(seed))
     }
 
-    /// A whole number below the bound.
+    /// An integer below `most`.
     pub(crate) fn below(&mut self, most: u64) -> u64 {
         self.0.next() % most.max(1)
     }
 
-    /// A number in this range.
+    /// A number from `low` to below `high`.
     pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * (self.0.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Whether something happens that does in this share of cases.
+    /// True with the probability `share`.
     pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.between(0.0, 1.0) < share
     }
 }
 
-/// A job as its user submits it, and how it really behaves.
+/// A job as its user submits it, and the actual behaviour of its tasks.
 #[derive(Clone, Debug)]
 pub(crate) struct JobPlan {
     pub at_s: f64,
     pub class: &'static str,
     pub team: &'static str,
-    pub rig: &'static str,
+    pub kind: &'static str,
     pub priority: &'static str,
     pub tasks: u32,
     pub cpus: f64,
@@ -42,14 +42,15 @@
     pub same_zone: bool,
     pub spread: bool,
     pub due_s: Option<f64>,
-    /// How long its first task runs, and how much longer each further one does.
+    /// How long the first task runs.
     pub run_s: f64,
-    pub later_s: f64,
-    /// How much of its run time its owner expects.
-    pub estimate: f64,
-    /// It was submitted with a mistake: its tasks fail on every machine.
-    pub broken: bool,
-    /// When its user cancels it, counted from its submission.
+    /// How much longer each further task runs than the one before.
+    pub run_increment_s: f64,
+    /// The submitted estimate as a multiple of the actual run time.
+    pub estimate_factor: f64,
+    /// Whether the tasks fail on every machine, as with a mistake in the submission.
+    pub always_fails: bool,
+    /// When the user cancels the job, in seconds after its submission.
     pub cancel_after_s: Option<f64>,
 }
 
@@ -59,7 +60,7 @@
             at_s: 0.0,
             class: "small",
             team: "t",
-            rig: "sweep",
+            kind: "sweep",
             priority: "normal",
             tasks: 1,
             cpus: 1.0,
@@ -68,33 +69,33 @@
             spread: false,
             due_s: None,
             run_s: 10.0,
-            later_s: 0.0,
-            estimate: 1.0,
-            broken: false,
+            run_increment_s: 0.0,
+            estimate_factor: 1.0,
+            always_fails: false,
             cancel_after_s: None,
         }
     }
 }
 
 impl JobPlan {
-    /// Whether its tasks run together.
+    /// Whether the job is a gang.
     pub(crate) fn is_gang(&self) -> bool {
-        self.rig == "group"
+        self.kind == "group"
     }
 
-    /// The processors that all of its tasks take.
-    pub(crate) fn size(&self) -> f64 {
+    /// The CPUs that all tasks together request.
+    pub(crate) fn total_cpus(&self) -> f64 {
         f64::from(self.tasks) * self.cpus
     }
 
-    /// How long the task with this number runs.
+    /// How long the task with this number runs, in seconds.
     pub(crate) fn task_run_s(&self, task: u32) -> f64 {
-        self.run_s + self.later_s * f64::from(task)
+        self.run_s + self.run_increment_s * f64::from(task)
     }
 
-    /// What its user submits.
+    /// The body of the submission.
     pub(crate) fn body(&self, id: &str) -> Value {
-        let mut body = submission(id, self.rig, self.priority, self.tasks);
+        let mut body = submission(id, self.kind, self.priority, self.tasks);
         let last_s = self.task_run_s(self.tasks - 1);
         body["duty"] = json!(self.class);
         body["crew"] = json!(self.team);
@@ -102,14 +103,14 @@
         body["berth"] = json!(self.zone);
         body["same_place"] = json!(self.same_zone);
         body["spread"] = json!(self.spread);
-        body["passage_s"] = json!(last_s * self.estimate);
+        body["passage_s"] = json!(last_s * self.estimate_factor);
         body["due_s"] = json!(self.due_s);
         body
     }
 }
 
-/// One-task jobs of one class, so many a second, from one time to another.
-pub(crate) fn stream(template: &JobPlan, per_s: f64, from_s: f64, to_s: f64) -> Vec<JobPlan> {
+/// Copies of `template`, submitted at the rate `per_s` from `from_s` to `to_s`.
+pub(crate) fn job_stream(template: &JobPlan, per_s: f64, from_s: f64, to_s: f64) -> Vec<JobPlan> {
     let count = ((to_s - from_s) * per_s) as usize;
     let at_s = |i: usize| from_s + i as f64 / per_s;
     (0..count)
@@ -120,22 +121,22 @@
         .collect()
 }
 
-/// Arrays and gangs of several sizes among one-task jobs, of teams `t` and `u` in turn: about
-/// `share` of what so many processors can do, until then.
-pub(crate) fn mixed(random: &mut Random, cpus: f64, share: f64, until_s: f64) -> Vec<JobPlan> {
+/// One-task jobs, arrays and gangs of several sizes, submitted by teams `t` and `u` in turn until `until_s`.
+/// Their load is about `share` of the capacity of `cpus` CPUs.
+pub(crate) fn mixed_jobs(random: &mut Random, cpus: f64, share: f64, until_s: f64) -> Vec<JobPlan> {
     let mut plans = Vec::new();
     let mut at_s = 0.0;
     while at_s < until_s {
         let plan = mixed_job(random, plans.len(), at_s);
-        at_s += plan.size() * plan.run_s / cpus / share;
+        at_s += plan.total_cpus() * plan.run_s / cpus / share;
         plans.push(plan);
     }
     plans
 }
 
-/// One job of a mixed load.
+/// One job of a mixed workload.
 fn mixed_job(random: &mut Random, number: usize, at_s: f64) -> JobPlan {
-    let (class, rig, tasks) = match number % 5 {
+    let (class, kind, tasks) = match number % 5 {
         3 => ("array", "sweep", 4 + random.below(8) as u32),
         4 => ("gang", "group", 2 + random.below(3) as u32),
         _ => ("single", "sweep", 1),
@@ -143,11 +144,11 @@
     JobPlan {
         at_s,
         class,
-        rig,
+        kind,
         tasks,
         team: if number % 2 == 0 { "t" } else { "u" },
         run_s: random.between(8.0, 25.0),
-        estimate: random.between(0.5, 2.0),
+        estimate_factor: random.between(0.5, 2.0),
         ..JobPlan::default()
     }
 }
