--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -175,7 +175,7 @@
     });
     // Nobody else is elected before the state service is down for all.
     grid.extend_all_leases();
-    grid.state_refuses[leader].store(true, Ordering::Relaxed);
+    grid.state_rejects[leader].store(true, Ordering::Relaxed);
     let other = grid.api_address((leader + 1) % 3);
     until("another controller confirms the cancellation", || {
         call("POST", &other, "/v2/runs/req-1/abort", &json!({})).filter(|a| a.0 == 200)
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of nodes to the state service: delayed, lost, refused, or applied late.
+//! Requests of nodes to the state service, which may be delayed, lost, rejected or applied late.
 
 use super::{
     Call, Cluster, ProcessId, SimulatedEvent, Watch, CLIENT_TIMEOUT, COMMIT_DELAY, LATENCY,
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Cluster {
-    /// How long the next message takes.
+    /// The latency of the next message.
     pub(super) fn latency(&mut self) -> Micros {
         let range = if self.random.chance(SLOW_PROBABILITY) {
             SLOW_LATENCY
@@ -21,7 +21,7 @@
         self.random.within(range)
     }
 
-    /// A process sends a call to the state service.
+    /// Sends a call of a process to the state service.
     pub(super) fn send(&mut self, id: ProcessId, call: Call) {
         if self.process(id).is_none() {
             return;
@@ -45,7 +45,7 @@
         self.schedule_arrival(at, id, call, true);
     }
 
-    /// A call arrives then, and is answered if its sender waits.
+    /// Schedules the arrival of a call. It gets a response only if `is_awaited`.
     fn schedule_arrival(&mut self, at: Micros, id: ProcessId, call: Call, is_awaited: bool) {
         let arrival = SimulatedEvent::Arrive {
             id,
@@ -55,29 +55,30 @@
         self.schedule(at, arrival);
     }
 
-    /// A connection cannot be made, or what is sent on one is held back.
+    /// Sends a call during a partition. Either the connection fails, or the call is held back until the
+    /// partition ends.
     pub(super) fn send_into_partition(&mut self, id: ProcessId, call: Call, until: Micros) {
         if self.random.chance(0.5) {
             return self.schedule_arrival(until, id, call, false);
         }
         if let Call::Election { number, operation } = call {
             let at = self.now + self.latency();
-            self.schedule(at, response(id, number, refused(&operation)));
+            self.schedule(at, response(id, number, rejected(&operation)));
         }
     }
 
-    /// A call arrives at the state service.
+    /// Handles a call that arrives at the state service.
     pub(super) fn arrive(&mut self, id: ProcessId, call: Call, is_awaited: bool) {
-        let is_refused = self.nodes[id.node].faults.refused_until > self.now;
-        if (self.store.outage || is_refused) && !is_watch(&call) {
+        let is_rejected = self.nodes[id.node].faults.rejected_until > self.now;
+        if (self.store.outage || is_rejected) && !is_watch(&call) {
             match (is_awaited, call) {
-                // A delayed call is held back further, until the outage is over.
+                // A delayed call is retried until the outage is over.
                 (false, call) => {
                     let at = self.now + SECOND / 2;
                     self.schedule_arrival(at, id, call, false);
                 }
                 (true, Call::Election { number, operation }) => {
-                    self.respond(id, number, refused(&operation));
+                    self.respond(id, number, rejected(&operation));
                 }
                 (true, Call::Write { .. }) => {}
             }
@@ -147,7 +148,7 @@
             }
             Operation::Renew { lease, .. } => {
                 let renewal = self.store.renew(lease, self.now);
-                // A delayed copy of a renewal extends its lease, too.
+                // A delayed renewal extends the lease, too.
                 if let Some(unknown) = &mut self.unknown_record {
                     unknown.since = self.now;
                 }
@@ -161,14 +162,14 @@
         })
     }
 
-    /// Responds to a watch without changes, unless it has had a response.
+    /// Responds to a watch without changes, unless it already had a response.
     pub(super) fn watch_timed_out(&mut self, id: ProcessId, operation_number: u64) {
         let is_meant = |watch: &Watch| watch.id == id && watch.operation_number == operation_number;
         let Some(position) = self.watches.iter().position(is_meant) else {
             return;
         };
         self.watches.swap_remove(position);
-        if !self.store.outage && self.nodes[id.node].faults.refused_until <= self.now {
+        if !self.store.outage && self.nodes[id.node].faults.rejected_until <= self.now {
             let events = self.store.leader_changes_after(u64::MAX);
             self.respond(id, operation_number, watched(events));
         }
@@ -185,16 +186,16 @@
                 operation_number,
                 after,
             } = self.watches[position];
-            let is_refused = self.nodes[id.node].faults.refused_until > self.now;
+            let is_rejected = self.nodes[id.node].faults.rejected_until > self.now;
             let events = self.store.leader_changes_after(after);
-            if !is_refused && !events.events.is_empty() {
+            if !is_rejected && !events.events.is_empty() {
                 self.watches.swap_remove(position);
                 self.respond(id, operation_number, watched(events));
             }
         }
     }
 
-    /// Handles an operation's outcome, unless the process has had one already.
+    /// Handles the outcome of an operation, unless the process already had one.
     pub(super) fn responded(&mut self, id: ProcessId, operation_number: u64, input: Input) {
         let process = self.process(id);
         if process.is_some_and(|process| process.operation_number == operation_number) {
@@ -231,12 +232,12 @@
     )
 }
 
-/// What a watch shows to the election.
+/// The input of an election for the response to a watch.
 fn watched(events: Events) -> Input {
     Input::Watched(Ok(Some(events)))
 }
 
-/// How long a response to an operation is waited for.
+/// The timeout of an operation.
 fn timeout_of(operation: &Operation) -> Micros {
     let micros = |duration: &Duration| duration.as_micros() as Micros;
     match operation {
@@ -255,12 +256,12 @@
 fn without_response(operation: &Operation) -> Input {
     match operation {
         Operation::Commit { .. } => Input::Committed(CommitOutcome::Unknown),
-        other => refused(other),
+        other => rejected(other),
     }
 }
 
-/// The outcome of an operation that is refused.
-fn refused(operation: &Operation) -> Input {
+/// The outcome of an operation that the state service rejects.
+fn rejected(operation: &Operation) -> Input {
     match operation {
         Operation::Read { .. } => Input::Read(Err(Unavailable)),
         Operation::Watch { .. } => Input::Watched(Err(Unavailable)),
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -1,5 +1,5 @@
-//! The processes of nodes: the steps of their elections, the events that their controllers handle, and
-//! the writes of leaders.
+//! Controller processes: the steps of their elections, the events that they handle, and the writes of
+//! leaders.
 
 use super::{
     Call, Cluster, ModelTerm, ProcessId, SimulatedEvent, CONTROLLER_DELAY, WRITE_INTERVAL,
@@ -12,7 +12,7 @@
 use stairstage::storage::records::LEADER_KEY;
 
 impl Cluster {
-    /// The controller resigns, if it leads.
+    /// Makes the controller of a node resign if it leads.
     pub(crate) fn resign(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The controller requests a higher token, if it leads.
+    /// Makes the controller of a node request a higher token if it leads.
     pub(crate) fn raise_token(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A process takes an input, and what follows from it happens.
+    /// Passes an input to the election of a process, and applies the resulting step.
     pub(super) fn handle(&mut self, id: ProcessId, input: Input) {
         let now = self.local_time(id.node);
         if let Some(process) = self.process(id) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Carries out what an election asks for.
+    /// Schedules the events and the operation of a step.
     pub(super) fn apply_step(&mut self, id: ProcessId, step: Step) {
         let is_slow = self.nodes[id.node].faults.controller_slow_until > self.now;
         let now = self.now;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Keeps the tokens that a process was elected with.
+    /// Records the tokens that a process was given, and checks that they belong to its node and rise.
     pub(super) fn record_token(&mut self, id: ProcessId, event: &ElectionEvent) {
         let token = match event {
             ElectionEvent::Elected { token } | ElectionEvent::TokenRaised(Some(token)) => token.0,
@@ -90,7 +90,7 @@
         process.tokens.insert(token);
     }
 
-    /// A process waits until then by its clock, unless a request is there.
+    /// Lets a process wait until `until` by its clock, or not at all if it has a request to handle.
     pub(super) fn wait(&mut self, id: ProcessId, operation_number: u64, until: f64) {
         let Some(process) = self.process(id) else {
             return;
@@ -107,7 +107,7 @@
         self.schedule(at, over);
     }
 
-    /// A wait of a process is over.
+    /// Ends a wait of a process.
     pub(super) fn wait_over(&mut self, id: ProcessId, operation_number: u64) {
         let Some(process) = self.process(id) else {
             return;
@@ -122,7 +122,7 @@
         self.handle(id, input);
     }
 
-    /// A request to the election of a node.
+    /// Queues a request for the election of a node.
     pub(super) fn request(&mut self, node: usize, request: ElectionRequest) {
         let Some(id) = self.process_id(node) else {
             return;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A process is told of an event of its election.
+    /// The controller handles an event of its election.
     pub(super) fn notified(&mut self, id: ProcessId, event: ElectionEvent) {
         let now = self.local_time(id.node);
         let Some(process) = self.process(id) else {
@@ -169,7 +169,8 @@
         }
     }
 
-    /// A leader writes periodically, as long as its lease is valid by its own clock.
+    /// Sends the periodic write of a leader whose lease is valid by its own clock, and schedules the next
+    /// one.
     pub(super) fn write(&mut self, id: ProcessId) {
         if self.process(id).is_none() {
             return;
@@ -180,7 +181,8 @@
         self.schedule(self.now + WRITE_INTERVAL, SimulatedEvent::WriteDue(id));
     }
 
-    /// A write with a token arrives at the state service.
+    /// Applies a write that arrives at the state service, and asserts that only a write with the latest token
+    /// succeeds.
     pub(super) fn write_arrived(&mut self, id: ProcessId, token: u64) {
         let value = serde_json::json!(token);
         let write = Transaction::default()
@@ -200,7 +202,8 @@
         }
     }
 
-    /// The controller reads the leader's record, as it does after each failed write.
+    /// The controller reads the leader's record after a failed write. It resigns if the record has a later
+    /// version or is gone, unless it is raising its token.
     pub(super) fn write_failed(&mut self, id: ProcessId, leader_version: u64) {
         let Some(process) = self.process(id) else {
             return;
--- a/tests/common/election_cluster/faults.rs
+++ b/tests/common/election_cluster/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that a test injects into nodes and the state service.
+//! Faults that a test injects into nodes and the state service.
 
 use super::{Cluster, Faults, SimulatedEvent};
 use crate::lease_store::Micros;
@@ -11,27 +11,28 @@
         }
     }
 
-    /// A node stands still while its clock runs on.
+    /// Pauses a node while its clock runs on.
     pub(crate) fn pause(&mut self, node: usize, time: Micros) {
         self.nodes[node].faults.paused_until = self.now + time;
     }
 
-    /// The state service refuses one node alone.
-    pub(crate) fn refuse(&mut self, node: usize, time: Micros) {
-        self.nodes[node].faults.refused_until = self.now + time;
+    /// The state service rejects the requests of one node.
+    pub(crate) fn reject_requests(&mut self, node: usize, time: Micros) {
+        self.nodes[node].faults.rejected_until = self.now + time;
     }
 
-    /// A node is partitioned from the state service; what it sends may be held back until the end.
+    /// Partitions a node from the state service. Requests of the node fail or are held back until the
+    /// partition ends.
     pub(crate) fn partition(&mut self, node: usize, time: Micros) {
         self.nodes[node].faults.partitioned_until = self.now + time;
     }
 
-    /// Transactions of a node are applied without a response.
+    /// Loses responses to transactions of a node, which are applied.
     pub(crate) fn lose_responses(&mut self, node: usize, time: Micros) {
         self.nodes[node].faults.responses_lost_until = self.now + time;
     }
 
-    /// Transactions of a node get no response, and are applied seconds later.
+    /// Transactions of a node get no response, and are applied after `COMMIT_DELAY`.
     pub(crate) fn delay_commits(&mut self, node: usize, time: Micros) {
         self.nodes[node].faults.commits_delayed_until = self.now + time;
     }
@@ -41,14 +42,14 @@
         self.nodes[node].faults.controller_slow_until = self.now + time;
     }
 
-    /// The state service refuses everybody.
+    /// The state service rejects all requests.
     pub(crate) fn begin_outage(&mut self, time: Micros) {
         self.store.outage = true;
         self.outage_until = self.outage_until.max(self.now + time);
         self.schedule(self.outage_until, SimulatedEvent::OutageOver);
     }
 
-    /// Ends all faults. What has been delayed already stays so.
+    /// Ends all faults. Requests that are already delayed stay delayed.
     pub(crate) fn heal(&mut self) {
         for node in &mut self.nodes {
             node.faults = Faults::default();
--- a/tests/common/election_cluster/invariants.rs
+++ b/tests/common/election_cluster/invariants.rs
@@ -5,8 +5,8 @@
 use stairstage::storage::records::LEADER_KEY;
 
 impl Cluster {
-    /// At every moment at most one node trusts its lease, valid tokens only rise, each belongs to one
-    /// node, and no record outlives its lease without its node knowing of it.
+    /// Asserts that at most one node trusts its lease, that valid tokens only rise, that each token belongs
+    /// to one node, and that no record exists for longer than a lease while its node does not know of it.
     pub(super) fn check_invariants(&mut self) {
         let valid_token = |node: usize| {
             let token = self.valid_token(node)?;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Keeps since when the record has a version that no living process knows as its own.
+    /// Tracks since when the version of the record is one that no running process knows as its own.
     fn track_unknown_record(&mut self) {
         let version = self.store.version(LEADER_KEY);
         let processes = self.nodes.iter().filter_map(|node| node.process.as_ref());
--- a/tests/common/election_cluster/mod.rs
+++ b/tests/common/election_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A discrete-event simulation of the elections of several nodes, against a model of the state service,
-//! with networks, clocks and processes that fail. The invariants are checked after every event.
+//! A discrete-event simulation of the elections of several nodes against a model of the state service.
+//! Networks, clocks and processes fail, and the invariants are checked after every event.
 
 mod calls;
 mod controllers;
@@ -14,15 +14,15 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The timeout of the store's client.
+/// The timeout of requests to the state service.
 const CLIENT_TIMEOUT: Micros = 12 * SECOND / 10;
 /// The one-way latency between a node and the state service.
 const LATENCY: RangeInclusive<Micros> = 100..=5_000;
-/// The same for a slow message.
+/// The one-way latency of a slow message.
 const SLOW_LATENCY: RangeInclusive<Micros> = 100_000..=300_000;
 /// The probability that a message is slow.
 const SLOW_PROBABILITY: f64 = 0.02;
-/// After what time a delayed transaction is applied.
+/// The delay after which a delayed transaction is applied.
 const COMMIT_DELAY: RangeInclusive<Micros> = SECOND / 2..=12 * SECOND;
 /// The interval of a leader's writes that are conditional on its token.
 const WRITE_INTERVAL: Micros = 3 * SECOND / 20;
@@ -36,10 +36,10 @@
 /// The faults of a node, each with the time until which it lasts.
 #[derive(Default)]
 struct Faults {
-    /// The node stands still.
+    /// The node is paused.
     paused_until: Micros,
-    /// The state service refuses the node's requests.
-    refused_until: Micros,
+    /// The state service rejects the node's requests.
+    rejected_until: Micros,
     /// The node is partitioned from the state service.
     partitioned_until: Micros,
     /// Responses to the node's transactions are lost.
@@ -50,7 +50,7 @@
     controller_slow_until: Micros,
 }
 
-/// A model of a leader's controller.
+/// The term of a leader, as its controller knows it.
 struct ModelTerm {
     first_token: u64,
     token: u64,
@@ -127,7 +127,7 @@
         id: ProcessId,
         operation_number: u64,
     },
-    /// A process has waited for as long as it wanted, or has a request to handle.
+    /// The wait of a process is over, or the process has a request to handle.
     WaitOver {
         id: ProcessId,
         operation_number: u64,
@@ -186,8 +186,8 @@
 }
 
 impl Cluster {
-    /// Nodes whose leases last for `lease`. A fault of requests affects each with the probability
-    /// `fault_rate`.
+    /// Creates nodes whose leases last for `lease`. A fault of requests affects each request with the
+    /// probability `fault_rate`.
     pub(crate) fn new(
         lease: Micros,
         max_expiry_delay: Micros,
@@ -223,7 +223,7 @@
         cluster
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub(crate) fn nodes(&self) -> usize {
         self.nodes.len()
     }
@@ -241,13 +241,13 @@
         (self.local_time(node) < term.valid_until).then_some(term.token)
     }
 
-    /// The node that the leader's record names, whether or not it knows.
+    /// The node that the leader's record names, whether or not that node knows it.
     pub(crate) fn recorded_leader(&self) -> Option<usize> {
         let record = self.store.leader()?;
         self.nodes.iter().position(|node| node.name == record.node)
     }
 
-    /// Simulates until that time.
+    /// Simulates until the time `end`.
     pub(crate) fn run_until(&mut self, end: Micros) {
         loop {
             let next_event = self.queue.first_key_value().map(|((at, _), _)| *at);
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Lets virtual time pass.
+    /// Simulates for `time`.
     pub(crate) fn run_for(&mut self, time: Micros) {
         self.run_until(self.now + time);
     }
@@ -287,16 +287,16 @@
                 _ => {}
             }
         }
-        panic!("nobody but {former:?} leads within {within} microseconds");
+        panic!("no node other than {former:?} leads within {within} microseconds");
     }
 
-    /// An event happens then.
+    /// Schedules an event at a time.
     fn schedule(&mut self, at: Micros, event: SimulatedEvent) {
         self.scheduled_events += 1;
         self.queue.insert((at, self.scheduled_events), event);
     }
 
-    /// What the clock of a node shows.
+    /// The clock reading of a node, in seconds since its process started.
     fn local_time(&self, node: usize) -> f64 {
         let Some(process) = &self.nodes[node].process else {
             return 0.0;
@@ -304,25 +304,26 @@
         (self.now - process.started) as f64 * self.nodes[node].clock_rate / SECOND as f64
     }
 
-    /// When a process's clock shows at least that time, whatever the rounding.
+    /// The time when the clock of a process shows at least `local`, with a margin of 2 microseconds for
+    /// rounding.
     fn real_time(&self, node: usize, local: f64) -> Micros {
         let started = self.nodes[node].process.as_ref().map_or(0, |p| p.started);
         started + (local / self.nodes[node].clock_rate * SECOND as f64) as Micros + 2
     }
 
-    /// A process, if it still lives.
+    /// A process, if it is still running.
     fn process(&mut self, id: ProcessId) -> Option<&mut Process> {
         let process = self.nodes[id.node].process.as_mut();
         process.filter(|process| process.id == id.process)
     }
 
-    /// The process that lives on a node.
+    /// The process that runs on a node.
     fn process_id(&self, node: usize) -> Option<ProcessId> {
         let process = self.nodes[node].process.as_ref()?.id;
         Some(ProcessId { node, process })
     }
 
-    /// One event happens.
+    /// Handles an event.
     fn dispatch(&mut self, event: SimulatedEvent) {
         if let Some(until) = self.paused_until(&event) {
             return self.schedule(until, event);
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Until when an event within a node is postponed because the node stands still.
+    /// The time until which an event within a node is postponed because the node is paused.
     fn paused_until(&self, event: &SimulatedEvent) -> Option<Micros> {
         let id = match event {
             SimulatedEvent::Send(id, _)
@@ -376,7 +377,7 @@
         (self.now < paused).then_some(paused)
     }
 
-    /// A process starts on a node.
+    /// Starts a process on a node that has none.
     fn start(&mut self, node: usize) {
         if self.nodes[node].process.is_some() {
             return;
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -1,5 +1,5 @@
-//! A model of the state service in virtual time: keys, versions, compare-and-swap and leases, as the
-//! protocol describes them.
+//! A model of the state service in virtual time, with the keys, versions, compare-and-swap transactions and
+//! leases of the protocol.
 
 use super::random::SplitMix64;
 use serde_json::Value;
@@ -13,12 +13,12 @@
 /// Virtual time in microseconds.
 pub(crate) type Micros = u64;
 
-/// A second, in the unit of virtual time.
+/// A second in microseconds.
 pub(crate) const SECOND: Micros = 1_000_000;
-/// A lease expires late by at most this.
+/// The most by which a lease expires late.
 pub(crate) const MAX_EXPIRY_DELAY: Micros = SECOND / 10;
 
-/// Pseudo-random numbers that depend on nothing but a seed.
+/// Pseudo-random numbers that depend only on the seed.
 pub(crate) struct Random(SplitMix64);
 
 impl Random {
@@ -31,25 +31,25 @@
         low + self.0.next() % (high - low + 1)
     }
 
-    /// The same for a range.
+    /// A number in a range.
     pub(crate) fn within(&mut self, range: RangeInclusive<u64>) -> u64 {
         self.between(*range.start(), *range.end())
     }
 
-    /// True with that probability.
+    /// True with the given probability.
     pub(crate) fn chance(&mut self, probability: f64) -> bool {
         (self.between(0, 999_999) as f64) < probability * 1e6
     }
 }
 
-/// What a key holds, and the lease that it goes with.
+/// The value of a key, its version, and the lease to which it is attached.
 struct StoredKey {
     value: Value,
     version: u64,
     lease: Option<LeaseId>,
 }
 
-/// A lease and its end.
+/// A lease with its lifetime and the time of its expiry.
 struct Lease {
     life: Micros,
     expires_at: Micros,
@@ -69,7 +69,7 @@
 }
 
 impl LeaseStore {
-    /// Leases expire late by up to `latest_end`.
+    /// Leases expire late by up to `max_expiry_delay`.
     pub(crate) fn new(seed: u64, max_expiry_delay: Micros) -> LeaseStore {
         LeaseStore {
             revision: 0,
@@ -85,11 +85,11 @@
 
     /// When the next lease expires; none does during an outage.
     pub(crate) fn next_lease_expiry(&self) -> Option<Micros> {
-        let ends = self.leases.values().map(|lease| lease.expires_at);
-        ends.min().filter(|_| !self.outage)
+        let expiries = self.leases.values().map(|lease| lease.expires_at);
+        expiries.min().filter(|_| !self.outage)
     }
 
-    /// Ends the leases that have expired.
+    /// Releases the leases that have expired.
     pub(crate) fn expire(&mut self, now: Micros) {
         if self.outage {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Ends an outage: every lease has its full time again.
+    /// Ends an outage. Every lease has its full lifetime again.
     pub(crate) fn end_outage(&mut self, now: Micros) {
         self.outage = false;
         for lease in self.leases.values_mut() {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Grants a lease for so long.
+    /// Grants a lease with the lifetime `life`.
     pub(crate) fn grant(&mut self, life: Micros, now: Micros) -> LeaseId {
         self.revision += 1;
         let expires_at = now + life + self.random.between(0, self.max_expiry_delay);
@@ -118,7 +118,7 @@
         lease
     }
 
-    /// Renews a lease that has not ended.
+    /// Renews a lease that has not expired.
     pub(crate) fn renew(&mut self, lease: LeaseId, now: Micros) -> Renewal {
         let Some(lease) = self.leases.get_mut(&lease) else {
             return Renewal::Expired;
@@ -127,7 +127,7 @@
         Renewal::Renewed
     }
 
-    /// Ends a lease, and deletes the keys attached to it.
+    /// Removes a lease, and deletes the keys attached to it.
     pub(crate) fn release(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
         let attached = |(key, stored): (&String, &StoredKey)| {
@@ -141,12 +141,12 @@
         }
     }
 
-    /// The version of a key, 0 if there is none.
+    /// The version of a key, or 0 if the key does not exist.
     pub(crate) fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
-    /// What the record of the leader says.
+    /// The leader according to its record.
     pub(crate) fn leader(&self) -> Option<CurrentLeader> {
         let stored = self.keys.get(LEADER_KEY)?;
         let record: LeaderRecord = serde_json::from_value(stored.value.clone()).unwrap();
@@ -156,7 +156,7 @@
         })
     }
 
-    /// Applies a transaction if its leases live and all its conditions hold.
+    /// Applies a transaction if its leases have not expired and all its conditions hold.
     pub(crate) fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         let lease_of = |operation: &WriteOperation| match operation {
             WriteOperation::Put { lease, .. } => *lease,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Keeps a change for watches.
+    /// Keeps a change of the leader's record for watches.
     fn record_change(&mut self, key: &str, value: Option<Value>) {
         if key != LEADER_KEY {
             return;
--- a/tests/common/local_cluster.rs
+++ b/tests/common/local_cluster.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for the state service, the cloud and one worker, and real controllers that
-//! speak to them.
+//! A cluster on loopback: three real controller processes with fakes of the state service, the cloud and one
+//! worker.
 #![allow(dead_code)] // no test uses all of it
 
 use serde_json::{json, Value};
@@ -13,24 +13,24 @@
 use std::time::{Duration, Instant};
 use tiny_http::{Method, Request, Response, Server};
 
-/// Keys in one page of a list at the most.
+/// The most keys in a page of a list.
 const MAX_PAIRS: usize = 1000;
 
-/// A key's value, the revision that wrote it, and the lease that it goes with.
+/// The value of a key, the revision that wrote it, and the lease to which it is attached.
 pub(crate) struct Entry {
     pub value: Value,
     pub version: u64,
     pub lease: Option<u64>,
 }
 
-/// A lease, which lives for so long after its last renewal.
+/// A lease, which expires after `life` without a renewal.
 pub(crate) struct Lease {
     pub renewed_at: Instant,
     pub life: Duration,
 }
 
 impl Lease {
-    /// A lease that is granted now.
+    /// Grants a lease now.
     pub(crate) fn new(life: Duration) -> Lease {
         Lease {
             renewed_at: Instant::now(),
@@ -39,28 +39,28 @@
     }
 }
 
-/// Keys with values, versions and leases; what the protocol says of them, without limits on rates.
+/// The key-value store of the fake state service. It follows the protocol but has no rate limits.
 #[derive(Default)]
 pub(crate) struct KeyValueStore {
     pub keys: BTreeMap<String, Entry>,
     pub leases: BTreeMap<u64, Lease>,
-    /// All changes so far, as watches show them.
+    /// All changes so far, as in the responses to watches.
     changes: Vec<Value>,
     pub revision: u64,
 }
 
 impl KeyValueStore {
-    /// Keys go with the leases that they are on.
+    /// Removes the expired leases and the keys attached to them.
     fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over = |l: &Lease| now > l.renewed_at + l.life;
-        let ended: Vec<u64> = self
+        let is_expired = |l: &Lease| now > l.renewed_at + l.life;
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, l)| over(l))
+            .filter(|(_, l)| is_expired(l))
             .map(|(i, _)| *i)
             .collect();
-        for lease in ended {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys = self.keys.iter().filter(|(_, v)| v.lease == Some(lease));
             for key in keys.map(|(k, _)| k.clone()).collect::<Vec<_>>() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Applies a write or a deletion at the present revision.
+    /// Applies a put or a delete at the present revision.
     fn change(&mut self, change: &Value) {
         let stamp = self.revision;
         if let Some(key) = change["write"].as_str() {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Applies a transaction if all versions are as it expects.
+    /// Applies a transaction if all versions match its conditions.
     fn transact(&mut self, body: &Value) -> (u16, Value) {
         let mut failed = Vec::new();
         for c in body["if"].as_array().into_iter().flatten() {
@@ -107,13 +107,13 @@
         (200, json!({"tally": self.revision}))
     }
 
-    /// Writes a key, as somebody else would.
+    /// Writes a key, as another client does.
     pub(crate) fn put(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.change(&json!({"write": key, "v": value}));
     }
 
-    /// Answers one call, as the protocol describes them.
+    /// Answers one request according to the protocol.
     pub(crate) fn answer(&mut self, method: &Method, url: &str, body: &Value) -> (u16, Value) {
         self.expire_leases();
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Grants a lease for as long as it is asked for.
+    /// Grants a lease with the requested lifetime.
     fn grant_lease(&mut self, body: &Value) -> (u16, Value) {
         self.revision += 1;
         let life = Duration::from_millis(body["life_ms"].as_u64().unwrap());
@@ -137,7 +137,7 @@
         (200, json!({"mooring": self.revision}))
     }
 
-    /// Renews a lease that has not ended.
+    /// Renews a lease that has not expired.
     fn extend_lease(&mut self, id: &str) -> (u16, Value) {
         match self.leases.get_mut(&id.parse().unwrap()) {
             Some(lease) => {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Changes under a prefix that came after a revision.
+    /// The changes of keys with a prefix after a revision.
     fn changes(&self, query: &str) -> (u16, Value) {
         let under = parameter(query, "under").unwrap_or_default();
         let after: u64 = parameter(query, "after").unwrap().parse().unwrap();
@@ -159,12 +159,12 @@
                 .unwrap()
                 .to_string()
         };
-        let fresh = |c: &&Value| c["stamp"].as_u64() > Some(after) && key(c).starts_with(&under);
-        let news: Vec<Value> = self.changes.iter().filter(fresh).cloned().collect();
+        let is_newer = |c: &&Value| c["stamp"].as_u64() > Some(after) && key(c).starts_with(&under);
+        let news: Vec<Value> = self.changes.iter().filter(is_newer).cloned().collect();
         (200, json!({"tally": self.revision, "news": news}))
     }
 
-    /// A page of the keys under a prefix that come after a key.
+    /// A page of the keys with a prefix that follow a key.
     fn page(&self, query: &str) -> (u16, Value) {
         let under = parameter(query, "under").unwrap_or_default();
         let after = parameter(query, "after").unwrap_or_default();
@@ -183,7 +183,7 @@
         (200, page)
     }
 
-    /// What a key holds.
+    /// The value and the version of a key.
     fn read(&self, key: &str) -> (u16, Value) {
         match self.keys.get(key) {
             Some(entry) => (
@@ -195,7 +195,7 @@
     }
 }
 
-/// The value of a query's parameter.
+/// The value of a query parameter.
 fn parameter(query: &str, name: &str) -> Option<String> {
     let pairs = query.split('&').filter_map(|p| p.split_once('='));
     pairs
@@ -204,7 +204,7 @@
         .next()
 }
 
-/// Serves `answer` from a few threads; a watch without news is asked again for a while.
+/// Serves `answer` from several threads, and returns the address.
 pub(crate) fn serve(
     answer: impl Fn(&Method, &str, &Value) -> (u16, Value) + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -222,7 +222,7 @@
     address
 }
 
-/// Answers one request; holds back a watch without news for a while.
+/// Answers one request. A watch without changes is evaluated again for up to 400 ms before it is answered.
 pub(crate) fn respond(
     mut request: Request,
     answer: &dyn Fn(&Method, &str, &Value) -> (u16, Value),
@@ -243,23 +243,23 @@
     let _ = request.respond(response);
 }
 
-/// One attempt of a task.
+/// Identifies an attempt of a task.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub task: String,
     pub attempt: u64,
 }
 
-/// The one machine: its tasks run until they are told to be done.
+/// The worker of the only machine. Its tasks run until `finish` is set.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub token: u64,
     sequence: u64,
-    /// The state of each attempt, in the protocol's words.
+    /// The state of each attempt, as written in the protocol.
     pub tasks: BTreeMap<AttemptId, &'static str>,
-    /// Whether all tasks are done by the next heartbeat.
+    /// Whether all tasks complete before the next heartbeat.
     pub finish: bool,
-    /// The tasks that were started, in their order.
+    /// The tasks that were started, in the order of their starts.
     pub starts: Vec<String>,
 }
 
@@ -280,7 +280,8 @@
             "recall_s": null, "legs": tasks})
     }
 
-    /// Carries out a response to a heartbeat, or a direct command, unless its token is outdated.
+    /// Executes the commands of a heartbeat response or of a direct command batch, unless the token is
+    /// outdated.
     pub(crate) fn execute(&mut self, answer: &Value) -> bool {
         let token = answer["helm"].as_u64().unwrap();
         if token < self.token {
@@ -307,7 +308,7 @@
     }
 }
 
-/// The process of a controller, which is killed when this is dropped.
+/// A controller process, which is killed on drop.
 pub(crate) struct ControllerProcess(Child);
 
 impl Drop for ControllerProcess {
@@ -317,10 +318,10 @@
     }
 }
 
-/// Ports that controllers of this process's tests listen on, now or later.
+/// Ports reserved for controllers that the tests in this process start.
 static CONTROLLER_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
-/// A port for a controller, which none of the stand-ins in this process takes.
+/// Reserves a port for a controller, so that no fake server in this process takes it.
 fn controller_port() -> u16 {
     let mut taken = CONTROLLER_PORTS.lock().unwrap();
     loop {
@@ -332,7 +333,7 @@
     }
 }
 
-/// A server on a port that is no controller's.
+/// Starts a fake server on a port that is not reserved for a controller.
 fn server() -> Server {
     loop {
         let server = Server::http("127.0.0.1:0").unwrap();
@@ -343,7 +344,7 @@
     }
 }
 
-/// Calls a server by HTTP: the status and the body, or nothing if there was no response.
+/// Sends an HTTP request. Returns the status and the body, or nothing if there is no response.
 pub(crate) fn call(method: &str, address: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
     let request = ureq::request(method, &format!("http://{address}{path}"));
     let request = request.timeout(Duration::from_secs(3));
@@ -360,25 +361,28 @@
     }
 }
 
-/// Tries again until there is a result. What may take its time on a slow machine has plenty: only
-/// a hang fails the test.
+/// Retries until there is a result. The limit of 240 s is ample for a slow machine, so that only a hang fails
+/// the test.
 pub(crate) fn until<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
         if let Some(result) = attempt() {
             return result;
         }
-        assert!(begun.elapsed() < Duration::from_secs(240), "never: {what}");
+        assert!(
+            begun.elapsed() < Duration::from_secs(240),
+            "timed out: {what}"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// The name of a controller's settings file.
+/// The name of the settings file of a controller.
 fn settings_name(i: usize) -> String {
     format!("{i}.toml")
 }
 
-/// Serves the state service to one controller; it answers 503 while any of `down` is set.
+/// Serves the state service to one controller, with status 503 while any of `down` is set.
 fn serve_state(
     state: &Arc<Mutex<KeyValueStore>>,
     down: [Arc<AtomicBool>; 2],
@@ -397,7 +401,7 @@
     })
 }
 
-/// Serves a cloud with one type of machine and none of them to rent.
+/// Serves a cloud with one machine type and no capacity.
 fn serve_cloud(down: &Arc<AtomicBool>) -> SocketAddr {
     let down = down.clone();
     serve(move |_, url, _| match url.split('?').next().unwrap() {
@@ -413,7 +417,7 @@
     })
 }
 
-/// Serves the worker's own address, where direct commands arrive.
+/// Serves the endpoint of the worker, which receives direct commands.
 fn serve_worker(worker: &Arc<Mutex<Worker>>) -> SocketAddr {
     let worker = worker.clone();
     let endpoint = Arc::new(Mutex::new(None));
@@ -428,44 +432,44 @@
     address
 }
 
-/// What a grid's controllers speak to, and where they listen.
+/// The fakes that the controllers connect to, and the addresses of the controllers.
 pub(crate) struct LocalCluster {
     pub state: Arc<Mutex<KeyValueStore>>,
-    /// Whether the state service refuses everybody.
+    /// Whether the state service rejects all requests.
     pub state_down: Arc<AtomicBool>,
-    /// Which of the controllers the state service refuses alone.
-    pub state_refuses: [Arc<AtomicBool>; 3],
-    /// Whether no change of an open job reaches those who watch for it.
+    /// For each controller, whether the state service rejects its requests.
+    pub state_rejects: [Arc<AtomicBool>; 3],
+    /// Whether watches show no changes of open jobs.
     pub job_changes_lost: Arc<AtomicBool>,
     pub cloud_down: Arc<AtomicBool>,
     pub worker: Arc<Mutex<Worker>>,
     worker_address: SocketAddr,
-    /// One for each controller, so that the stand-in knows who asks.
+    /// An address for each controller, so that the fake can tell the controllers apart.
     state_addresses: [SocketAddr; 3],
     cloud_address: SocketAddr,
-    /// For users and workers, and for the other controllers.
+    /// The ports of the API server and the peer server of each controller.
     ports: [(u16, u16); 3],
     name: &'static str,
 }
 
 impl LocalCluster {
-    /// `name` keeps the settings files of tests apart.
+    /// `name` is the prefix of the files, which keeps those of different tests apart.
     pub(crate) fn new(name: &'static str) -> LocalCluster {
         let state = Arc::new(Mutex::new(KeyValueStore::default()));
         let state_down = Arc::new(AtomicBool::new(false));
         let job_changes_lost = Arc::new(AtomicBool::new(false));
-        let state_refuses: [Arc<AtomicBool>; 3] = Default::default();
-        let state_addresses = state_refuses
+        let state_rejects: [Arc<AtomicBool>; 3] = Default::default();
+        let state_addresses = state_rejects
             .clone()
-            .map(|refuses| serve_state(&state, [state_down.clone(), refuses], &job_changes_lost));
+            .map(|rejects| serve_state(&state, [state_down.clone(), rejects], &job_changes_lost));
         let cloud_down = Arc::new(AtomicBool::new(false));
         let cloud_address = serve_cloud(&cloud_down);
         let worker = Arc::new(Mutex::new(Worker::default()));
         let worker_address = serve_worker(&worker);
-        let grid = LocalCluster {
+        let cluster = LocalCluster {
             state,
             state_down,
-            state_refuses,
+            state_rejects,
             job_changes_lost,
             cloud_down,
             worker,
@@ -475,8 +479,8 @@
             ports: std::array::from_fn(|_| (controller_port(), controller_port())),
             name,
         };
-        (0..3).for_each(|i| grid.write_settings(i));
-        grid
+        (0..3).for_each(|i| cluster.write_settings(i));
+        cluster
     }
 
     /// Starts one of the three controllers.
@@ -484,13 +488,13 @@
         self.start_with(i, &[])
     }
 
-    /// The same, with further arguments.
+    /// Starts a controller with further arguments.
     pub(crate) fn start_with(&self, i: usize, arguments: &[&OsStr]) -> Option<ControllerProcess> {
         let program = Path::new(env!("CARGO_BIN_EXE_stairstage"));
         self.start_program(program, i, arguments)
     }
 
-    /// The same with another program.
+    /// Starts a controller of another program.
     pub(crate) fn start_program(
         &self,
         program: &Path,
@@ -508,17 +512,18 @@
         Some(ControllerProcess(child))
     }
 
-    /// The settings of one of the controllers.
+    /// The path of the settings file of a controller.
     pub(crate) fn settings_file(&self, i: usize) -> PathBuf {
         self.path(&settings_name(i))
     }
 
-    /// Once only: processes read the file whenever they start.
+    /// Writes the settings file of a controller. `new` calls this only once, since processes read the file
+    /// whenever they start.
     fn write_settings(&self, i: usize) {
-        let (front, cluster) = self.ports[i];
+        let (api_port, peer_port) = self.ports[i];
         let mut text = format!(
-            "host_name = \"n{i}\"\nzone = \"z\"\nfront = \"127.0.0.1:{front}\"\n\
-             cluster_listen = \"127.0.0.1:{cluster}\"\n"
+            "host_name = \"n{i}\"\nzone = \"z\"\nfront = \"127.0.0.1:{api_port}\"\n\
+             cluster_listen = \"127.0.0.1:{peer_port}\"\n"
         );
         for j in (0..3).filter(|j| *j != i) {
             text += &format!(
@@ -539,25 +544,25 @@
         self.write_file(&settings_name(i), &text);
     }
 
-    /// Writes a file of this grid's own.
+    /// Writes a file of this cluster, and returns its path.
     pub(crate) fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.path(name);
         std::fs::write(&path, text).unwrap();
         path
     }
 
-    /// Where a file of this grid's own is.
+    /// The path of a file of this cluster.
     fn path(&self, name: &str) -> PathBuf {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         folder.join(format!("{}-{name}", self.name))
     }
 
-    /// The address where users and workers reach a controller.
+    /// The address of the API server of a controller.
     pub(crate) fn api_address(&self, i: usize) -> String {
         format!("127.0.0.1:{}", self.ports[i].0)
     }
 
-    /// The worker sends a heartbeat to each of these nodes; only the leader answers with commands.
+    /// Sends a heartbeat of the worker to each of these controllers. Only the leader responds with commands.
     pub(crate) fn send_heartbeats(&self, nodes: &[usize]) {
         for i in nodes {
             let body = self.worker.lock().unwrap().heartbeat(self.worker_address);
@@ -567,7 +572,7 @@
         }
     }
 
-    /// Lets no lease end, however long nobody renews it.
+    /// Extends the lifetime of all leases to an hour, so that none expires during a test.
     pub(crate) fn extend_all_leases(&self) {
         let mut state = self.state.lock().unwrap();
         for lease in state.leases.values_mut() {
@@ -575,7 +580,7 @@
         }
     }
 
-    /// Which node the leader's record names.
+    /// The controller that the record of the leader names.
     pub(crate) fn leader(&self) -> Option<usize> {
         let state = self.state.lock().unwrap();
         let name = state.keys.get("leader")?.value["node"]
@@ -593,10 +598,10 @@
         "passage_s": 20.0, "fix_interval_s": 0.0, "fix_s": 0.0})
 }
 
-/// Submits to a node until it is accepted.
-pub(crate) fn submit_job(front: &str, job: &Value) -> u16 {
+/// Submits a job, and retries until the status is below 500. Returns the status.
+pub(crate) fn submit_job(address: &str, job: &Value) -> u16 {
     until("a submission is accepted", || {
-        let (status, _) = call("POST", front, "/v2/runs", job)?;
+        let (status, _) = call("POST", address, "/v2/runs", job)?;
         (status < 500).then_some(status)
     })
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of the manager begin with.
+//! Helpers that several tests of the manager share.
 #![allow(dead_code)] // no test uses all of it
 
 pub(crate) mod http;
@@ -27,7 +27,7 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// One attempt of a task, which its worker knows by this.
+/// Identifies an attempt of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub task: String,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The only type of machine: room for four tasks of a job as described below.
+/// The only machine type. Each machine fits four tasks of `submission`.
 pub(crate) fn machine_type() -> MachineType {
     MachineType {
         name: "m4".into(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// A submission of small tasks that never save.
+/// A submission of small tasks without checkpoints.
 pub(crate) fn submission(id: &str, kind: &str, priority: &str, tasks: u32) -> Value {
     json!({"name_id":id,"duty":"c","crew":"t","rig":kind,"precedence":priority,"legs":tasks,
         "cpus":1.0,"gpus":0.0,"mem_gb":1.0,"kit":"i","size_gb":1.0,"hulls":null,"berth":null,
@@ -67,12 +67,12 @@
         "fix_interval_s":0.0,"fix_s":0.0,"due_s":null})
 }
 
-/// The description of a job, as a submission gives it.
+/// Parses a submission.
 pub(crate) fn parsed(submission: &Value) -> JobSpec {
     JobSpec::parse(submission.to_string().as_bytes()).unwrap()
 }
 
-/// What most tests of the manager run with.
+/// The settings file of most tests of the manager.
 pub(crate) const SETTINGS: &str = r#"
 host_name = "a"
 zone = "z"
@@ -87,7 +87,7 @@
 limits = { ram_mb = 100.0, max_sockets = 500 }
 "#;
 
-/// What a user's request finds at a node that may write so much.
+/// The context of a user's request at a controller with this write fence.
 pub(crate) fn request_context(write_fence: WriteFence) -> Context {
     Context {
         settings: Arc::new(Settings::parse("test", SETTINGS).unwrap()),
@@ -104,7 +104,7 @@
     manager_with_token(1)
 }
 
-/// The manager of a leader whose tokens begin here, and whose lease never ends.
+/// The manager of a leader whose first token is `token`, and whose lease never expires.
 pub(crate) fn manager_with_token(token: u64) -> ClusterManager {
     let settings = Arc::new(Settings::parse("test", SETTINGS).unwrap());
     let mut manager = ClusterManager::new(settings, FencingToken(token), 0.0);
@@ -113,7 +113,7 @@
     manager
 }
 
-/// Opens a job of four tasks, or a gang of eight.
+/// Submits an array of four tasks, or a gang of eight.
 pub(crate) fn submit(
     manager: &mut ClusterManager,
     id: &str,
@@ -122,7 +122,7 @@
     due_s: Option<f64>,
     sequence: u64,
 ) {
-    // Gangs save, and need two machines.
+    // Gangs write checkpoints, and need two machines.
     let gang = kind == "group";
     let mut body = submission(id, kind, priority, if gang { 8 } else { 4 });
     if gang {
@@ -134,7 +134,7 @@
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, 0.0);
 }
 
-/// Hands in a heartbeat of the first machine; returns the commands in its response.
+/// Passes a heartbeat of machine `m-1` to the manager, and returns the commands in the response.
 pub(crate) fn heartbeat(
     manager: &mut ClusterManager,
     sequence: u64,
@@ -144,7 +144,7 @@
     heartbeat_from(manager, "m-1", sequence, None, tasks, now)
 }
 
-/// A heartbeat of a machine of the only type, in its worker's first incarnation.
+/// A heartbeat of a machine of the only type, from the first incarnation of its worker.
 pub(crate) fn worker_heartbeat(
     machine: &str,
     sequence: u64,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Hands in a heartbeat of a machine; returns the commands in its response.
+/// Passes a heartbeat of a machine to the manager, and returns the commands in the response.
 pub(crate) fn heartbeat_from(
     manager: &mut ClusterManager,
     machine: &str,
@@ -182,7 +182,7 @@
     }
 }
 
-/// Lets the manager decide until it has nothing more to say.
+/// Steps the manager and passes its effects to `take` until there are none left.
 pub(crate) fn for_each_effect(
     manager: &mut ClusterManager,
     now: f64,
@@ -201,7 +201,8 @@
     }
 }
 
-/// The same; writes succeed at once, and other effects are handed to `other`.
+/// Steps the manager until there are no effects left. Writes succeed at once, and other effects are passed to
+/// `other`.
 pub(crate) fn apply_effects(
     manager: &mut ClusterManager,
     now: f64,
@@ -215,7 +216,7 @@
     });
 }
 
-/// The names of tasks that are then launched directly.
+/// The attempts that the manager starts by direct commands at `now`.
 pub(crate) fn started_attempts(manager: &mut ClusterManager, now: f64) -> Vec<AttemptId> {
     let mut launched = Vec::new();
     apply_effects(manager, now, |_, effect| {
@@ -238,7 +239,7 @@
     commands.iter().filter_map(start).collect()
 }
 
-/// How a heartbeat shows these attempts.
+/// The entries of these attempts in a heartbeat.
 pub(crate) fn task_statuses(
     tasks: &[AttemptId],
     state: TaskState,
@@ -254,16 +255,17 @@
     tasks.iter().map(show).collect()
 }
 
-/// A state service that keeps values, versions and conditions, and refuses what is too large.
+/// A model of the state service that checks conditions and size limits.
 pub(crate) struct Store {
     pub values: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
-    /// Bytes of a value, and changes of a transaction, that it takes.
+    /// The most bytes in a value.
     pub value_bytes: usize,
+    /// The most write operations in a transaction.
     pub txn_ops: usize,
 }
 
-/// Why a transaction was not carried out.
+/// Why a transaction was not applied.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Refusal {
     Conflict,
@@ -282,7 +284,7 @@
 }
 
 impl Store {
-    /// Whether a transaction keeps within the bounds of the service.
+    /// Whether a transaction is within the size limits.
     fn is_within_limits(&self, txn: &Transaction) -> bool {
         let fits = |change: &WriteOperation| match change {
             WriteOperation::Put { value, .. } => value.to_string().len() <= self.value_bytes,
@@ -292,7 +294,7 @@
         conditions && txn.operations.len() <= self.txn_ops && txn.operations.iter().all(fits)
     }
 
-    /// The keys of conditions that don't hold.
+    /// The keys whose conditions don't hold.
     pub(crate) fn conflicts(&self, txn: &Transaction) -> Vec<String> {
         let version = |key: &String| self.values.get(key).map_or(0, |v| v.1);
         let fails = |c: &&Compare| version(&c.key) != c.version;
@@ -323,7 +325,7 @@
         Ok(self.revision)
     }
 
-    /// What a key holds.
+    /// The value and the version of a key.
     pub(crate) fn item(&self, key: &str) -> Option<VersionedValue> {
         let (value, version) = self.values.get(key)?.clone();
         Some(VersionedValue {
@@ -333,7 +335,7 @@
         })
     }
 
-    /// What a comparison of these conditions gives.
+    /// The outcome of a transaction that only checks these conditions.
     pub(crate) fn check_conditions(&self, txn: &Transaction) -> CommitOutcome {
         let conflicts = self.conflicts(txn);
         if conflicts.is_empty() {
@@ -343,7 +345,7 @@
         }
     }
 
-    /// The first items under a prefix that come after a key.
+    /// The first `limit` items with a prefix whose keys follow `after`.
     pub(crate) fn page(&self, prefix: &str, after: &str, limit: usize) -> Page {
         let behind = (Bound::Excluded(after), Bound::Unbounded);
         let keys = self.values.range::<str, _>(behind).map(|(key, _)| key);
@@ -358,13 +360,13 @@
         }
     }
 
-    /// What all keys under a prefix hold.
+    /// All items with a prefix.
     pub(crate) fn with_prefix(&self, prefix: &str) -> Vec<VersionedValue> {
         let keys = self.values.keys().filter(|k| k.starts_with(prefix));
         keys.filter_map(|k| self.item(k)).collect()
     }
 
-    /// What a new leader reads.
+    /// The records that a new leader reads.
     pub(crate) fn records(&self) -> Records {
         Records {
             open_jobs: self.with_prefix(OPEN_PREFIX),
@@ -373,13 +375,13 @@
         }
     }
 
-    /// What keys hold, as it is read when a write went unanswered.
+    /// The outcome of a write without a response, after its keys were read again.
     pub(crate) fn reread(&self, txn: &Transaction) -> WriteOutcome {
         let keys = txn.compares.iter().map(|c| c.key.clone());
         WriteOutcome::Indeterminate(keys.map(|k| (k.clone(), self.item(&k))).collect())
     }
 
-    /// The recorded ends of jobs.
+    /// The recorded final states of jobs.
     pub(crate) fn final_states(&self, ids: &[JobId]) -> Vec<(JobId, Option<EndRecord>)> {
         let end = |id: &JobId| {
             let (value, _) = self.values.get(&end_key(id))?;
@@ -388,8 +390,8 @@
         ids.iter().map(|id| (id.clone(), end(id))).collect()
     }
 
-    /// What an earlier leader finds and leaves that knows one cut of records only: completed tasks
-    /// counted from 0, and all places in one record.
+    /// Rewrites the records as a leader of the production release does, which knows only one layout:
+    /// completed tasks in chunks counted from task 0, and all placements in one record.
     pub(crate) fn rewrite_as_production_release(&mut self, tasks_per_chunk: u32) {
         self.revision += 1;
         let mut done: BTreeMap<String, std::collections::BTreeSet<u32>> = BTreeMap::new();
@@ -417,11 +419,11 @@
             let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
             for (id, machines) in record.places {
                 for (machine, places) in machines {
-                    let there = all.places.entry(id.clone()).or_default();
-                    let there = there.entry(machine).or_default();
-                    there.extend(places);
-                    there.sort_unstable();
-                    there.dedup();
+                    let merged = all.places.entry(id.clone()).or_default();
+                    let merged = merged.entry(machine).or_default();
+                    merged.extend(places);
+                    merged.sort_unstable();
+                    merged.dedup();
                 }
             }
             let empty = json!({});
@@ -432,8 +434,8 @@
     }
 }
 
-/// Carries effects out; direct commands get no answer. Returns the tasks that were launched so, and
-/// the machines that were given back.
+/// Steps the manager while direct commands get no response. Returns the tasks that these commands start, and
+/// the machines that were returned to the cloud.
 pub(crate) fn lose_commands(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<String>) {
     let (mut launches, mut returned) = (Vec::new(), Vec::new());
     manager.tick(now);
@@ -455,7 +457,7 @@
     (launches, returned)
 }
 
-/// Hands in a heartbeat; returns what its answer launches.
+/// Passes a heartbeat to the manager, and returns the tasks that the response starts.
 pub(crate) fn heartbeat_starts(
     manager: &mut ClusterManager,
     heartbeat: &Heartbeat,
--- a/tests/common/random.rs
+++ b/tests/common/random.rs
@@ -1,4 +1,4 @@
-//! The generator of pseudo-random numbers behind the simulated histories.
+//! The generator of pseudo-random numbers that the simulations share.
 
 /// SplitMix64: the same seed gives the same sequence.
 pub(crate) struct SplitMix64(pub u64);
--- a/tests/common/saturated_fleet.rs
+++ b/tests/common/saturated_fleet.rs
@@ -1,4 +1,4 @@
-//! A leader whose machines are all full.
+//! A leader of machines without free resources.
 
 use super::{
     for_each_effect, heartbeat_from, manager, parsed, starts, submission, task_statuses,
@@ -12,22 +12,22 @@
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
-/// A leader of many machines, each full of running tasks.
+/// A leader of many machines, each of which runs as many tasks as fit.
 pub(crate) struct SaturatedFleet {
     pub manager: ClusterManager,
-    /// What runs on each machine.
+    /// The tasks on each machine.
     pub tasks: Vec<Vec<TaskStatus>>,
-    /// Changes at the state service that it took to get there.
+    /// The number of write operations until all machines were full.
     pub write_operations: usize,
-    /// The largest record, transaction and number of conditions on the way.
+    /// The largest value and the largest transaction until then.
     pub largest: LargestWrite,
-    /// The records of places, as they are left.
+    /// The placement records, with their versions.
     pub placements: BTreeMap<String, (Value, u64)>,
-    /// When it was full.
+    /// The time at which all machines were full.
     pub now: f64,
 }
 
-/// The most that any transaction held.
+/// The maxima over all transactions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LargestWrite {
     pub value_bytes: usize,
@@ -36,8 +36,8 @@
 }
 
 impl LargestWrite {
-    /// Keeps the largest of what transactions hold.
-    fn note(&mut self, transaction: &Transaction) {
+    /// Includes a transaction in the maxima.
+    fn include(&mut self, transaction: &Transaction) {
         self.write_operations = self.write_operations.max(transaction.operations.len());
         self.conditions = self.conditions.max(transaction.compares.len());
         for change in &transaction.operations {
@@ -48,13 +48,14 @@
     }
 }
 
-/// The description of the job for each machine.
+/// The job whose four tasks fill a machine.
 pub(crate) fn job_of_machine(machine: u32) -> OpenRecord {
     let spec = parsed(&submission(&format!("req-{machine}"), "sweep", "normal", 4));
     OpenRecord::accepted(spec, 0)
 }
 
-/// A leader of so many machines of the only type, and of as many jobs, each with a machine's tasks.
+/// Creates a leader with `machines` machines of the only type and one job for each machine, and runs it until
+/// all tasks run.
 pub(crate) fn saturated_fleet(machines: u32) -> SaturatedFleet {
     let mut manager = manager();
     for i in 0..machines {
@@ -73,7 +74,7 @@
         apply_all_effects(&mut manager, now, |effect| match effect {
             Effect::Write { id, transaction } => {
                 write_operations += transaction.operations.len();
-                largest.note(transaction);
+                largest.include(transaction);
                 for change in &transaction.operations {
                     if let WriteOperation::Put { key, value, .. } = change {
                         placements.insert(key.clone(), (value.clone(), 100 + id));
@@ -94,7 +95,7 @@
             }
             _ => {}
         });
-        assert!(now < 600.0, "the fleet does not fill");
+        assert!(now < 600.0, "the machines are not full after 600 s");
     }
     for (i, tasks) in tasks.iter().enumerate() {
         heartbeat_from(&mut manager, &format!("m-{i}"), 2, None, tasks.clone(), now);
@@ -116,7 +117,7 @@
     name[2..].parse().unwrap()
 }
 
-/// Bytes that an effect sends to the state service or a worker.
+/// The bytes that an effect sends to the state service or a worker.
 pub(crate) fn effect_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Write { transaction, .. } => serde_json::to_vec(transaction).unwrap().len(),
@@ -127,30 +128,30 @@
     }
 }
 
-/// Like `carry_out`, but shows every effect.
+/// Like `apply_effects`, but passes every effect to `observe`.
 pub(crate) fn apply_all_effects(
     manager: &mut ClusterManager,
     now: f64,
-    mut show: impl FnMut(&Effect),
+    mut observe: impl FnMut(&Effect),
 ) {
     for_each_effect(manager, now, |manager, effect| {
-        show(&effect);
+        observe(&effect);
         match effect {
             Effect::Write { id, .. } => {
                 manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
             }
-            // Its answer shows nothing that is not known.
+            // The response is an old heartbeat, which tells the manager nothing new.
             Effect::SendCommands { machine, .. } => {
-                let known = worker_heartbeat(&machine, 0, 1, Vec::new());
-                manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
+                let old_heartbeat = worker_heartbeat(&machine, 0, 1, Vec::new());
+                manager.commands_answered(&machine, CommandOutcome::Executed(old_heartbeat), now);
             }
             _ => {}
         }
     });
 }
 
-/// What twenty heartbeats of a machine cost in which nothing is new: looks at machines and places, and bytes
-/// of what is answered and sent.
+/// The cost of twenty heartbeats of a machine whose tasks did not change: the number of machines and
+/// placements that the manager examines, and the bytes of its responses and effects.
 pub(crate) fn cost_of_unchanged_heartbeats(
     manager: &mut ClusterManager,
     tasks: &[Vec<TaskStatus>],
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -96,7 +96,7 @@
         Fault::Restart(node, time) => cluster.restart(node, time),
         Fault::RestartAll(time) => restart_all(cluster, time),
         Fault::Pause(node, time) => cluster.pause(node, time),
-        Fault::Refuse(node, time) => cluster.refuse(node, time),
+        Fault::Refuse(node, time) => cluster.reject_requests(node, time),
         Fault::Partition(node, time) => cluster.partition(node, time),
         Fault::LoseResponses(node, time) => cluster.lose_responses(node, time),
         Fault::DelayCommits(node, time) => cluster.delay_commits(node, time),
@@ -114,7 +114,7 @@
 fn apply_to_leader(cluster: &mut Cluster, fault: Fault, leader: usize) {
     match fault {
         Fault::LeaderRefusedThenAll(time) => {
-            cluster.refuse(leader, time);
+            cluster.reject_requests(leader, time);
             cluster.run_for(SECOND);
             cluster.begin_outage(time);
         }
@@ -216,7 +216,7 @@
 #[test]
 fn the_leader_is_refused_alone_and_then_everybody() {
     let (mut cluster, leader) = cluster_with_leader();
-    cluster.refuse(leader, 20 * LEASE);
+    cluster.reject_requests(leader, 20 * LEASE);
     cluster.run_for(SECOND);
     cluster.begin_outage(10 * LEASE);
     cluster.run_for(10 * LEASE);
@@ -344,7 +344,7 @@
     }
     let elected = cluster.recorded_leader().unwrap();
     cluster.pause(elected, LEASE / 2);
-    cluster.refuse(elected, 4 * LEASE);
+    cluster.reject_requests(elected, 4 * LEASE);
     cluster.run_until_elected(Some(elected), 3 * LEASE);
     assert_recovers(&mut cluster);
 }
@@ -355,7 +355,7 @@
     for seed in 0..20 {
         let mut cluster = Cluster::new(LONG_LEASE, 0, 1.0, seed);
         let leader = cluster.run_until_elected(None, LONG_LEASE);
-        cluster.refuse(leader, 3 * LONG_LEASE);
+        cluster.reject_requests(leader, 3 * LONG_LEASE);
         cluster.run_until_elected(Some(leader), 2 * LONG_LEASE);
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::http::{answer, send};
+use common::http::{read_response, send};
 use common::saturated_fleet::{
     apply_all_effects, cost_of_unchanged_heartbeats, effect_bytes, saturated_fleet, SaturatedFleet,
 };
@@ -262,13 +262,13 @@
     let mut long = TcpStream::connect(address).unwrap();
     let head = "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n";
     long.write_all(head.as_bytes()).unwrap();
-    assert!(answer(&mut long).starts_with("http/1.1 413"));
+    assert!(read_response(&mut long).starts_with("http/1.1 413"));
     let mut slow = TcpStream::connect(address).unwrap();
     let head = "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc";
     slow.write_all(head.as_bytes()).unwrap();
-    assert!(answer(&mut slow).starts_with("http/1.1 408"));
+    assert!(read_response(&mut slow).starts_with("http/1.1 408"));
     // A head that never ends: the connection is closed.
     let mut endless = TcpStream::connect(address).unwrap();
     endless.write_all(b"GET /healthz HT").unwrap();
-    assert!(!answer(&mut endless).starts_with("http/1.1 200"));
+    assert!(!read_response(&mut endless).starts_with("http/1.1 200"));
 }
