--- a/tests/workload_simulation/combined_faults.rs
+++ b/tests/workload_simulation/combined_faults.rs
@@ -7,7 +7,7 @@
 
 /// The zones of each run.
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// All faults begin and end before this time.
+/// All faults end by this time, except that lost machines never return.
 const FAULTS_END_S: f64 = 120.0;
 
 /// A fault that lasts for a while.
@@ -109,7 +109,7 @@
             Fault::WritesDelayed => state.delay_rate = 0.3,
             Fault::WriteRateLimited => state.write_ops_per_s = 6.0,
             Fault::CloudUnavailable => {
-                (sim.cloud.accepts_returns, sim.cloud.accepts_rentals) = (false, false)
+                (sim.cloud.accepts_returns, sim.cloud.accepts_rentals) = (false, false);
             }
             Fault::PromisesUnavailable => sim.peers_promise = false,
             _ => {}
--- a/tests/workload_simulation/overload.rs
+++ b/tests/workload_simulation/overload.rs
@@ -24,8 +24,8 @@
     cpus: f64,
     run_s: f64,
     due_s: Option<f64>,
-    /// The submitted estimate as a multiple of the actual run time.
-    estimate: f64,
+    /// The submitted estimate_factor as a multiple of the actual run time.
+    estimate_factor: f64,
 }
 
 /// When a job was submitted, first started, and was done.
@@ -66,14 +66,14 @@
         }
     }
 
-    /// A user submits a job.
+    /// Submits a job.
     fn submit(&mut self, number: usize, job: &Job) {
         let id = format!("req-{number}");
         let mut body = submission(&id, job.kind, "normal", job.tasks);
         body["duty"] = json!(job.class);
         body["crew"] = json!(job.team);
         body["cpus"] = json!(job.cpus);
-        body["passage_s"] = json!(job.run_s * job.estimate);
+        body["passage_s"] = json!(job.run_s * job.estimate_factor);
         body["due_s"] = json!(job.due_s);
         let record = OpenRecord::accepted(parsed(&body), 0);
         let accepted_ms = record.at_ms;
@@ -235,7 +235,7 @@
                 8.0 + f64::from(size % 10)
             },
             due_s: late.then_some(if large { 60.0 } else { 30.0 }),
-            estimate: 0.6 + f64::from(size % 7) / 6.0,
+            estimate_factor: 0.6 + f64::from(size % 7) / 6.0,
         };
         let tasks = if job.kind == "group" {
             job.tasks.min(10)
--- a/tests/workload_simulation/reservations.rs
+++ b/tests/workload_simulation/reservations.rs
@@ -18,7 +18,7 @@
 
 /// Runs a simulation in which long tasks leave one CPU free on every machine and exceed their estimates. The
 /// queue head waits for whole machines while small jobs keep arriving.
-fn run_behind(seed: u64, head: JobPlan) -> Simulation {
+fn run_with_queue_head(seed: u64, head: JobPlan) -> Simulation {
     let mut sim = simulation_with_queue_head(seed, head, (150.0, 190.0));
     sim.run(420.0, |_| {});
     sim
@@ -67,7 +67,7 @@
             run_s: 30.0,
             ..JobPlan::default()
         };
-        run_behind(seed, head)
+        run_with_queue_head(seed, head)
     });
 }
 
@@ -83,14 +83,14 @@
             run_s: 30.0,
             ..JobPlan::default()
         };
-        run_behind(seed, head)
+        run_with_queue_head(seed, head)
     });
 }
 
 /// All machines fail the tasks that they start for a while, so that the backoff of the jobs reaches its
 /// maximum.
 #[test]
-fn jobs_in_backoff_after_failures_wait_no_longer_behind_a_reservation() {
+fn failure_backoff_does_not_lengthen_waits_behind_a_reservation() {
     check_runs(SEEDS, |seed| {
         let head = JobPlan {
             class: "wide",
--- a/tests/workload_simulation/scale_out.rs
+++ b/tests/workload_simulation/scale_out.rs
@@ -32,7 +32,7 @@
     });
 }
 
-/// The running tasks end early enough for the last job to complete in time, but not for its start to be in
+/// The running tasks end early enough for the last job to complete in time, but too late for it to start in
 /// time.
 #[test]
 fn job_without_free_resources_beside_long_tasks_gets_a_new_machine() {
--- a/tests/workload_simulation/services.rs
+++ b/tests/workload_simulation/services.rs
@@ -29,7 +29,7 @@
 pub(crate) enum WriteHandling {
     Rejected,
     /// Applied and confirmed at this time.
-    Answered(f64),
+    Confirmed(f64),
     /// Applied now; the response is lost, and the client times out at this time.
     ResponseLost(f64),
     /// The client times out, and the transaction is applied later.
@@ -64,18 +64,18 @@
         };
     }
 
-    /// Whether the rate limit allows this many write operations now. A token bucket that holds one second of
-    /// the limit.
-    pub(crate) fn allows(&mut self, operations: usize, now: f64) -> bool {
+    /// Takes write operations from a token bucket that holds one second of the rate limit. Returns whether
+    /// enough were available.
+    pub(crate) fn try_acquire(&mut self, operations: usize, now: f64) -> bool {
         if self.write_ops_per_s.is_infinite() {
             return true;
         }
         let refill = (now - self.refilled_at) * self.write_ops_per_s;
         self.available_ops = (self.available_ops + refill).min(self.write_ops_per_s);
         self.refilled_at = now;
-        let allowed = self.available_ops >= operations as f64;
-        self.available_ops -= if allowed { operations as f64 } else { 0.0 };
-        allowed
+        let acquired = self.available_ops >= operations as f64;
+        self.available_ops -= if acquired { operations as f64 } else { 0.0 };
+        acquired
     }
 
     /// Decides how a transaction sent now is handled.
@@ -85,7 +85,7 @@
         random: &mut Random,
         now: f64,
     ) -> WriteHandling {
-        if self.unavailable || !self.allows(txn.operations.len(), now) {
+        if self.unavailable || !self.try_acquire(txn.operations.len(), now) {
             WriteHandling::Rejected
         } else if random.chance(self.response_loss_rate) {
             WriteHandling::ResponseLost(now + TIMEOUT_S)
@@ -95,7 +95,7 @@
                 applied_at: now + random.between(WRITE_DELAY_S.0, WRITE_DELAY_S.1),
             }
         } else {
-            WriteHandling::Answered(now + self.latency_s)
+            WriteHandling::Confirmed(now + self.latency_s)
         }
     }
 }
--- a/tests/workload_simulation/simulation/leader.rs
+++ b/tests/workload_simulation/simulation/leader.rs
@@ -18,7 +18,7 @@
     pub(super) id: u64,
     pub(super) transaction: Transaction,
     /// Whether the write is applied and confirmed when due. Otherwise it times out.
-    pub(super) answered: bool,
+    pub(super) confirmed: bool,
 }
 
 impl Simulation {
@@ -53,14 +53,15 @@
         }
     }
 
-    /// Passes the outcomes of writes that are due to the leader that sent them.
+    /// Applies the due writes that are confirmed, reads the keys of those that timed out, and passes the
+    /// outcomes to the leader that sent them.
     pub(super) fn finish_writes(&mut self) {
         let now = self.now;
         let pending = std::mem::take(&mut self.pending_writes);
         let (due, later): (Vec<_>, Vec<_>) = pending.into_iter().partition(|w| w.at <= now);
         self.pending_writes = later;
         for write in due {
-            let result = if write.answered {
+            let result = if write.confirmed {
                 self.commit(&write.transaction)
             } else {
                 self.store.reread(&write.transaction)
@@ -150,17 +151,17 @@
     pub(super) fn send_write(&mut self, id: u64, transaction: Transaction) {
         let now = self.now;
         let handling = self.state.handle_write(&transaction, &mut self.random, now);
-        let (at, answered) = match handling {
+        let (at, confirmed) = match handling {
             WriteHandling::Rejected => {
                 return self
                     .manager()
                     .write_finished(id, WriteOutcome::Rejected, now)
             }
-            WriteHandling::Answered(at) if at <= now => {
+            WriteHandling::Confirmed(at) if at <= now => {
                 let result = self.commit(&transaction);
                 return self.manager().write_finished(id, result, now);
             }
-            WriteHandling::Answered(at) => (at, true),
+            WriteHandling::Confirmed(at) => (at, true),
             WriteHandling::ResponseLost(at) => {
                 let _ = self.store.commit(&transaction);
                 (at, false)
@@ -179,7 +180,7 @@
             leader,
             id,
             transaction,
-            answered,
+            confirmed,
         });
     }
 
--- a/tests/workload_simulation/simulation/mod.rs
+++ b/tests/workload_simulation/simulation/mod.rs
@@ -21,18 +21,18 @@
 pub(crate) const STEP_S: f64 = 1.0;
 
 /// A team with its guaranteed CPUs and its limit on CPUs; a limit of 0 means none.
-pub(crate) struct TeamLimit {
+pub(crate) struct TeamSettings {
     pub name: &'static str,
     pub guarantee: f64,
     pub limit: f64,
 }
 
 /// Two teams without guarantees and limits.
-pub(crate) const UNLIMITED_TEAMS: [TeamLimit; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
+pub(crate) const UNLIMITED_TEAMS: [TeamSettings; 2] = [team("t", 0.0, 0.0), team("u", 0.0, 0.0)];
 
 /// A team with a guarantee and a limit.
-pub(crate) const fn team(name: &'static str, guarantee: f64, limit: f64) -> TeamLimit {
-    TeamLimit {
+pub(crate) const fn team(name: &'static str, guarantee: f64, limit: f64) -> TeamSettings {
+    TeamSettings {
         name,
         guarantee,
         limit,
@@ -67,7 +67,12 @@
 }
 
 impl Simulation {
-    pub(crate) fn new(seed: u64, teams: &[TeamLimit], zones: &[&str], cloud: Cloud) -> Simulation {
+    pub(crate) fn new(
+        seed: u64,
+        teams: &[TeamSettings],
+        zones: &[&str],
+        cloud: Cloud,
+    ) -> Simulation {
         let teams: Vec<String> = teams
             .iter()
             .map(|t| {
@@ -141,7 +146,7 @@
         self.list_machines();
         self.run_leader();
         self.advance_gangs();
-        self.record_final_states();
+        self.read_final_states();
         if self.now >= self.faults_end_s {
             self.measure_waits();
         }
--- a/tests/workload_simulation/simulation/users.rs
+++ b/tests/workload_simulation/simulation/users.rs
@@ -37,7 +37,10 @@
     /// step.
     pub(super) fn submit_due(&mut self) {
         while let Some(plan) = self.plans.get(self.next_plan).cloned() {
-            if plan.at_s > self.now || self.state.unavailable || !self.state.allows(1, self.now) {
+            if plan.at_s > self.now
+                || self.state.unavailable
+                || !self.state.try_acquire(1, self.now)
+            {
                 return;
             }
             let id = format!("req-{}", self.next_plan);
@@ -92,7 +95,7 @@
         let Some(item) = self.store.item(&open_key(id)) else {
             return;
         };
-        if !self.state.allows(2, self.now) {
+        if !self.state.try_acquire(2, self.now) {
             return;
         }
         let mut record: OpenRecord = serde_json::from_value(item.value).unwrap();
@@ -116,7 +119,7 @@
     }
 
     /// Notes which jobs have a final state on record.
-    pub(super) fn record_final_states(&mut self) {
+    pub(super) fn read_final_states(&mut self) {
         for (id, outcome) in self.outcomes.iter_mut().filter(|(_, o)| o.is_open()) {
             let Some((end, _)) = self.store.values.get(&end_key(id)) else {
                 continue;
@@ -131,8 +134,8 @@
         let waiting = self.waiting_despite_capacity();
         for (id, outcome) in &mut self.outcomes {
             let finished = self.store.values.contains_key(&end_key(id));
-            let known = self.leader.as_ref().is_none_or(|c| c.status(id).is_some());
-            let is_status_known = finished || known;
+            let leader_knows = self.leader.as_ref().is_none_or(|c| c.status(id).is_some());
+            let is_status_known = finished || leader_knows;
             outcome.unknown_s = if is_status_known {
                 0.0
             } else {
--- a/tests/workload_simulation/worker.rs
+++ b/tests/workload_simulation/worker.rs
@@ -19,7 +19,8 @@
 pub(crate) struct TaskOnWorker {
     pub state: TaskState,
     pub cause: Option<Cause>,
-    /// When the present state ends: the image fetch or the run.
+    /// When the image fetch or the run ends. While a task waits for its gang: when its run would end if it
+    /// had started at the end of the fetch.
     pub state_ends_at: f64,
     pub cpus: f64,
     pub gang: bool,
--- a/tests/workload_simulation/workload.rs
+++ b/tests/workload_simulation/workload.rs
@@ -31,6 +31,7 @@
 /// A job as its user submits it, and the actual behaviour of its tasks.
 #[derive(Clone, Debug)]
 pub(crate) struct JobPlan {
+    /// When the user submits the job.
     pub at_s: f64,
     pub class: &'static str,
     pub team: &'static str,
