--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,24 +1,26 @@
 //! Up to three controller processes on loopback, with stand-ins for the state service, the cloud and one
 //! worker.
 
-#[path = "common/standins.rs"]
-mod standins;
+#[path = "common/local_cluster.rs"]
+mod local_cluster;
 
+use local_cluster::{
+    call, small_job, submit_job, until, ControllerProcess, Entry, Lease, LocalCluster,
+};
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobSpec;
 use stairstage::storage::records::OpenRecord;
-use standins::{accepted, call, small_job, until, ControllerProcess, Entry, Grid, Lease};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 #[test]
 fn job_survives_failover_and_restart_of_all_controllers() {
-    let grid = Grid::new("outlives");
+    let grid = LocalCluster::new("outlives");
     let mut controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     let worker = &grid.worker;
     let send_heartbeats = || grid.send_heartbeats(&[0, 1, 2]);
     let job = small_job("req-1");
-    let submitted = accepted(&grid.front(0), &job);
+    let submitted = submit_job(&grid.api_address(0), &job);
     assert!(submitted == 201 || submitted == 200, "{submitted}");
     until("both tasks run", || {
         send_heartbeats();
@@ -26,14 +28,14 @@
     });
     let leader = until("there is a leader", || grid.leader());
     controllers[leader] = None;
-    let other = &grid.front((leader + 1) % 3);
+    let other = &grid.api_address((leader + 1) % 3);
     let token = worker.lock().unwrap().token;
     until("another controller leads", || {
         send_heartbeats();
         (worker.lock().unwrap().token > token).then_some(())
     });
     assert_eq!(
-        accepted(other, &job),
+        submit_job(other, &job),
         200,
         "a repeated submission is recognised"
     );
@@ -70,9 +72,9 @@
 
 #[test]
 fn leader_that_receives_no_heartbeats_is_replaced_by_a_controller_that_does() {
-    let grid = Grid::new("no-heartbeats");
+    let grid = LocalCluster::new("no-heartbeats");
     let _controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
-    accepted(&grid.front(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
     until("both tasks run", || {
         grid.send_heartbeats(&[0, 1, 2]);
         (grid.worker.lock().unwrap().tasks.len() == 2).then_some(())
@@ -99,7 +101,7 @@
 #[test]
 fn restarted_controller_leads_with_a_new_token_although_the_leader_record_names_it() {
     // The leader record of the controller's former process is attached to a lease of an hour.
-    let grid = Grid::new("restarted");
+    let grid = LocalCluster::new("restarted");
     {
         let mut state = grid.state.lock().unwrap();
         state.revision = 7;
@@ -117,7 +119,7 @@
         grid.send_heartbeats(&[0]);
         (grid.worker.lock().unwrap().token > 7).then_some(())
     });
-    accepted(&grid.front(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
     until("a task runs", || {
         grid.send_heartbeats(&[0]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
@@ -126,7 +128,7 @@
 
 #[test]
 fn job_whose_watch_event_was_lost_is_found_by_rereading_the_records() {
-    let grid = Grid::new("reread");
+    let grid = LocalCluster::new("reread");
     let _controllers: Vec<Option<ControllerProcess>> = (0..2).map(|i| grid.start(i)).collect();
     let leader = until("there is a leader", || grid.leader());
     until("the worker is known", || {
@@ -135,7 +137,7 @@
     });
     grid.job_changes_lost.store(true, Ordering::Relaxed);
     // The other controller stores the job, so the leader would learn of it from its watch.
-    accepted(&grid.front(1 - leader), &small_job("req-1"));
+    submit_job(&grid.api_address(1 - leader), &small_job("req-1"));
     until("a task runs", || {
         grid.send_heartbeats(&[leader]);
         (!grid.worker.lock().unwrap().tasks.is_empty()).then_some(())
@@ -149,9 +151,9 @@
 
 #[test]
 fn controller_that_reaches_neither_the_state_service_nor_a_peer_fails_health_checks() {
-    let grid = Grid::new("unreachable");
+    let grid = LocalCluster::new("unreachable");
     let _controller = grid.start(0);
-    let health_status = || Some(call("GET", &grid.front(0), "/healthz", &Value::Null)?.0);
+    let health_status = || Some(call("GET", &grid.api_address(0), "/healthz", &Value::Null)?.0);
     until("the controller is healthy", || {
         health_status().filter(|s| *s == 200)
     });
@@ -160,7 +162,7 @@
         health_status().filter(|s| *s == 503)
     });
     // A submission is rejected at once with Retry-After.
-    let address = format!("http://{}/v2/runs", grid.front(0));
+    let address = format!("http://{}/v2/runs", grid.api_address(0));
     let rejected = ureq::post(&address).send_json(small_job("req-1"));
     match rejected {
         Err(ureq::Error::Status(503, response)) => assert!(response.has("Retry-After")),
@@ -173,24 +175,27 @@
         health_status().filter(|s| *s == 200)
     });
     grid.state_down.store(false, Ordering::Relaxed);
-    assert_eq!(accepted(&grid.front(0), &small_job("req-1")) / 100, 2);
+    assert_eq!(
+        submit_job(&grid.api_address(0), &small_job("req-1")) / 100,
+        2
+    );
 }
 
 #[test]
 fn leader_without_the_state_service_stops_jobs_whose_cancellation_a_peer_has_confirmed() {
-    let grid = Grid::new("state-outage");
+    let grid = LocalCluster::new("state-outage");
     let _controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
-    accepted(&grid.front(0), &small_job("req-1"));
-    accepted(&grid.front(0), &small_job("req-2"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-2"));
     let leader = until("there is a leader", || grid.leader());
     until("all tasks run", || {
         grid.send_heartbeats(&[leader]);
         (grid.worker.lock().unwrap().tasks.len() == 4).then_some(())
     });
     // No other leader is elected before the state service is down for all controllers.
-    grid.keep_leases();
-    grid.state_refuses[leader].store(true, Ordering::Relaxed);
-    let other = grid.front((leader + 1) % 3);
+    grid.extend_all_leases();
+    grid.state_rejects[leader].store(true, Ordering::Relaxed);
+    let other = grid.api_address((leader + 1) % 3);
     until("another controller confirms the cancellation", || {
         call("POST", &other, "/v2/runs/req-1/abort", &json!({})).filter(|a| a.0 == 200)
     });
@@ -217,36 +222,42 @@
 }
 
 /// The status of a job as a controller reports it, or none if it answers with an error.
-fn job_state(grid: &Grid, controller: usize, id: &str) -> Option<String> {
+fn job_state(grid: &LocalCluster, controller: usize, id: &str) -> Option<String> {
     let path = format!("/v2/runs/{id}");
-    let (status, answer) = call("GET", &grid.front(controller), &path, &Value::Null)?;
+    let (status, answer) = call("GET", &grid.api_address(controller), &path, &Value::Null)?;
     (status == 200).then(|| answer["status"].as_str().unwrap().to_string())
 }
 
 /// Submits a job to a controller. Either success status will do: if the response to an accepted submission
 /// was lost, the retry is answered as a repeated submission.
-fn submit(grid: &Grid, controller: usize, job: &Value) {
-    assert_eq!(accepted(&grid.front(controller), job) / 100, 2);
+fn submit(grid: &LocalCluster, controller: usize, job: &Value) {
+    assert_eq!(submit_job(&grid.api_address(controller), job) / 100, 2);
 }
 
 /// The started tasks of all jobs, in the order of their starts.
-fn starts(grid: &Grid) -> Vec<String> {
+fn starts(grid: &LocalCluster) -> Vec<String> {
     grid.worker.lock().unwrap().starts.clone()
 }
 
 /// Whether any task of a job was started.
-fn has_started(grid: &Grid, id: &str) -> bool {
+fn has_started(grid: &LocalCluster, id: &str) -> bool {
     let starts = starts(grid);
     starts.iter().any(|s| s.starts_with(&format!("{id}/")))
 }
 
 /// A dependency on an unknown job or on the job itself is rejected, and so are too many dependencies.
-fn check_invalid_dependencies_are_rejected(grid: &Grid) {
-    let address = &grid.front(1);
-    assert_eq!(accepted(address, &dependent_job("req-2", &["req-1"])), 422);
-    assert_eq!(accepted(address, &dependent_job("req-2", &["req-2"])), 422);
+fn check_invalid_dependencies_are_rejected(grid: &LocalCluster) {
+    let address = &grid.api_address(1);
+    assert_eq!(
+        submit_job(address, &dependent_job("req-2", &["req-1"])),
+        422
+    );
+    assert_eq!(
+        submit_job(address, &dependent_job("req-2", &["req-2"])),
+        422
+    );
     assert_eq!(
-        accepted(address, &dependent_job("req-2", &["nothing"])),
+        submit_job(address, &dependent_job("req-2", &["nothing"])),
         400
     );
     // More dependencies than a record can hold: the answer names the limit, and is sent without any lookup.
@@ -268,13 +279,13 @@
 /// A pipeline of three jobs, each submitted to another controller, is done in order although the leader
 /// process is killed. Returns the remaining controllers.
 fn check_pipeline_survives_failover(
-    grid: &Grid,
+    grid: &LocalCluster,
     controllers: &mut [Option<ControllerProcess>],
 ) -> Vec<usize> {
     submit(grid, 0, &small_job("req-1"));
     submit(grid, 1, &dependent_job("req-2", &["req-1"]));
     submit(grid, 2, &dependent_job("req-3", &["req-2", "req-1"]));
-    let repeated = accepted(&grid.front(0), &dependent_job("req-3", &["req-9"]));
+    let repeated = submit_job(&grid.api_address(0), &dependent_job("req-3", &["req-9"]));
     assert_eq!(repeated, 200, "the repeated submission is recognised");
     until("the first job runs", || {
         grid.send_heartbeats(&[0, 1, 2]);
@@ -297,13 +308,19 @@
 }
 
 /// Dependents of a cancelled job are cancelled too; both controllers report so.
-fn check_dependents_of_a_cancelled_job_are_cancelled(grid: &Grid, a: usize, b: usize) {
+fn check_dependents_of_a_cancelled_job_are_cancelled(grid: &LocalCluster, a: usize, b: usize) {
     grid.worker.lock().unwrap().finish = false;
     submit(grid, a, &small_job("req-4"));
     submit(grid, b, &dependent_job("req-5", &["req-4"]));
     submit(grid, a, &dependent_job("req-6", &["req-5", "req-3"]));
     until("the cancellation is confirmed", || {
-        call("POST", &grid.front(b), "/v2/runs/req-4/abort", &json!({})).filter(|a| a.0 == 200)
+        call(
+            "POST",
+            &grid.api_address(b),
+            "/v2/runs/req-4/abort",
+            &json!({}),
+        )
+        .filter(|a| a.0 == 200)
     });
     for (controller, id) in [(a, "req-5"), (b, "req-5"), (a, "req-6"), (b, "req-6")] {
         until("its dependents are cancelled", || {
@@ -314,23 +331,29 @@
 }
 
 /// A job that is submitted after its dependency was cancelled is accepted and cancelled at once.
-fn check_late_dependent_of_a_cancelled_job(grid: &Grid, a: usize, b: usize) {
+fn check_late_dependent_of_a_cancelled_job(grid: &LocalCluster, a: usize, b: usize) {
     submit(grid, a, &dependent_job("req-7", &["req-6"]));
     let status = until("the status is available", || job_state(grid, b, "req-7"));
     assert_eq!(status, "cancelled");
-    let repeated = accepted(&grid.front(b), &dependent_job("req-7", &["req-6"]));
+    let repeated = submit_job(&grid.api_address(b), &dependent_job("req-7", &["req-6"]));
     assert_eq!(repeated, 200);
     assert!(!has_started(grid, "req-5") && !has_started(grid, "req-6"));
     // A cancelled dependency does not hide an unknown one, whichever of them is listed first.
-    let unknown_last = accepted(&grid.front(a), &dependent_job("req-8", &["req-6", "req-9"]));
+    let unknown_last = submit_job(
+        &grid.api_address(a),
+        &dependent_job("req-8", &["req-6", "req-9"]),
+    );
     assert_eq!(unknown_last, 422);
-    let unknown_first = accepted(&grid.front(b), &dependent_job("req-8", &["req-0", "req-6"]));
+    let unknown_first = submit_job(
+        &grid.api_address(b),
+        &dependent_job("req-8", &["req-0", "req-6"]),
+    );
     assert_eq!(unknown_first, 422);
 }
 
 #[test]
 fn dependencies_work_across_controllers_and_survive_failover() {
-    let grid = Grid::new("pipelines");
+    let grid = LocalCluster::new("pipelines");
     let mut controllers: Vec<Option<ControllerProcess>> = (0..3).map(|i| grid.start(i)).collect();
     check_invalid_dependencies_are_rejected(&grid);
     let others = check_pipeline_survives_failover(&grid, &mut controllers);
@@ -341,7 +364,7 @@
 
 #[test]
 fn dependents_of_a_cancelled_job_are_not_called_pending_while_there_is_no_leader() {
-    let grid = Grid::new("cancelled-dependency");
+    let grid = LocalCluster::new("cancelled-dependency");
     let open_record = |id: &str, waits_on: &[&str]| {
         let spec = JobSpec::parse(dependent_job(id, waits_on).to_string().as_bytes()).unwrap();
         let record = OpenRecord::accepted(spec, 0);
@@ -373,7 +396,7 @@
     let poll = |id: &str| {
         call(
             "GET",
-            &grid.front(0),
+            &grid.api_address(0),
             &format!("/v2/runs/{id}"),
             &Value::Null,
         )
--- a/tests/failing_jobs.rs
+++ b/tests/failing_jobs.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{each_effect, heartbeat_from, manager, parsed, shown, starts, submission};
+use common::{for_each_effect, heartbeat_from, manager, parsed, starts, submission, task_statuses};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
@@ -72,7 +72,7 @@
                 self.now,
             );
             tasks.retain(|task| task.state != TaskState::Exited);
-            tasks.extend(shown(&starts(&answer), TaskState::Fetching, None));
+            tasks.extend(task_statuses(&starts(&answer), TaskState::Fetching, None));
         }
     }
 
@@ -82,7 +82,7 @@
         for half in 0..4 {
             let at = self.now + f64::from(half) / 2.0;
             self.manager.tick(at);
-            each_effect(&mut self.manager, at, |manager, effect| match effect {
+            for_each_effect(&mut self.manager, at, |manager, effect| match effect {
                 Effect::Write { id, transaction } => {
                     *writes += transaction.operations.len();
                     manager.write_finished(id, WriteOutcome::Applied(100 + id), at);
@@ -95,7 +95,7 @@
                     let started = starts(&batch.commands);
                     *launches += started.len();
                     let on_machine = tasks.get_mut(&*machine).unwrap();
-                    on_machine.extend(shown(&started, TaskState::Fetching, None));
+                    on_machine.extend(task_statuses(&started, TaskState::Fetching, None));
                 }
                 Effect::ReturnMachines(names) => panic!("healthy machines are returned: {names:?}"),
                 _ => {}
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -4,8 +4,9 @@
 mod common;
 
 use common::{
-    answered, carry_out, each_effect, heartbeat, launched, manager, manager_with_token,
-    out_of_reach, parsed, shown, starts, submission, submit, worker_heartbeat, AttemptId,
+    apply_effects, for_each_effect, heartbeat, heartbeat_starts, lose_commands, manager,
+    manager_with_token, parsed, started_attempts, starts, submission, submit, task_statuses,
+    worker_heartbeat, AttemptId,
 };
 use stairstage::coordination::cluster::heartbeat_routing::{HeartbeatRouter, Route};
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
@@ -22,10 +23,10 @@
 fn running_job() -> (ClusterManager, Vec<AttemptId>) {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
-    let attempts = launched(&mut manager, 0.0);
-    let running = shown(&attempts, TaskState::Running, None);
-    answered(&mut manager, &worker_heartbeat("m-1", 2, 1, running), 1.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    let attempts = started_attempts(&mut manager, 0.0);
+    let running = task_statuses(&attempts, TaskState::Running, None);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 1, running), 1.0);
     (manager, attempts)
 }
 
@@ -33,15 +34,15 @@
 fn worker_that_applies_no_responses_gets_no_more_work_and_is_returned() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "standing", "critical", None, 1);
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
-    assert!(!out_of_reach(&mut manager, 0.0).0.is_empty());
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    assert!(!lose_commands(&mut manager, 0.0).0.is_empty());
     // The heartbeats of m-1 continue, but show no effect of the responses.
-    answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 4.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 6.0);
-    answered(&mut manager, &worker_heartbeat("m-2", 1, 1, vec![]), 6.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 4.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 6.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-2", 1, 1, vec![]), 6.0);
     submit(&mut manager, "req-2", "sweep", "normal", None, 2);
-    let (launched, _) = out_of_reach(&mut manager, 6.1);
+    let (launched, _) = lose_commands(&mut manager, 6.1);
     assert_eq!(
         launched.len(),
         4,
@@ -52,7 +53,7 @@
         let now = 8.0 + 2.0 * f64::from(i);
         manager.heartbeat(&worker_heartbeat("m-1", 5 + i as u64, 1, vec![]), now);
         manager.heartbeat(&worker_heartbeat("m-2", 2 + i as u64, 1, vec![]), now);
-        returned.extend(out_of_reach(&mut manager, now).1);
+        returned.extend(lose_commands(&mut manager, now).1);
     }
     assert!(returned.contains(&"m-1".to_string()), "{returned:?}");
 }
@@ -61,18 +62,18 @@
 fn worker_that_applies_responses_again_gets_work_again() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
-    let attempts = launched(&mut manager, 0.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 2.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 3.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    let attempts = started_attempts(&mut manager, 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 1.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 2.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 3.0);
     // Responses arrive again: the heartbeats show the tasks, and then their completion.
-    let running = shown(&attempts, TaskState::Running, None);
-    answered(&mut manager, &worker_heartbeat("m-1", 5, 1, running), 4.0);
-    let done = shown(&attempts, TaskState::Exited, Some(Cause::Done));
-    answered(&mut manager, &worker_heartbeat("m-1", 6, 1, done), 5.0);
+    let running = task_statuses(&attempts, TaskState::Running, None);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 5, 1, running), 4.0);
+    let done = task_statuses(&attempts, TaskState::Exited, Some(Cause::Done));
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 6, 1, done), 5.0);
     submit(&mut manager, "req-2", "sweep", "normal", None, 2);
-    let mut next = launched(&mut manager, 5.5);
+    let mut next = started_attempts(&mut manager, 5.5);
     next.extend(starts(&heartbeat(&mut manager, 7, Vec::new(), 6.0)));
     assert_eq!(next.len(), 4, "{next:?}");
 }
@@ -81,12 +82,12 @@
 fn delayed_heartbeat_does_not_prove_to_a_new_leader_that_a_worker_is_reachable() {
     // The fencing tokens of this leader begin at 5; the heartbeat was sent under an earlier leader.
     let mut manager = manager_with_token(5);
-    answered(&mut manager, &worker_heartbeat("m-1", 9, 3, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 9, 3, vec![]), 0.0);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    assert!(out_of_reach(&mut manager, 0.1).0.is_empty());
+    assert!(lose_commands(&mut manager, 0.1).0.is_empty());
     let mut returned = Vec::new();
     for i in 1..30 {
-        returned.extend(out_of_reach(&mut manager, f64::from(i)).1);
+        returned.extend(lose_commands(&mut manager, f64::from(i)).1);
     }
     assert_eq!(returned, ["m-1"]);
 }
@@ -94,7 +95,7 @@
 #[test]
 fn delayed_heartbeat_does_not_bring_back_a_returned_machine() {
     let mut manager = manager();
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     manager.machines_returned(&["m-1".to_string()], true, 1.0);
     let delayed = worker_heartbeat("m-1", 2, 1, vec![]);
     // At any time, until well after the worker's lease has expired.
@@ -113,7 +114,7 @@
     let (mut manager, attempts) = running_job();
     manager.machines_returned(&["m-1".to_string()], true, 2.0);
     assert_eq!(manager.status("req-1").unwrap().done, 0);
-    let done = shown(&attempts, TaskState::Exited, Some(Cause::Done));
+    let done = task_statuses(&attempts, TaskState::Exited, Some(Cause::Done));
     manager.heartbeat(&worker_heartbeat("m-1", 3, 1, done), 3.0);
     assert_eq!(manager.status("req-1").unwrap().done, 4);
 }
@@ -122,14 +123,14 @@
 fn leader_with_unconfirmed_lease_keeps_tasks_alive_and_starts_none() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     // The launches are stored, but no direct command has reached the worker.
-    assert_eq!(out_of_reach(&mut manager, 0.0).0.len(), 4);
+    assert_eq!(lose_commands(&mut manager, 0.0).0.len(), 4);
     manager.set_lease_valid_until(1.0);
-    let starts = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
+    let starts = heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 2.0);
     assert!(starts.is_empty(), "{starts:?}");
     manager.set_lease_valid_until(10.0);
-    let starts = answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 3.0);
+    let starts = heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 3.0);
     assert_eq!(starts.len(), 4, "the lease was still held");
 }
 
@@ -159,17 +160,17 @@
     let (mut manager, _) = running_job();
     // The worker restarted at once and its sequence numbers have caught up, so only a new fencing token
     // proves that no earlier launch can still arrive.
-    answered(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 8.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 3, 1, vec![]), 8.0);
     manager.step(9.0);
     let raises = |e: &Effect| matches!(e, Effect::RaiseToken);
     assert!(manager.take_effects().iter().any(raises));
     manager.token_raised(Some(FencingToken(2)), 9.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 10.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 5, 2, vec![]), 10.5);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 4, 1, vec![]), 10.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 5, 2, vec![]), 10.5);
     assert_eq!(manager.status("req-1").unwrap().running, 0);
     // The first direct command is still unanswered, so the launches are sent in the response to a heartbeat.
-    launched(&mut manager, 11.0);
-    let restarted = answered(&mut manager, &worker_heartbeat("m-1", 6, 2, vec![]), 11.5);
+    started_attempts(&mut manager, 11.0);
+    let restarted = heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 6, 2, vec![]), 11.5);
     assert_eq!(restarted.len(), 4, "all tasks are started again");
 }
 
@@ -177,16 +178,16 @@
 fn delayed_heartbeat_of_an_earlier_worker_process_is_stale() {
     let mut manager = manager_with_token(5);
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 0, vec![]), 0.0);
-    answered(&mut manager, &worker_heartbeat("m-1", 2, 5, vec![]), 0.5);
-    assert_eq!(launched(&mut manager, 0.5).len(), 4);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 0, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 5, vec![]), 0.5);
+    assert_eq!(started_attempts(&mut manager, 0.5).len(), 4);
     // Sent by an earlier process on m-1 in its second incarnation, under an earlier leader.
     let mut delayed = worker_heartbeat("m-1", 9, 3, vec![]);
     delayed.incarnation = Incarnation(2);
     assert_eq!(manager.heartbeat(&delayed, 1.0), HeartbeatOutcome::Stale);
-    answered(&mut manager, &worker_heartbeat("m-2", 1, 5, vec![]), 1.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-2", 1, 5, vec![]), 1.0);
     assert!(
-        launched(&mut manager, 2.0).is_empty(),
+        started_attempts(&mut manager, 2.0).is_empty(),
         "the tasks may still run on m-1"
     );
 }
@@ -250,9 +251,9 @@
     let record = OpenRecord::accepted(spec, 0);
     manager.job_accepted(record, 1, 0, 1.0);
     assert!(manager.status("req-1").is_none_or(|s| s.done == 0));
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 1.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 1.0);
     assert!(
-        launched(&mut manager, 1.0).is_empty(),
+        started_attempts(&mut manager, 1.0).is_empty(),
         "the job stays cancelled"
     );
     manager.machines_returned(&["m-1".to_string()], true, 2.0);
@@ -263,7 +264,7 @@
 #[test]
 fn new_leader_returns_idle_machine_by_its_age_since_rental_not_since_election() {
     let mut manager = manager();
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     let listed = ListedMachine {
         name: "m-1".into(),
         endpoint: None,
@@ -278,7 +279,7 @@
     for i in 1..10 {
         let now = 2.0 * f64::from(i);
         manager.heartbeat(&worker_heartbeat("m-1", 1 + i as u64, 1, vec![]), now);
-        returned.extend(out_of_reach(&mut manager, now).1);
+        returned.extend(lose_commands(&mut manager, now).1);
     }
     assert_eq!(returned, ["m-1"], "rented long ago, and idle");
 }
@@ -293,7 +294,7 @@
 /// direct commands, which stay unanswered.
 fn run_step(manager: &mut ClusterManager, now: f64) -> (Vec<String>, Vec<AttemptId>) {
     let (mut deleted, mut launches) = (Vec::new(), Vec::new());
-    each_effect(manager, now, |manager, effect| match effect {
+    for_each_effect(manager, now, |manager, effect| match effect {
         Effect::Write { id, transaction } => {
             deleted.extend(transaction.operations.iter().filter_map(|c| match c {
                 WriteOperation::Delete { key } => Some(key.clone()),
@@ -312,27 +313,27 @@
 #[test]
 fn command_response_does_not_prove_that_a_launch_in_a_heartbeat_response_is_lost() {
     let mut manager = manager();
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
     submit_one_task(&mut manager, "req-1", 1, 0.0);
     let (_, launches) = run_step(&mut manager, 0.0);
     assert_eq!(launches.len(), 1);
     // While that command is unanswered, the launch of req-2 is sent in the response to a heartbeat.
     submit_one_task(&mut manager, "req-2", 2, 0.5);
     assert!(run_step(&mut manager, 0.5).1.is_empty());
-    let in_response = answered(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 0.6);
+    let in_response = heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 0.6);
     assert!(
         in_response.contains(&"req-2/0".to_string()),
         "{in_response:?}"
     );
     manager.cancel("req-2", 0.7);
     // The command is answered first. The answer does not show req-2, whose launch may still arrive.
-    let running = shown(&launches, TaskState::Running, None);
+    let running = task_statuses(&launches, TaskState::Running, None);
     let after_command = worker_heartbeat("m-1", 3, 1, running.clone());
     manager.commands_answered(&"m-1".into(), CommandOutcome::Executed(after_command), 0.8);
     let (deleted, _) = run_step(&mut manager, 1.5);
     assert!(deleted.is_empty(), "{deleted:?}");
     // The worker's next regular heartbeat shows that it has not applied the response with the launch.
-    answered(&mut manager, &worker_heartbeat("m-1", 4, 1, running), 2.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 4, 1, running), 2.0);
     let (deleted, _) = run_step(&mut manager, 2.5);
     assert_eq!(deleted, ["open/req-2"]);
 }
@@ -340,22 +341,22 @@
 #[test]
 fn worker_that_answers_commands_but_sends_no_heartbeats_gets_no_work_and_is_returned() {
     let mut manager = manager();
-    answered(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
-    answered(&mut manager, &worker_heartbeat("m-2", 1, 1, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 1, 1, vec![]), 0.0);
+    heartbeat_starts(&mut manager, &worker_heartbeat("m-2", 1, 1, vec![]), 0.0);
     let (mut started_on_1, mut started_on_2) = (Vec::new(), Vec::new());
     let mut returned = Vec::new();
     for second in 1..40 {
         let now = f64::from(second);
         let number = 1 + second as u64;
         // m-1 keeps sending heartbeats; m-2 only answers commands, and its leases expire.
-        let running = shown(&started_on_1, TaskState::Running, None);
+        let running = task_statuses(&started_on_1, TaskState::Running, None);
         manager.heartbeat(&worker_heartbeat("m-1", number, 1, running), now);
         if second == 8 {
             submit(&mut manager, "req-1", "sweep", "normal", None, 1);
             submit(&mut manager, "req-2", "sweep", "normal", None, 2);
         }
         manager.tick(now);
-        carry_out(&mut manager, now, |manager, effect| match effect {
+        apply_effects(&mut manager, now, |manager, effect| match effect {
             Effect::SendCommands {
                 machine,
                 commands: batch,
@@ -389,7 +390,7 @@
 fn task_that_belongs_to_no_open_job_is_stopped() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
-    let unknown = shown(&[AttemptId::new("req-9/0", 7)], TaskState::Running, None);
+    let unknown = task_statuses(&[AttemptId::new("req-9/0", 7)], TaskState::Running, None);
     let answer = match manager.heartbeat(&worker_heartbeat("m-1", 1, 1, unknown), 0.0) {
         HeartbeatOutcome::Answer(answer) => answer.commands,
         other => panic!("{other:?}"),
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    each_effect, machine_type, manager, manager_with_token, parsed, shown, starts, submission,
-    worker_heartbeat, AttemptId, Store, SETTINGS,
+    for_each_effect, machine_type, manager, manager_with_token, parsed, starts, submission,
+    task_statuses, worker_heartbeat, AttemptId, Store, SETTINGS,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
@@ -95,7 +95,7 @@
             final_writes_held,
             reads_succeed,
         } = self;
-        each_effect(manager, now, |manager, effect| match effect {
+        for_each_effect(manager, now, |manager, effect| match effect {
             Effect::Write { id, transaction }
                 if !*final_writes_held || !writes_final_state(&transaction) =>
             {
@@ -109,7 +109,7 @@
                 read_jobs.extend(ids.iter().map(|id| id.to_string()));
                 let unread = || ids.iter().map(|id| (id.clone(), None)).collect();
                 let found = if *reads_succeed {
-                    store.ends(&ids)
+                    store.final_states(&ids)
                 } else {
                     unread()
                 };
@@ -139,7 +139,7 @@
             } else {
                 (TaskState::Running, None)
             };
-            shown(std::slice::from_ref(id), state, cause).remove(0)
+            task_statuses(std::slice::from_ref(id), state, cause).remove(0)
         };
         let tasks = self.launched.iter().map(status).collect();
         let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token().0, tasks);
@@ -307,7 +307,7 @@
         .insert(final_state_key("req-2"), (json!({"state": "cancelled"}), 7));
     leader.step(0.0);
     leader.step(1.0);
-    assert!(leader.store.under(OPEN_PREFIX).is_empty());
+    assert!(leader.store.with_prefix(OPEN_PREFIX).is_empty());
     assert_eq!(leader.announced["req-2"], JobState::Cancelled);
 }
 
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{heartbeat, heartbeat_from, launched, manager, shown, starts, submit};
+use common::{heartbeat, heartbeat_from, manager, started_attempts, starts, submit, task_statuses};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::protocol::worker::{Cause, Command, TaskState, TaskStatus};
 
@@ -26,7 +26,7 @@
     submit(&mut manager, "req-1", "sweep", "normal", Some(300.0), 1);
     submit(&mut manager, "req-2", "sweep", "normal", Some(50.0), 2);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
+    let tasks = started_attempts(&mut manager, 0.0);
     assert_eq!(tasks.len(), 4);
     assert!(
         tasks.iter().all(|t| t.task.starts_with("req-2/")),
@@ -39,11 +39,11 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
-    let failed = shown(&tasks, TaskState::Exited, Some(Cause::Error));
+    let tasks = started_attempts(&mut manager, 0.0);
+    let failed = task_statuses(&tasks, TaskState::Exited, Some(Cause::Error));
     // The first direct command is still unanswered, so launches are sent in the responses to heartbeats.
     let mut pass = |sequence, tasks: &[TaskStatus], now| {
-        launched(&mut manager, now);
+        started_attempts(&mut manager, now);
         starts(&heartbeat(&mut manager, sequence, tasks.to_vec(), now))
     };
     assert!(pass(2, &failed, 1.0).is_empty());
@@ -54,14 +54,14 @@
         "must be new attempts"
     );
     // Another failure of all four tasks starts one backoff of the job.
-    let failed = shown(&again, TaskState::Exited, Some(Cause::Error));
+    let failed = task_statuses(&again, TaskState::Exited, Some(Cause::Error));
     assert!(pass(4, &failed, 2.0).is_empty());
     assert!(pass(5, &[], 5.0).is_empty());
     // The job has completed no task, so a single task is retried first; the others follow once it has run
     // for a while.
     let trial = pass(6, &[], 6.5);
     assert_eq!(trial.len(), 1, "{trial:?}");
-    let running = shown(&trial, TaskState::Running, None);
+    let running = task_statuses(&trial, TaskState::Running, None);
     for (sequence, now) in [(7, 12.0), (8, 18.0), (9, 23.5)] {
         assert!(pass(sequence, &running, now).is_empty(), "at {now}");
     }
@@ -75,11 +75,11 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let batch = launched(&mut manager, 0.0);
+    let batch = started_attempts(&mut manager, 0.0);
     heartbeat(
         &mut manager,
         2,
-        shown(&batch, TaskState::Running, None),
+        task_statuses(&batch, TaskState::Running, None),
         1.0,
     );
     submit(&mut manager, "req-2", "standing", "critical", None, 2);
@@ -102,7 +102,7 @@
     commands.extend(heartbeat(
         &mut manager,
         3,
-        shown(&batch, TaskState::Running, None),
+        task_statuses(&batch, TaskState::Running, None),
         1.5,
     ));
     let stops = commands
@@ -126,8 +126,8 @@
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
-    let stopped = shown(&tasks, TaskState::Exited, Some(Cause::Stopped));
+    let tasks = started_attempts(&mut manager, 0.0);
+    let stopped = task_statuses(&tasks, TaskState::Exited, Some(Cause::Stopped));
     let commands = heartbeat(&mut manager, 2, stopped, 1.0);
     let forgets = commands
         .iter()
@@ -141,7 +141,7 @@
     submit(&mut manager, "req-1", "group", "normal", None, 1);
     heartbeat_from(&mut manager, "m-1", 1, None, Vec::new(), 0.0);
     heartbeat_from(&mut manager, "m-2", 1, None, Vec::new(), 0.0);
-    let tasks = launched(&mut manager, 0.0);
+    let tasks = started_attempts(&mut manager, 0.0);
     assert_eq!(tasks.len(), 8);
     assert!(
         tasks.iter().all(|t| t.attempt == tasks[0].attempt),
@@ -153,7 +153,7 @@
         "m-1",
         2,
         None,
-        shown(first_half, TaskState::Running, None),
+        task_statuses(first_half, TaskState::Running, None),
         1.0,
     );
     heartbeat_from(
@@ -161,7 +161,7 @@
         "m-2",
         2,
         None,
-        shown(second_half, TaskState::Running, None),
+        task_statuses(second_half, TaskState::Running, None),
         1.0,
     );
     let mut commands = heartbeat_from(
@@ -169,7 +169,7 @@
         "m-1",
         3,
         Some(8.0),
-        shown(first_half, TaskState::Running, None),
+        task_statuses(first_half, TaskState::Running, None),
         2.0,
     );
     commands.extend(heartbeat_from(
@@ -177,7 +177,7 @@
         "m-2",
         3,
         None,
-        shown(second_half, TaskState::Running, None),
+        task_statuses(second_half, TaskState::Running, None),
         2.5,
     ));
     let saves = |c: &&Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s >= 2.0);
