--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,6 +1,6 @@
-//! Users' requests at several nodes at once, in generated schedules against a state service whose
-//! answers are lost or whose transactions come late. Every answer is held against the rules; each
-//! test brings one combination of troubles about, and checks that it has come about.
+//! Users' requests to several controllers at once, in generated schedules, against a state service
+//! that loses responses, delays transactions and rejects calls. Every answer is checked against the
+//! rules in `rules.rs`. Each test weights one combination of faults and checks that it occurred.
 
 mod common;
 #[path = "requests/coverage.rs"]
@@ -9,8 +9,8 @@
 mod jobs;
 #[path = "requests/leader.rs"]
 mod leader;
-#[path = "requests/parts.rs"]
-mod parts;
+#[path = "requests/model.rs"]
+mod model;
 #[path = "requests/rules.rs"]
 mod rules;
 #[path = "requests/schedule.rs"]
@@ -31,105 +31,114 @@
 use stairstage::storage::records::{final_state_key, FinalStateRecord};
 use stairstage_upgrade::fence::WriteFence;
 
-/// What a combination has to come about for, over all schedules.
+/// How often each combination of faults must occur, over all schedules of a test.
 const MIN_OCCURRENCES: usize = 50;
 
 #[test]
-fn all_troubles_together() {
-    let coverage = Faults::default().play();
+fn answers_follow_the_rules_under_all_faults() {
+    let coverage = Faults::default().run();
     assert!(
-        coverage.forwarded > MIN_OCCURRENCES && coverage.refused > MIN_OCCURRENCES,
+        coverage.forwarded > MIN_OCCURRENCES && coverage.rejected > MIN_OCCURRENCES,
         "{coverage:?}"
     );
 }
 
 #[test]
-fn users_ask_at_all_nodes_right_after_every_news() {
+fn all_controllers_agree_right_after_each_reported_state_change() {
     let coverage = Faults {
-        close_looks: true,
-        ends: 8,
+        ask_after_each_change: true,
+        final_writes: 8,
         cancellations: 2,
         ..Faults::default()
     }
-    .play();
+    .run();
     for state in [
         ReportedState::Accepted,
         ReportedState::Done,
         ReportedState::Cancelled,
     ] {
         assert!(
-            coverage.asked_after(Kind::Query, state) > MIN_OCCURRENCES,
+            coverage.requests_after(Kind::Query, state) > MIN_OCCURRENCES,
             "{coverage:?}"
         );
         assert!(
-            coverage.asked_after(Kind::Submit, state) > MIN_OCCURRENCES,
+            coverage.requests_after(Kind::Submit, state) > MIN_OCCURRENCES,
             "{coverage:?}"
         );
     }
-    assert!(coverage.asked_after(Kind::Cancel, ReportedState::Accepted) > MIN_OCCURRENCES);
+    assert!(coverage.requests_after(Kind::Cancel, ReportedState::Accepted) > MIN_OCCURRENCES);
 }
 
 #[test]
-fn only_the_answer_is_lost_while_others_read_what_was_written() {
+fn answers_agree_when_a_write_is_read_before_its_sender_knows_the_outcome() {
     let coverage = Faults {
-        answer_lost: 15,
-        close_looks: true,
+        response_lost: 15,
+        ask_after_each_change: true,
         ..Faults::default()
     }
-    .play();
+    .run();
     assert!(coverage.read_before_known > MIN_OCCURRENCES, "{coverage:?}");
 }
 
 #[test]
-fn transactions_are_carried_out_late_after_newer_ones() {
+fn answers_agree_when_delayed_transactions_follow_newer_ones() {
     let coverage = Faults {
-        late: 15,
+        delayed: 15,
         ..Faults::default()
     }
-    .play();
-    assert!(coverage.late_applied > MIN_OCCURRENCES, "{coverage:?}");
-    assert!(coverage.late_after_newer > MIN_OCCURRENCES, "{coverage:?}");
+    .run();
+    assert!(coverage.delayed_applied > MIN_OCCURRENCES, "{coverage:?}");
     assert!(
-        coverage.late_after_giving_up > MIN_OCCURRENCES,
+        coverage.delayed_after_newer > MIN_OCCURRENCES,
+        "{coverage:?}"
+    );
+    assert!(
+        coverage.delayed_after_request_finished > MIN_OCCURRENCES,
         "{coverage:?}"
     );
 }
 
 #[test]
-fn requests_meet_the_end_of_a_job() {
+fn answers_agree_when_a_final_state_is_written_during_a_request() {
     let coverage = Faults {
-        ends: 15,
+        final_writes: 15,
         cancellations: 8,
         ..Faults::default()
     }
-    .play();
+    .run();
     for kind in [Kind::Submit, Kind::Query, Kind::Cancel] {
-        assert!(coverage.ends_met(kind) > MIN_OCCURRENCES, "{coverage:?}");
+        assert!(
+            coverage.during_final_write(kind) > MIN_OCCURRENCES,
+            "{coverage:?}"
+        );
     }
 }
 
 #[test]
-fn requests_meet_the_end_of_a_job_without_any_other_trouble() {
+fn answers_agree_when_a_final_state_is_written_during_a_request_without_faults() {
     let coverage = Faults {
-        ends: 15,
+        final_writes: 15,
         cancellations: 8,
         ..Faults::NONE
     }
-    .play();
+    .run();
     for kind in [Kind::Submit, Kind::Query, Kind::Cancel] {
-        assert!(coverage.ends_met(kind) > MIN_OCCURRENCES, "{coverage:?}");
+        assert!(
+            coverage.during_final_write(kind) > MIN_OCCURRENCES,
+            "{coverage:?}"
+        );
     }
 }
 
 #[test]
-fn the_state_service_refuses_one_node_then_all_while_users_cancel_and_ask() {
+fn answers_agree_when_the_state_service_rejects_one_controller_then_all() {
     let coverage = Faults {
-        refusals: 6,
-        refused: 4,
+        rejection_periods: 6,
+        rejected: 4,
         cancellations: 8,
         ..Faults::default()
     }
-    .play();
+    .run();
     for kind in [Kind::Query, Kind::Cancel] {
         assert!(
             coverage.answers(kind, 503) > MIN_OCCURRENCES,
@@ -140,7 +149,7 @@
             "{coverage:?}"
         );
         assert!(
-            coverage.refusals_met(kind) > MIN_OCCURRENCES,
+            coverage.during_rejection(kind) > MIN_OCCURRENCES,
             "{coverage:?}"
         );
     }
@@ -148,14 +157,14 @@
 }
 
 #[test]
-fn jobs_that_cannot_run_or_lack_a_field_and_cancellations_of_done_jobs() {
+fn invalid_submissions_and_cancellations_of_done_jobs_get_the_right_status() {
     let coverage = Faults {
-        odd: 6,
-        ends: 20,
+        invalid_jobs: 6,
+        final_writes: 20,
         cancellations: 7,
         ..Faults::default()
     }
-    .play();
+    .run();
     assert!(
         coverage.answers(Kind::Submit, 422) > MIN_OCCURRENCES,
         "{coverage:?}"
@@ -169,12 +178,12 @@
         "{coverage:?}"
     );
     assert!(
-        coverage.asked_after(Kind::Cancel, ReportedState::Done) > MIN_OCCURRENCES,
+        coverage.requests_after(Kind::Cancel, ReportedState::Done) > MIN_OCCURRENCES,
         "{coverage:?}"
     );
 }
 
-/// What a request finds at a node with two peers.
+/// The context of a request at a controller with two peers.
 fn context(from_peer: bool) -> Context {
     Context {
         peers: vec!["n1".into(), "n2".into()],
@@ -183,12 +192,12 @@
     }
 }
 
-/// The outcome of a transaction.
+/// The event that reports the outcome of a transaction.
 fn committed(outcome: CommitOutcome) -> RequestEvent {
     RequestEvent::Store(StoreAnswer::Committed(outcome))
 }
 
-/// A transaction got no answer.
+/// A transaction got no response: its outcome is unknown.
 fn unanswered() -> RequestEvent {
     committed(CommitOutcome::Indeterminate)
 }
@@ -198,17 +207,17 @@
     RequestEvent::Store(StoreAnswer::Read(Err(Unavailable)))
 }
 
-/// The state service answers that the job is cancelled.
+/// A read returns the final state of a cancelled job.
 fn cancellation_read(job: &str) -> RequestEvent {
     let mut store = common::Store::default();
     let key = final_state_key(job);
-    let end = FinalStateRecord::cancelled(0).to_value();
-    store.values.insert(key.clone(), (end, 1));
+    let final_state = FinalStateRecord::cancelled(0).to_value();
+    store.values.insert(key.clone(), (final_state, 1));
     RequestEvent::Store(StoreAnswer::Read(Ok(store.item(&key))))
 }
 
-/// What a peer answers that can't take a request now.
-fn not_now() -> RequestEvent {
+/// The answer of a peer that can't accept a request now.
+fn unavailable_answer() -> RequestEvent {
     RequestEvent::Peer(Some(PeerAnswer {
         status: 503,
         body: b"{}".to_vec(),
@@ -216,8 +225,8 @@
     }))
 }
 
-/// This node knows nothing of the job, and another leads.
-fn led_by_another() -> RequestEvent {
+/// This controller does not know the job, and a peer leads.
+fn led_by_peer() -> RequestEvent {
     RequestEvent::LocalView(Some(LocalJobView {
         status: None,
         is_leader: false,
@@ -225,7 +234,7 @@
     }))
 }
 
-/// Whether a record is read.
+/// Whether the request reads a record.
 fn reads_store(effects: &[RequestEffect]) -> bool {
     matches!(effects, [RequestEffect::Store(StoreCall::Read(_))])
 }
@@ -235,7 +244,7 @@
     PollBatcher::new(Limits::of(&context(false).settings))
 }
 
-/// The poll that a request goes on as.
+/// The poll that a query turns into.
 fn poll_of(effects: Vec<RequestEffect>) -> Poll {
     match effects.into_iter().next() {
         Some(RequestEffect::ReadRecords(poll)) => poll,
@@ -243,13 +252,13 @@
     }
 }
 
-/// Whether a batcher asks the state service to compare records.
-fn compares(effects: &[PollEffect]) -> bool {
+/// Whether a batcher sends a transaction that only compares versions.
+fn compares_versions(effects: &[PollEffect]) -> bool {
     matches!(effects, [PollEffect::Store(StoreCall::Commit(transaction))]
         if transaction.operations.is_empty())
 }
 
-/// The status, where the request is answered.
+/// The status of the answer, if the request is answered.
 fn status_of(effects: &[RequestEffect]) -> Option<u16> {
     match effects {
         [.., RequestEffect::Answer(answer)] => Some(answer.status()),
@@ -257,26 +266,26 @@
     }
 }
 
-/// Whether a request is handed on to this peer.
-fn asks(effects: &[RequestEffect], peer: &str) -> bool {
-    matches!(effects, [RequestEffect::Forward(asked)] if asked == peer)
+/// Whether a request is forwarded to this peer.
+fn forwards_to(effects: &[RequestEffect], peer: &str) -> bool {
+    matches!(effects, [RequestEffect::Forward(chosen)] if chosen == peer)
 }
 
 #[test]
-fn a_submission_without_answers_is_tried_three_times_then_handed_to_each_other_node() {
+fn unanswered_submission_is_tried_three_times_then_forwarded_to_each_peer() {
     let body = jobs::body_of(0);
     let (mut request, first) = Request::submission(&body, context(false));
     let [RequestEffect::Store(StoreCall::Commit(transaction))] = &first[..] else {
         panic!("{first:?}");
     };
     for _ in 0..2 {
-        let again = request.on_event(unanswered());
-        let same = matches!(&again[..],
+        let retried = request.on_event(unanswered());
+        let same = matches!(&retried[..],
             [RequestEffect::Store(StoreCall::Commit(repeated))] if repeated == transaction);
-        assert!(same, "{again:?}");
+        assert!(same, "{retried:?}");
     }
-    assert!(asks(&request.on_event(unanswered()), "n1"));
-    assert!(asks(&request.on_event(not_now()), "n2"));
+    assert!(forwards_to(&request.on_event(unanswered()), "n1"));
+    assert!(forwards_to(&request.on_event(unavailable_answer()), "n2"));
     assert_eq!(
         status_of(&request.on_event(RequestEvent::Peer(None))),
         Some(503)
@@ -284,7 +293,7 @@
 }
 
 #[test]
-fn what_another_node_has_handed_on_is_handed_on_no_further() {
+fn forwarded_request_is_not_forwarded_again() {
     let body = jobs::body_of(0);
     let (mut request, _) = Request::submission(&body, context(true));
     (0..2).for_each(|_| drop(request.on_event(unanswered())));
@@ -292,37 +301,40 @@
     let (mut request, _) = Request::cancellation(jobs::id_of(0), context(true));
     assert_eq!(status_of(&request.on_event(unavailable())), Some(503));
     let (mut request, _) = Request::query(jobs::id_of(0), context(true));
-    let reads_records = request.on_event(led_by_another());
+    let reads_records = request.on_event(led_by_peer());
     assert!(
         matches!(reads_records[..], [RequestEffect::ReadRecords(_)]),
         "{reads_records:?}"
     );
-    let (_, refused) = Request::refused_query(jobs::id_of(0), context(true));
-    assert_eq!(status_of(&refused), Some(503));
+    let (_, rejected) = Request::refused_query(jobs::id_of(0), context(true));
+    assert_eq!(status_of(&rejected), Some(503));
 }
 
 #[test]
-fn a_leader_that_cannot_answer_now_is_no_answer() {
+fn query_reads_records_then_tries_each_peer_when_the_leader_is_unavailable() {
     let (mut request, _) = Request::query(jobs::id_of(0), context(false));
-    assert!(asks(&request.on_event(led_by_another()), "n1"));
-    let poll = poll_of(request.on_event(not_now()));
+    assert!(forwards_to(&request.on_event(led_by_peer()), "n1"));
+    let poll = poll_of(request.on_event(unavailable_answer()));
     assert_eq!(poll.leader_status, None);
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
-    assert!(compares(&batcher.tick(0.0)));
-    let refused = batcher.on_answer(StoreAnswer::Committed(CommitOutcome::Rejected), 0.0);
+    assert!(compares_versions(&batcher.tick(0.0)));
+    let rejected = batcher.on_answer(StoreAnswer::Committed(CommitOutcome::Rejected), 0.0);
     assert!(
-        matches!(refused[..], [PollEffect::Forward(1)]),
-        "{refused:?}"
+        matches!(rejected[..], [PollEffect::Forward(1)]),
+        "{rejected:?}"
+    );
+    let (mut request, effects) = Request::refused_query(jobs::id_of(0), context(false));
+    assert!(forwards_to(&effects, "n1"));
+    assert!(forwards_to(&request.on_event(unavailable_answer()), "n2"));
+    assert_eq!(
+        status_of(&request.on_event(unavailable_answer())),
+        Some(503)
     );
-    let (mut request, asked) = Request::refused_query(jobs::id_of(0), context(false));
-    assert!(asks(&asked, "n1"));
-    assert!(asks(&request.on_event(not_now()), "n2"));
-    assert_eq!(status_of(&request.on_event(not_now())), Some(503));
 }
 
 #[test]
-fn an_end_on_record_is_told_to_the_controller_before_the_user() {
+fn recorded_final_state_reaches_the_controller_before_the_user() {
     let (mut request, _) = Request::query(jobs::id_of(0), context(true));
     let view = LocalJobView {
         status: None,
@@ -333,10 +345,10 @@
     let poll = poll_of(request.on_event(RequestEvent::LocalView(Some(view))));
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
-    assert!(compares(&batcher.tick(0.0)));
+    assert!(compares_versions(&batcher.tick(0.0)));
     let present = CommitOutcome::Conflict(vec![final_state_key(&job)]);
-    let nothing_yet = batcher.on_answer(StoreAnswer::Committed(present), 0.0);
-    assert!(nothing_yet.is_empty(), "{nothing_yet:?}");
+    let before_read = batcher.on_answer(StoreAnswer::Committed(present), 0.0);
+    assert!(before_read.is_empty(), "{before_read:?}");
     let reads = batcher.tick(0.0);
     assert!(matches!(&reads[..],
         [PollEffect::Store(StoreCall::Read(key))] if *key == final_state_key(&job)));
@@ -347,28 +359,28 @@
     let in_order = matches!(
         &effects[..],
         [
-            PollEffect::JobEndsRecorded(ends),
+            PollEffect::JobEndsRecorded(final_states),
             PollEffect::Answer(1, Answer::Known(_))
-        ] if *ends == [(job.clone(), JobState::Cancelled)]
+        ] if *final_states == [(job.clone(), JobState::Cancelled)]
     );
     assert!(in_order, "{effects:?}");
 }
 
-/// The first job that names another one, and that one.
-fn waiting_job() -> (u8, u8) {
-    let mut waiting = (0..jobs::JOBS).filter_map(|job| Some((job, jobs::dependency_of(job)?)));
-    waiting.next().expect("one that waits")
+/// The first job with a dependency, and that dependency.
+fn dependent_job() -> (u8, u8) {
+    let mut dependent = (0..jobs::JOBS).filter_map(|job| Some((job, jobs::dependency_of(job)?)));
+    dependent.next().expect("a job with a dependency")
 }
 
 #[test]
-fn a_name_that_cannot_be_read_is_no_name_that_was_never_accepted() {
-    let (waiting, _) = waiting_job();
-    let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
+fn submission_with_an_unreadable_dependency_is_forwarded_not_rejected() {
+    let (dependent, _) = dependent_job();
+    let (mut request, _) = Request::submission(&jobs::body_of(dependent), context(false));
     let reads = request.on_event(committed(CommitOutcome::Applied(1)));
     assert!(reads_store(&reads), "{reads:?}");
     let forwarded = request.on_event(unavailable());
-    assert!(asks(&forwarded, "n1"), "{forwarded:?}");
-    assert!(asks(&request.on_event(not_now()), "n2"));
+    assert!(forwards_to(&forwarded, "n1"), "{forwarded:?}");
+    assert!(forwards_to(&request.on_event(unavailable_answer()), "n2"));
     assert_eq!(
         status_of(&request.on_event(RequestEvent::Peer(None))),
         Some(503)
@@ -376,22 +388,22 @@
 }
 
 #[test]
-fn a_job_that_names_a_cancelled_one_is_accepted_with_its_end() {
-    let (waiting, needed) = waiting_job();
-    let needed = jobs::id_of(needed);
-    let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
+fn submission_with_a_cancelled_dependency_is_accepted_as_cancelled() {
+    let (dependent, dependency) = dependent_job();
+    let dependency = jobs::id_of(dependency);
+    let (mut request, _) = Request::submission(&jobs::body_of(dependent), context(false));
     let reads = request.on_event(committed(CommitOutcome::Conflict(vec![final_state_key(
-        &needed,
+        &dependency,
     )])));
     assert!(reads_store(&reads), "{reads:?}");
-    let commits = request.on_event(cancellation_read(&needed));
+    let commits = request.on_event(cancellation_read(&dependency));
     let [RequestEffect::Store(StoreCall::Commit(transaction))] = &commits[..] else {
         panic!("{commits:?}");
     };
-    let own_end = final_state_key(&jobs::id_of(waiting));
-    let writes_end = matches!(&transaction.operations[..],
-        [WriteOperation::Put { key, .. }] if *key == own_end);
-    assert!(writes_end, "{transaction:?}");
+    let own_final_state_key = final_state_key(&jobs::id_of(dependent));
+    let writes_final_state = matches!(&transaction.operations[..],
+        [WriteOperation::Put { key, .. }] if *key == own_final_state_key);
+    assert!(writes_final_state, "{transaction:?}");
     let effects = request.on_event(committed(CommitOutcome::Applied(2)));
     let cancelled = matches!(&effects[..],
         [.., RequestEffect::Answer(Answer::Accepted { state, .. })] if *state == JobState::Cancelled);
--- a/tests/requests/coverage.rs
+++ b/tests/requests/coverage.rs
@@ -1,115 +1,133 @@
-//! Which combinations of faults the schedules have covered.
+//! Counts how often the schedules have covered each combination of faults.
 
-use crate::rules::{Kind, Question, ReportedState};
+use crate::rules::{Kind, ReportedState, UserRequest};
 use stairstage::coordination::requests::PeerAnswer;
 use stairstage::protocol::store::{Transaction, WriteOperation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::AddAssign;
 
-/// How often each has come about, in all schedules that were played.
+/// How often each combination occurred, over all schedules that ran.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Coverage {
-    /// Requests by kind, and by the state of the job that was reported before.
-    asked: BTreeMap<(Kind, Option<ReportedState>), usize>,
+    /// Requests by kind, and by the state of the job that had been reported before.
+    requests: BTreeMap<(Kind, Option<ReportedState>), usize>,
     /// Answers by the kind of request and by status.
-    answered: BTreeMap<(Kind, u16), usize>,
-    /// Requests that another node has answered for one without the state service.
+    answers: BTreeMap<(Kind, u16), usize>,
+    /// Requests that were forwarded to another controller.
     pub forwarded: usize,
-    pub refused: usize,
-    /// Another node has read what a transaction wrote whose answer was lost, before its sender knew.
+    /// Transactions that the state service rejected.
+    pub rejected: usize,
+    /// Reads by another controller of a key whose write lost its response, before the sender of the
+    /// write knew the outcome.
     pub read_before_known: usize,
-    /// Late transactions that were applied, or met a conflict, after newer ones of the same node;
-    /// and after their senders had given up on them.
-    pub late_applied: usize,
-    pub late_after_newer: usize,
-    pub late_after_giving_up: usize,
-    /// Requests by kind about a job whose end was written while they were under way.
-    ends_met: BTreeMap<Kind, usize>,
-    /// Requests by kind that were under way when the state service, which had refused one node, began
-    /// to refuse all.
-    refusals_met: BTreeMap<Kind, usize>,
-    /// Transactions by requests that are still under way and have lost the answer.
-    unknown: BTreeMap<u64, (usize, BTreeSet<String>)>,
+    /// Delayed transactions that were applied; that were applied or met a conflict after newer ones of
+    /// the same controller; and that were applied after their request had finished.
+    pub delayed_applied: usize,
+    pub delayed_after_newer: usize,
+    pub delayed_after_request_finished: usize,
+    /// Requests by kind that were in progress when their job's final state was written.
+    during_final_write: BTreeMap<Kind, usize>,
+    /// Requests by kind that were in progress when the state service, which had rejected one controller,
+    /// began to reject all.
+    during_rejection: BTreeMap<Kind, usize>,
+    /// By request in progress: its controller, and the keys of a write that lost its response.
+    indeterminate: BTreeMap<u64, (usize, BTreeSet<String>)>,
 }
 
 impl Coverage {
     /// Counts a request.
-    pub(crate) fn asked(&mut self, question: &Question) {
+    pub(crate) fn count_request(&mut self, request: &UserRequest) {
         *self
-            .asked
-            .entry((question.kind, question.before))
+            .requests
+            .entry((request.kind, request.reported_before))
             .or_default() += 1;
     }
 
     /// Counts an answer.
-    pub(crate) fn answered(&mut self, question: &Question, answer: &PeerAnswer) {
-        let key = (question.kind, answer.status);
-        *self.answered.entry(key).or_default() += 1;
+    pub(crate) fn count_answer(&mut self, request: &UserRequest, answer: &PeerAnswer) {
+        let key = (request.kind, answer.status);
+        *self.answers.entry(key).or_default() += 1;
     }
 
-    /// Counts a request that met the end of its job.
-    pub(crate) fn end_met(&mut self, kind: Kind) {
-        *self.ends_met.entry(kind).or_default() += 1;
+    /// Counts a request that was in progress when its job's final state was written.
+    pub(crate) fn count_during_final_write(&mut self, kind: Kind) {
+        *self.during_final_write.entry(kind).or_default() += 1;
     }
 
-    /// Counts a request that met the refusal of all nodes.
-    pub(crate) fn refusal_met(&mut self, kind: Kind) {
-        *self.refusals_met.entry(kind).or_default() += 1;
+    /// Counts a request that was in progress when the state service began to reject all controllers.
+    pub(crate) fn count_during_rejection(&mut self, kind: Kind) {
+        *self.during_rejection.entry(kind).or_default() += 1;
     }
 
-    /// A transaction was applied, and its sender does not know.
-    pub(crate) fn answer_lost(&mut self, by: u64, node: usize, transaction: &Transaction) {
+    /// Notes a transaction that was applied without a response to its sender.
+    pub(crate) fn record_lost_response(
+        &mut self,
+        request: u64,
+        controller: usize,
+        transaction: &Transaction,
+    ) {
         let key_of = |change: &WriteOperation| match change {
             WriteOperation::Put { key, .. } | WriteOperation::Delete { key } => key.clone(),
         };
         let keys = transaction.operations.iter().map(key_of).collect();
-        self.unknown.insert(by, (node, keys));
+        self.indeterminate.insert(request, (controller, keys));
     }
 
-    /// A node reads a key.
-    pub(crate) fn read(&mut self, key: &str, node: usize) {
-        let mut unknown = self.unknown.values();
-        if unknown.any(|(by, keys)| *by != node && keys.contains(key)) {
+    /// Counts a read of a key whose write is indeterminate for another controller.
+    pub(crate) fn count_read(&mut self, key: &str, controller: usize) {
+        let mut indeterminate = self.indeterminate.values();
+        if indeterminate.any(|(writer, keys)| *writer != controller && keys.contains(key)) {
             self.read_before_known += 1;
         }
     }
 
-    /// A request is over: what it does not know matters no more.
-    pub(crate) fn finished(&mut self, request: u64) {
-        self.unknown.remove(&request);
+    /// Drops the indeterminate write of a finished request.
+    pub(crate) fn request_finished(&mut self, request: u64) {
+        self.indeterminate.remove(&request);
     }
 
-    /// Counts a transaction that was carried out late.
-    pub(crate) fn late_write(&mut self, applied: bool, is_newer: bool, is_given_up: bool) {
-        self.late_applied += usize::from(applied);
-        self.late_after_newer += usize::from(is_newer);
-        self.late_after_giving_up += usize::from(is_given_up && applied);
+    /// Counts a delayed transaction.
+    pub(crate) fn count_delayed_write(
+        &mut self,
+        applied: bool,
+        after_newer: bool,
+        is_finished: bool,
+    ) {
+        self.delayed_applied += usize::from(applied);
+        self.delayed_after_newer += usize::from(after_newer);
+        self.delayed_after_request_finished += usize::from(is_finished && applied);
     }
 
-    /// How many requests of a kind came after a state of the job had been reported.
-    pub(crate) fn asked_after(&self, kind: Kind, reported: ReportedState) -> usize {
-        let count = self.asked.get(&(kind, Some(reported)));
+    /// How many requests of a kind were sent after this state of the job had been reported.
+    pub(crate) fn requests_after(&self, kind: Kind, reported: ReportedState) -> usize {
+        let count = self.requests.get(&(kind, Some(reported)));
         count.copied().unwrap_or_default()
     }
 
     /// How many requests of a kind were answered with a status.
     pub(crate) fn answers(&self, kind: Kind, status: u16) -> usize {
-        let count = self.answered.get(&(kind, status));
+        let count = self.answers.get(&(kind, status));
         count.copied().unwrap_or_default()
     }
 
-    /// How many requests of a kind met the end of their job.
-    pub(crate) fn ends_met(&self, kind: Kind) -> usize {
-        self.ends_met.get(&kind).copied().unwrap_or_default()
+    /// How many requests of a kind were in progress when their job's final state was written.
+    pub(crate) fn during_final_write(&self, kind: Kind) -> usize {
+        self.during_final_write
+            .get(&kind)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// How many requests of a kind met the refusal of all nodes.
-    pub(crate) fn refusals_met(&self, kind: Kind) -> usize {
-        self.refusals_met.get(&kind).copied().unwrap_or_default()
+    /// How many requests of a kind were in progress when the state service began to reject all.
+    pub(crate) fn during_rejection(&self, kind: Kind) -> usize {
+        self.during_rejection
+            .get(&kind)
+            .copied()
+            .unwrap_or_default()
     }
 }
 
-/// Adds counts to others.
+/// Adds the counts of one map to another.
 fn add<K: Ord>(to: &mut BTreeMap<K, usize>, from: BTreeMap<K, usize>) {
     for (key, count) in from {
         *to.entry(key).or_default() += count;
@@ -118,15 +136,15 @@
 
 impl AddAssign for Coverage {
     fn add_assign(&mut self, other: Coverage) {
-        add(&mut self.asked, other.asked);
-        add(&mut self.answered, other.answered);
-        add(&mut self.ends_met, other.ends_met);
-        add(&mut self.refusals_met, other.refusals_met);
+        add(&mut self.requests, other.requests);
+        add(&mut self.answers, other.answers);
+        add(&mut self.during_final_write, other.during_final_write);
+        add(&mut self.during_rejection, other.during_rejection);
         self.forwarded += other.forwarded;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.read_before_known += other.read_before_known;
-        self.late_applied += other.late_applied;
-        self.late_after_newer += other.late_after_newer;
-        self.late_after_giving_up += other.late_after_giving_up;
+        self.delayed_applied += other.delayed_applied;
+        self.delayed_after_newer += other.delayed_after_newer;
+        self.delayed_after_request_finished += other.delayed_after_request_finished;
     }
 }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -1,7 +1,7 @@
-//! What the nodes know, and what the leader does.
+//! What the controllers know, and what the leader does.
 
-use crate::jobs::{dependency_of, id_of, recorded_end};
-use crate::parts::{Fate, Leader};
+use crate::jobs::{dependency_of, id_of, recorded_final_state};
+use crate::model::{Delivery, Leader};
 use crate::simulation::{name_of, Simulation};
 use serde_json::json;
 use stairstage::coordination::manager::ClusterManager;
@@ -15,129 +15,143 @@
 };
 
 impl Simulation {
-    /// The decisions of a node, if it leads.
-    fn leads(&mut self, node: usize) -> Option<&mut ClusterManager> {
-        let leader = self.leader.as_mut().filter(|l| l.node == node);
+    /// The cluster manager of a controller, if it leads.
+    fn manager_if_leader(&mut self, controller: usize) -> Option<&mut ClusterManager> {
+        let leader = self.leader.as_mut().filter(|l| l.controller == controller);
         leader.map(|l| &mut l.manager)
     }
 
-    /// A node learns of an accepted job.
-    pub(crate) fn job_accepted(&mut self, node: usize, record: OpenRecord, version: u64) {
-        let is_over = self.nodes[node].ends.get(&record.spec.id).is_some();
-        if is_over && !record.cancelled {
+    /// A controller learns that a job is accepted.
+    pub(crate) fn job_accepted(&mut self, controller: usize, record: OpenRecord, version: u64) {
+        let is_final = self.controllers[controller]
+            .final_states
+            .get(&record.spec.id)
+            .is_some();
+        if is_final && !record.cancelled {
             return;
         }
-        if let Some(manager) = self.leads(node) {
+        if let Some(manager) = self.manager_if_leader(controller) {
             manager.job_accepted(record, version, 0, 0.0);
         }
     }
 
-    /// A node learns of the end of a job.
-    pub(crate) fn job_end_recorded(&mut self, node: usize, job: u8, state: JobState) {
-        self.nodes[node].ends.insert(&id_of(job), state);
-        if let Some(manager) = self.leads(node) {
+    /// A controller learns the final state of a job.
+    pub(crate) fn job_end_recorded(&mut self, controller: usize, job: u8, state: JobState) {
+        self.controllers[controller]
+            .final_states
+            .insert(&id_of(job), state);
+        if let Some(manager) = self.manager_if_leader(controller) {
             manager.job_end_recorded(&id_of(job), state, 0.0);
         }
     }
 
-    /// What a node knows of a job by itself.
-    pub(crate) fn locate(&mut self, node: usize, job: u8) -> LocalJobView {
+    /// What a controller knows of a job without asking the state service or a peer.
+    pub(crate) fn local_view(&mut self, controller: usize, job: u8) -> LocalJobView {
         let id = id_of(job);
-        let end = self.nodes[node].ends.get(&id).map(|&state| JobStatus {
-            id: id.clone(),
-            state,
-            done: 0,
-            running: 0,
-        });
-        let leader = self.nodes[node].leader.filter(|l| *l != node).map(name_of);
-        let manager_view = self.leads(node);
-        let leads = manager_view.is_some();
-        let status = end.or_else(|| manager_view.and_then(|manager| manager.status(&id)));
+        let final_status = self.controllers[controller]
+            .final_states
+            .get(&id)
+            .map(|&state| JobStatus {
+                id: id.clone(),
+                state,
+                done: 0,
+                running: 0,
+            });
+        let leader = self.controllers[controller]
+            .leader
+            .filter(|l| *l != controller)
+            .map(name_of);
+        let manager_view = self.manager_if_leader(controller);
+        let is_leader = manager_view.is_some();
+        let status = final_status.or_else(|| manager_view.and_then(|manager| manager.status(&id)));
         LocalJobView {
             status,
-            is_leader: leads,
+            is_leader,
             leader,
         }
     }
 
-    /// A node is elected, and reads the records.
-    pub(crate) fn elect(&mut self, node: usize) {
-        let record = json!({"node": name_of(node)});
+    /// Elects a controller, which recovers from the records.
+    pub(crate) fn elect(&mut self, controller: usize) {
+        let record = json!({"node": name_of(controller)});
         let transaction = Transaction::default().put(LEADER_KEY, record);
         let token = self.store.commit(&transaction).unwrap();
         let mut manager = ClusterManager::new(self.settings.clone(), FencingToken(token), 0.0);
         manager.set_lease_valid_until(f64::INFINITY);
         manager.recover(self.store.records(), 0, 0.0);
         self.leader = Some(Leader {
-            node,
+            controller,
             token,
             manager,
         });
-        self.nodes[node].leader = Some(node);
+        self.controllers[controller].leader = Some(controller);
     }
 
-    /// The leader's lease is over.
-    pub(crate) fn depose(&mut self) {
+    /// The leader's lease expires.
+    pub(crate) fn expire_lease(&mut self) {
         self.leader = None;
     }
 
-    /// A node learns who leads.
-    pub(crate) fn follow(&mut self, node: usize) {
-        self.nodes[node].leader = self.leader.as_ref().map(|l| l.node);
+    /// A controller learns who leads.
+    pub(crate) fn learn_leader(&mut self, controller: usize) {
+        self.controllers[controller].leader = self.leader.as_ref().map(|l| l.controller);
     }
 
-    /// The leader's watch delivers the record of a job as it is now.
+    /// The leader's watch delivers the current record of a job.
     pub(crate) fn deliver_to_leader(&mut self, job: u8) {
         let item = self.store.item(&open_key(&id_of(job)));
         let (Some(item), Some(leader)) = (item, &self.leader) else {
             return;
         };
-        let node = leader.node;
+        let controller = leader.controller;
         let record = serde_json::from_value(item.value).unwrap();
-        self.job_accepted(node, record, item.version);
+        self.job_accepted(controller, record, item.version);
     }
 
-    /// The leader records how a job has ended in its own state: its last task is done, or its
-    /// dependency is cancelled, or nothing of a cancelled job is left.
-    pub(crate) fn leader_ends_job(&mut self, job: u8, fate: Fate) {
+    /// The leader records the final state of a job: its last task is done, or its dependency is
+    /// cancelled. For a job that was cancelled before, it only deletes the open record.
+    pub(crate) fn leader_finishes_job(&mut self, job: u8, delivery: Delivery) {
         let Some(leader) = &self.leader else {
             return;
         };
-        let (node, token) = (leader.node, leader.token);
-        let Some((transaction, end)) = self.end_of(leader, job, token) else {
+        let (controller, token) = (leader.controller, leader.token);
+        let Some((transaction, final_state)) = self.closing_transaction(leader, job, token) else {
             return;
         };
-        if self.nodes[node].refused || fate == Fate::Refused {
+        if self.controllers[controller].rejected || delivery == Delivery::Rejected {
             return;
         }
         let before = self.store.revision;
-        let outcome = self.commit(0, node, transaction, fate);
-        if end.is_some() && self.store.revision > before {
-            self.end_met_requests(job);
+        let outcome = self.commit(0, controller, transaction, delivery);
+        if final_state.is_some() && self.store.revision > before {
+            self.count_requests_during_final_write(job);
         }
-        match (outcome, end) {
-            (CommitOutcome::Applied(_), Some(state)) => self.job_end_recorded(node, job, state),
+        match (outcome, final_state) {
+            (CommitOutcome::Applied(_), Some(state)) => {
+                self.job_end_recorded(controller, job, state);
+            }
             (CommitOutcome::Conflict(_), Some(_)) => {
-                if let Some(state) = recorded_end(&self.store, job) {
-                    self.job_end_recorded(node, job, state);
+                if let Some(state) = recorded_final_state(&self.store, job) {
+                    self.job_end_recorded(controller, job, state);
                 }
             }
             _ => {}
         }
     }
 
-    /// As `ClusterManager::write_end` has it.
-    fn end_of(
+    /// The leader's transaction that closes a job, and the final state in it; like the transaction of
+    /// `ClusterManager`.
+    fn closing_transaction(
         &self,
         leader: &Leader,
         job: u8,
         token: u64,
     ) -> Option<(Transaction, Option<JobState>)> {
-        let (id, needed) = (id_of(job), dependency_of(job));
+        let (id, dependency) = (id_of(job), dependency_of(job));
         let state = leader.manager.status(&id).map(|status| status.state);
         let is_open = self.store.item(&open_key(&id)).is_some();
-        let needed_end = needed.map(|n| recorded_end(&self.store, n));
-        let end = match (state, needed_end) {
+        let dependency_state = dependency.map(|n| recorded_final_state(&self.store, n));
+        let final_state = match (state, dependency_state) {
             (Some(JobState::Cancelled), _) => None,
             (_, Some(Some(JobState::Cancelled))) if is_open => Some(JobState::Cancelled),
             (Some(_), None | Some(Some(JobState::Done))) => Some(JobState::Done),
@@ -146,7 +160,7 @@
         let closing = Transaction::default()
             .version(LEADER_KEY, token)
             .delete(open_key(&id));
-        let transaction = match end {
+        let transaction = match final_state {
             None => closing,
             Some(state) => closing.absent(final_state_key(&id)).put(
                 final_state_key(&id),
@@ -157,6 +171,6 @@
                 .to_value(),
             ),
         };
-        Some((transaction, end))
+        Some((transaction, final_state))
     }
 }
--- a/tests/requests/rules.rs
+++ b/tests/requests/rules.rs
@@ -1,14 +1,16 @@
-//! The rules that every answer to a user is held against.
+//! The rules that every answer to a user must follow.
 
 use crate::common::Store;
-use crate::jobs::{can_run, dependency_of, id_of, recorded_end, FITS_NO_MACHINE, LACKS_A_FIELD};
+use crate::jobs::{
+    can_run, dependency_of, id_of, recorded_final_state, FITS_NO_MACHINE, LACKS_A_FIELD,
+};
 use serde_json::Value;
 use stairstage::coordination::requests::PeerAnswer;
 use stairstage::protocol::job::{JobState, JobStatus};
 use stairstage::storage::records::open_key;
 use std::collections::BTreeMap;
 
-/// What a user asks for.
+/// The kind of a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Kind {
     Submit,
@@ -16,7 +18,7 @@
     Cancel,
 }
 
-/// The state of a job that any node has reported to a user.
+/// The state of a job as some controller has reported it to a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ReportedState {
     Accepted,
@@ -24,122 +26,137 @@
     Cancelled,
 }
 
-/// A user's request, and the state of the job that was reported when it was sent.
+/// A user's request, and the state of the job that had been reported when it was sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Question {
+pub(crate) struct UserRequest {
     pub kind: Kind,
     pub job: u8,
-    pub node: usize,
-    pub before: Option<ReportedState>,
+    pub controller: usize,
+    pub reported_before: Option<ReportedState>,
 }
 
-/// The requests of users, and the states that were reported to them.
+/// Checks each answer against the records, the requests sent and the states reported before.
 #[derive(Default)]
-pub(crate) struct Ledger {
+pub(crate) struct AnswerChecker {
     submitted: BTreeMap<u8, ()>,
-    cancel_asked: BTreeMap<u8, ()>,
+    cancel_requested: BTreeMap<u8, ()>,
     reported: BTreeMap<u8, ReportedState>,
 }
 
-impl Ledger {
-    /// The state of a job that users know.
+impl AnswerChecker {
+    /// The last state of a job that was reported to users.
     pub(crate) fn reported(&self, job: u8) -> Option<ReportedState> {
         self.reported.get(&job).copied()
     }
 
-    /// A user sends a request.
-    pub(crate) fn asks(&mut self, kind: Kind, job: u8, node: usize) -> Question {
+    /// Notes that a user sends a request.
+    pub(crate) fn request_sent(&mut self, kind: Kind, job: u8, controller: usize) -> UserRequest {
         match kind {
             Kind::Submit => drop(self.submitted.insert(job, ())),
-            Kind::Cancel => drop(self.cancel_asked.insert(job, ())),
+            Kind::Cancel => drop(self.cancel_requested.insert(job, ())),
             Kind::Query => {}
         }
-        let before = self.reported(job);
-        Question {
+        let reported_before = self.reported(job);
+        UserRequest {
             kind,
             job,
-            node,
-            before,
+            controller,
+            reported_before,
         }
     }
 
-    /// Whether the user of a job, or of a dependency, has cancelled it.
+    /// Whether a user has requested to cancel the job or a job that it depends on.
     fn is_cancel_requested(&self, job: u8) -> bool {
-        let needed = || dependency_of(job).is_some_and(|needed| self.is_cancel_requested(needed));
-        self.cancel_asked.contains_key(&job) || needed()
+        let dependency =
+            || dependency_of(job).is_some_and(|dependency| self.is_cancel_requested(dependency));
+        self.cancel_requested.contains_key(&job) || dependency()
     }
 
-    /// A user is answered. Returns what is news to users.
-    pub(crate) fn answered(
+    /// Checks an answer to a user. Returns the state if it has not been reported before.
+    pub(crate) fn check_answer(
         &mut self,
-        question: &Question,
+        request: &UserRequest,
         answer: &PeerAnswer,
         store: &Store,
     ) -> Option<ReportedState> {
         match answer.status {
-            200 | 201 => self.check_statement(question, answer, store),
+            200 | 201 => self.check_state(request, answer, store),
             400 | 404 | 422 => {
-                check_denial(question, answer.status);
+                check_denial(request, answer.status);
                 None
             }
             503 => None,
-            other => panic!("{question:?}: status {other}"),
+            other => panic!("{request:?}: unexpected status {other}"),
         }
     }
 
-    /// An answer that names a state agrees with the records and with earlier answers.
-    fn check_statement(
+    /// Checks that an answer with a state agrees with the records and with earlier answers.
+    fn check_state(
         &mut self,
-        question: &Question,
+        request: &UserRequest,
         answer: &PeerAnswer,
         store: &Store,
     ) -> Option<ReportedState> {
         let state = state_in(answer);
-        let job = question.job;
+        let job = request.job;
         assert!(
             can_run(job) && self.submitted.contains_key(&job),
-            "invented: {question:?} is told {state:?}"
+            "never submitted or can't run: {request:?} is answered {state:?}"
         );
-        assert_recorded(question, state, store);
-        if question.kind == Kind::Cancel {
-            assert!(state.is_final(), "{question:?} is told {state:?}");
+        assert_recorded(request, state, store);
+        if request.kind == Kind::Cancel {
+            assert!(
+                state.is_final(),
+                "not a final state: {request:?} is answered {state:?}"
+            );
         }
-        if question.before.is_some() {
-            assert_eq!(answer.status, 200, "{question:?}: is known");
+        if request.reported_before.is_some() {
+            assert_eq!(
+                answer.status, 200,
+                "{request:?}: its state had been reported"
+            );
         }
         if state == JobState::Cancelled {
-            let asked = self.is_cancel_requested(job);
-            assert!(asked, "went_back: {question:?}: no user has cancelled it");
+            let is_requested = self.is_cancel_requested(job);
+            assert!(is_requested, "{request:?}: no user has cancelled the job");
         }
-        self.record_report(question, state)
+        self.record_report(request, state)
     }
 
-    /// A state goes back neither for this user nor, once it is an end, for any other.
-    fn record_report(&mut self, question: &Question, state: JobState) -> Option<ReportedState> {
+    /// Checks that a final state never changes: neither for this user nor, once it was reported, for others.
+    fn record_report(&mut self, request: &UserRequest, state: JobState) -> Option<ReportedState> {
         let reported = match state {
             JobState::Pending | JobState::Running => ReportedState::Accepted,
             JobState::Done => ReportedState::Done,
             JobState::Cancelled => ReportedState::Cancelled,
         };
-        let went_back = match question.before {
-            Some(end @ (ReportedState::Done | ReportedState::Cancelled)) => reported != end,
+        let reverted = match request.reported_before {
+            Some(final_state @ (ReportedState::Done | ReportedState::Cancelled)) => {
+                reported != final_state
+            }
             Some(ReportedState::Accepted) | None => false,
         };
-        assert!(!went_back, "went_back: {question:?} is told {reported:?}");
-        let known = self.reported(question.job);
-        let both = known > Some(ReportedState::Accepted)
+        assert!(
+            !reverted,
+            "final state changed: {request:?} is answered {reported:?}"
+        );
+        let known = self.reported(request.job);
+        let contradicts = known > Some(ReportedState::Accepted)
             && reported > ReportedState::Accepted
             && known != Some(reported);
-        assert!(!both, "went_back: {question:?}: {known:?} and {reported:?}");
+        assert!(
+            !contradicts,
+            "two final states: {request:?}: {known:?} and {reported:?}"
+        );
         if known >= Some(reported) {
             return None;
         }
-        self.reported.insert(question.job, reported);
+        self.reported.insert(request.job, reported);
         Some(reported)
     }
 }
 
-/// The state that an answer names.
+/// The state in an answer.
 fn state_in(answer: &PeerAnswer) -> JobState {
     if let Ok(status) = serde_json::from_slice::<JobStatus>(&answer.body) {
         return status.state;
@@ -148,41 +165,61 @@
     serde_json::from_value(body["status"].clone()).expect("a state")
 }
 
-/// No state is reported before it is on record, nor before the job's dependency is.
-fn assert_recorded(question: &Question, state: JobState, store: &Store) {
-    let end = recorded_end(store, question.job);
-    let open = is_open(store, question.job);
-    if let Some(needed) = dependency_of(question.job) {
-        let known = recorded_end(store, needed).is_some() || is_open(store, needed);
-        assert!(known, "{question:?}: {needed} was never accepted");
+/// Checks that a reported state is recorded, and that the job's dependency is.
+fn assert_recorded(request: &UserRequest, state: JobState, store: &Store) {
+    let final_state = recorded_final_state(store, request.job);
+    let open = is_open(store, request.job);
+    if let Some(dependency) = dependency_of(request.job) {
+        let known = recorded_final_state(store, dependency).is_some() || is_open(store, dependency);
+        assert!(
+            known,
+            "{request:?}: dependency {dependency} was never accepted"
+        );
     }
     match state {
         JobState::Pending | JobState::Running => {
-            assert!(end.is_some() || open, "{question:?}: not on record");
+            assert!(
+                final_state.is_some() || open,
+                "no record of the job: {request:?}"
+            );
         }
-        JobState::Done => assert_eq!(end, Some(state), "not_done: {question:?}"),
-        JobState::Cancelled => assert_eq!(end, Some(state), "{question:?}: not on record"),
+        JobState::Done => assert_eq!(
+            final_state,
+            Some(state),
+            "not recorded as done: {request:?}"
+        ),
+        JobState::Cancelled => assert_eq!(
+            final_state,
+            Some(state),
+            "not recorded as cancelled: {request:?}"
+        ),
     }
 }
 
-/// Whether the record of a job is there.
+/// Whether a job has an open record.
 fn is_open(store: &Store, job: u8) -> bool {
     store.item(&open_key(&id_of(job))).is_some()
 }
 
-/// What is known is not denied, and each denial has its status.
-fn check_denial(question: &Question, status: u16) {
-    let known = question.before.is_some();
-    assert!(!known, "forgotten: {question:?} is told {status}");
-    let fits = match question.kind {
+/// Checks that a job whose state was reported is never denied, and that each denial has the right status.
+fn check_denial(request: &UserRequest, status: u16) {
+    let known = request.reported_before.is_some();
+    assert!(
+        !known,
+        "reported job is denied: {request:?} is answered {status}"
+    );
+    let is_expected = match request.kind {
         Kind::Submit => status != 404,
         Kind::Query | Kind::Cancel => status == 404,
     };
-    assert!(fits, "{question:?} is told {status}");
-    match (question.kind, question.job) {
+    assert!(
+        is_expected,
+        "wrong status: {request:?} is answered {status}"
+    );
+    match (request.kind, request.job) {
         (Kind::Submit, LACKS_A_FIELD) => assert_eq!(status, 400),
         (Kind::Submit, FITS_NO_MACHINE) => assert_eq!(status, 422),
-        // Its dependency was never accepted, or the node knows only machine types that are too small.
+        // The dependency was never accepted, or all machine types that the controller knows are too small.
         (Kind::Submit, _) => assert_eq!(status, 422),
         _ => {}
     }
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -1,169 +1,179 @@
-//! Generated schedules, and how one is played.
+//! Generates schedules and runs them.
 
 use crate::coverage::Coverage;
-use crate::jobs::{dependency_of, id_of, recorded_end, JOBS};
-use crate::parts::Fate;
+use crate::jobs::{dependency_of, id_of, recorded_final_state, JOBS};
+use crate::model::Delivery;
 use crate::rules::Kind;
-use crate::simulation::{Simulation, NODES};
+use crate::simulation::{Simulation, CONTROLLERS};
 use proptest::prelude::*;
 use proptest::strategy::Union;
 use proptest::test_runner::{RngSeed, TestRunner};
 use stairstage::protocol::job::JobState;
 use std::cell::RefCell;
 
-/// The same schedules in each run.
+/// A fixed seed: each run has the same schedules.
 const SEED: u64 = 20;
-/// Schedules of each test.
+/// Number of schedules per test.
 const CASES: u32 = 300;
-/// Steps of a schedule.
+/// Number of steps in a schedule.
 const STEPS: std::ops::Range<usize> = 50..300;
-/// Jobs below this number are accepted and end.
-const ENDING: u8 = 5;
-/// A bit for each node.
-const ALL_NODES: u8 = (1 << NODES) - 1;
+/// Jobs below this number can be accepted and reach a final state.
+const ACCEPTED_JOBS: u8 = 5;
+/// One bit for each controller.
+const ALL_CONTROLLERS: u8 = (1 << CONTROLLERS) - 1;
 
-/// What happens next.
+/// A step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask(Kind, u8, usize),
-    /// One of those that wait is answered, or not.
-    Advance(u8, Fate),
-    /// The batcher of a node ticks.
+    UserRequest(Kind, u8, usize),
+    /// Resumes one of the waiting operations.
+    Advance(u8, Delivery),
+    /// The batcher of a controller ticks.
     Tick(usize),
-    LateWrite(u8),
+    ApplyDelayedWrite(u8),
     DeliverToLeader(u8),
-    LeaderEndsJob(u8, Fate),
-    Depose,
+    LeaderFinishesJob(u8, Delivery),
+    ExpireLease,
     Elect(usize),
-    Follow(usize),
-    /// The state service refuses the nodes whose bits are set.
-    Refuse(u8),
-    /// A node learns of other machine types.
+    LearnLeader(usize),
+    /// The state service rejects the controllers whose bits are set.
+    Reject(u8),
+    /// A controller gets a list of machine types: too small ones, or the usual ones.
     Types(usize, bool),
 }
 
-/// The weights of the kinds of faults in a schedule.
+/// The weights of the steps and faults in a schedule.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
-    pub answer_lost: u32,
-    pub late: u32,
-    pub lost: u32,
-    pub refused: u32,
-    /// The state service refuses nodes for a while.
-    pub refusals: u32,
-    pub ends: u32,
+    pub response_lost: u32,
+    pub delayed: u32,
+    pub request_lost: u32,
+    pub rejected: u32,
+    /// The state service rejects controllers for a while.
+    pub rejection_periods: u32,
+    /// The leader records the final state of a job.
+    pub final_writes: u32,
     pub cancellations: u32,
-    /// Whether users query all nodes at once whenever a new state is reported.
-    pub close_looks: bool,
+    /// Whether users query all controllers, and repeat the submission, after each reported state change.
+    pub ask_after_each_change: bool,
     /// Requests about jobs that are never accepted, and changes of the machine types.
-    pub odd: u32,
-    /// Changes of leader that not all nodes learn of at once.
+    pub invalid_jobs: u32,
+    /// Changes of the leader that not all controllers learn at once.
     pub elections: u32,
 }
 
 impl Default for Faults {
     fn default() -> Faults {
         Faults {
-            answer_lost: 2,
-            late: 2,
-            lost: 1,
-            refused: 1,
-            refusals: 1,
-            ends: 3,
+            response_lost: 2,
+            delayed: 2,
+            request_lost: 1,
+            rejected: 1,
+            rejection_periods: 1,
+            final_writes: 3,
             cancellations: 4,
-            close_looks: false,
-            odd: 1,
+            ask_after_each_change: false,
+            invalid_jobs: 1,
             elections: 1,
         }
     }
 }
 
-/// One of the jobs that may be accepted; most requests meet at the same few.
+/// One of the jobs that may be accepted. Most requests are about the first two, so that they overlap.
 fn accepted_job() -> impl Strategy<Value = u8> {
-    prop_oneof![4 => 0..2u8, 1 => 2..ENDING]
+    prop_oneof![4 => 0..2u8, 1 => 2..ACCEPTED_JOBS]
 }
 
-/// One of these, each as often as its share says; those without a share never.
+/// One of the options by their weights; an option of weight 0 never occurs.
 fn any_of<T: std::fmt::Debug>(options: Vec<(u32, BoxedStrategy<T>)>) -> Union<BoxedStrategy<T>> {
     Union::new_weighted(
         options
             .into_iter()
-            .filter(|(share, _)| *share > 0)
+            .filter(|(weight, _)| *weight > 0)
             .collect(),
     )
 }
 
-/// None, one, or all, as bits.
-fn refused_nodes() -> impl Strategy<Value = u8> {
-    let one = (0..NODES).prop_map(|node| 1 << node);
-    prop_oneof![1 => Just(0), 2 => one, 2 => Just(ALL_NODES)]
+/// No controller, one, or all, as bits.
+fn rejected_controllers() -> impl Strategy<Value = u8> {
+    let one = (0..CONTROLLERS).prop_map(|controller| 1 << controller);
+    prop_oneof![1 => Just(0), 2 => one, 2 => Just(ALL_CONTROLLERS)]
 }
 
 impl Faults {
-    /// Users ask, cancel and submit again, and no job ends.
+    /// No faults: users submit, query and cancel, and the leader records no final state.
     pub(crate) const NONE: Faults = Faults {
-        answer_lost: 0,
-        late: 0,
-        lost: 0,
-        refused: 0,
-        refusals: 0,
-        ends: 0,
+        response_lost: 0,
+        delayed: 0,
+        request_lost: 0,
+        rejected: 0,
+        rejection_periods: 0,
+        final_writes: 0,
         cancellations: 1,
-        close_looks: false,
-        odd: 0,
+        ask_after_each_change: false,
+        invalid_jobs: 0,
         elections: 0,
     };
 
-    /// What becomes of a call.
-    fn fate(self) -> impl Strategy<Value = Fate> {
+    /// How a call is delivered.
+    fn delivery(self) -> impl Strategy<Value = Delivery> {
         any_of(vec![
-            (20, Just(Fate::Answered).boxed()),
-            (self.answer_lost, Just(Fate::AnswerLost).boxed()),
-            (self.late, Just(Fate::Late).boxed()),
-            (self.lost, Just(Fate::Lost).boxed()),
-            (self.refused, Just(Fate::Refused).boxed()),
+            (20, Just(Delivery::Answered).boxed()),
+            (self.response_lost, Just(Delivery::ResponseLost).boxed()),
+            (self.delayed, Just(Delivery::Delayed).boxed()),
+            (self.request_lost, Just(Delivery::RequestLost).boxed()),
+            (self.rejected, Just(Delivery::Rejected).boxed()),
         ])
     }
 
-    /// A user asks for something.
-    fn ask(self) -> impl Strategy<Value = Step> {
+    /// A user's request to one of the controllers.
+    fn user_request(self) -> impl Strategy<Value = Step> {
         let kind = prop_oneof![
             5 => Just(Kind::Submit),
             6 => Just(Kind::Query),
             self.cancellations => Just(Kind::Cancel),
         ];
-        let odd = (self.odd, (ENDING..JOBS).boxed());
-        let job = any_of(vec![(10, accepted_job().boxed()), odd]);
-        (kind, job, 0..NODES).prop_map(|(kind, job, node)| Step::Ask(kind, job, node))
+        let invalid_jobs = (self.invalid_jobs, (ACCEPTED_JOBS..JOBS).boxed());
+        let job = any_of(vec![(10, accepted_job().boxed()), invalid_jobs]);
+        (kind, job, 0..CONTROLLERS)
+            .prop_map(|(kind, job, controller)| Step::UserRequest(kind, job, controller))
     }
 
     /// Any step.
     fn step(self) -> impl Strategy<Value = Step> {
-        let nodes = || 0..NODES;
-        let advance = (any::<u8>(), self.fate()).prop_map(|(pick, fate)| Step::Advance(pick, fate));
-        let end =
-            (accepted_job(), self.fate()).prop_map(|(job, fate)| Step::LeaderEndsJob(job, fate));
-        let types = (nodes(), any::<bool>()).prop_map(|(node, small)| Step::Types(node, small));
+        let controllers = || 0..CONTROLLERS;
+        let advance = (any::<u8>(), self.delivery())
+            .prop_map(|(pick, delivery)| Step::Advance(pick, delivery));
+        let finish = (accepted_job(), self.delivery())
+            .prop_map(|(job, delivery)| Step::LeaderFinishesJob(job, delivery));
+        let types = (controllers(), any::<bool>())
+            .prop_map(|(controller, small)| Step::Types(controller, small));
         any_of(vec![
-            (10, self.ask().boxed()),
+            (10, self.user_request().boxed()),
             (30, advance.boxed()),
-            (3, nodes().prop_map(Step::Tick).boxed()),
-            (3, any::<u8>().prop_map(Step::LateWrite).boxed()),
+            (3, controllers().prop_map(Step::Tick).boxed()),
+            (3, any::<u8>().prop_map(Step::ApplyDelayedWrite).boxed()),
             (4, accepted_job().prop_map(Step::DeliverToLeader).boxed()),
-            (self.ends, end.boxed()),
-            (self.elections, Just(Step::Depose).boxed()),
-            (2 * self.elections, nodes().prop_map(Step::Elect).boxed()),
-            (self.elections, nodes().prop_map(Step::Follow).boxed()),
-            (self.odd, types.boxed()),
+            (self.final_writes, finish.boxed()),
+            (self.elections, Just(Step::ExpireLease).boxed()),
             (
-                self.refusals,
-                refused_nodes().prop_map(Step::Refuse).boxed(),
+                2 * self.elections,
+                controllers().prop_map(Step::Elect).boxed(),
+            ),
+            (
+                self.elections,
+                controllers().prop_map(Step::LearnLeader).boxed(),
+            ),
+            (self.invalid_jobs, types.boxed()),
+            (
+                self.rejection_periods,
+                rejected_controllers().prop_map(Step::Reject).boxed(),
             ),
         ])
     }
 
-    /// Plays many schedules; returns what they have covered.
-    pub(crate) fn play(self) -> Coverage {
+    /// Runs many schedules; returns what they have covered.
+    pub(crate) fn run(self) -> Coverage {
         let coverage = RefCell::new(Coverage::default());
         let mut runner = TestRunner::new(ProptestConfig {
             rng_seed: RngSeed::Fixed(SEED),
@@ -172,11 +182,11 @@
             ..ProptestConfig::default()
         });
         let steps = prop::collection::vec(self.step(), STEPS);
-        let played = runner.run(&steps, |steps| {
-            *coverage.borrow_mut() += play(&steps, self.close_looks);
+        let result = runner.run(&steps, |steps| {
+            *coverage.borrow_mut() += run_schedule(&steps, self.ask_after_each_change);
             Ok(())
         });
-        if let Err(error) = played {
+        if let Err(error) = result {
             panic!("{error}");
         }
         coverage.into_inner()
@@ -186,58 +196,58 @@
 /// Carries out one step.
 fn carry_out_step(simulation: &mut Simulation, step: &Step) {
     match *step {
-        Step::Ask(kind, job, node) => simulation.ask(kind, job, node),
-        Step::Advance(pick, fate) => simulation.advance(pick, fate),
-        Step::Tick(node) => simulation.tick(node),
-        Step::LateWrite(pick) => simulation.late_write(pick),
+        Step::UserRequest(kind, job, controller) => simulation.send_request(kind, job, controller),
+        Step::Advance(pick, delivery) => simulation.advance(pick, delivery),
+        Step::Tick(controller) => simulation.tick(controller),
+        Step::ApplyDelayedWrite(pick) => simulation.apply_delayed_write(pick),
         Step::DeliverToLeader(job) => simulation.deliver_to_leader(job),
-        Step::LeaderEndsJob(job, fate) => simulation.leader_ends_job(job, fate),
-        Step::Depose => simulation.depose(),
-        Step::Elect(node) => simulation.elect(node),
-        Step::Follow(node) => simulation.follow(node),
-        Step::Refuse(bits) => simulation.refuse(bits),
-        Step::Types(node, small) => simulation.nodes[node].small_types = small,
+        Step::LeaderFinishesJob(job, delivery) => simulation.leader_finishes_job(job, delivery),
+        Step::ExpireLease => simulation.expire_lease(),
+        Step::Elect(controller) => simulation.elect(controller),
+        Step::LearnLeader(controller) => simulation.learn_leader(controller),
+        Step::Reject(bits) => simulation.reject(bits),
+        Step::Types(controller, small) => simulation.controllers[controller].small_types = small,
     }
 }
 
-/// Plays a schedule to its end, and checks what is known then.
-fn play(steps: &[Step], close_looks: bool) -> Coverage {
+/// Runs a schedule, ends all faults, and checks that every accepted job is still known.
+fn run_schedule(steps: &[Step], ask_after_each_change: bool) -> Coverage {
     let mut simulation = Simulation::new();
-    simulation.close_looks = close_looks;
+    simulation.ask_after_each_change = ask_after_each_change;
     steps
         .iter()
         .for_each(|step| carry_out_step(&mut simulation, step));
     simulation.settle();
-    every_accepted_job_is_known(&mut simulation);
+    assert_every_accepted_job_is_known(&mut simulation);
     simulation.coverage
 }
 
-/// Once the faults are over, every node knows every job that was accepted, accepts its submission again
-/// and cancels it, if it has not ended.
-fn every_accepted_job_is_known(simulation: &mut Simulation) {
+/// Checks that, once the faults are over, every controller answers queries, repeated submissions and
+/// cancellations of every job whose state was reported.
+fn assert_every_accepted_job_is_known(simulation: &mut Simulation) {
     for job in 0..JOBS {
         for kind in [Kind::Query, Kind::Submit, Kind::Cancel] {
-            let is_reported = simulation.ledger.reported(job).is_some()
+            let is_reported = simulation.checker.reported(job).is_some()
                 && !is_dependency_cancelled(simulation, job);
             let before = simulation.coverage.answers(kind, 200);
-            (0..NODES).for_each(|node| simulation.ask(kind, job, node));
+            (0..CONTROLLERS).for_each(|controller| simulation.send_request(kind, job, controller));
             simulation.finish_all();
             let known = simulation.coverage.answers(kind, 200) - before;
             assert!(
-                !is_reported || known == NODES,
-                "forgotten: {kind:?} {}",
+                !is_reported || known == CONTROLLERS,
+                "reported job is not known to all controllers: {kind:?} {}",
                 id_of(job)
             );
         }
     }
 }
 
-/// Whether a dependency is cancelled, and the end of the job itself is not on record yet.
+/// Whether a dependency is cancelled, and the job has no final state on record yet.
 fn is_dependency_cancelled(simulation: &Simulation, job: u8) -> bool {
-    let end = |job| recorded_end(&simulation.store, job);
-    let needed = dependency_of(job);
-    end(job).is_none()
-        && needed.is_some_and(|n| {
-            end(n) == Some(JobState::Cancelled) || is_dependency_cancelled(simulation, n)
+    let final_state = |job| recorded_final_state(&simulation.store, job);
+    let dependency = dependency_of(job);
+    final_state(job).is_none()
+        && dependency.is_some_and(|n| {
+            final_state(n) == Some(JobState::Cancelled) || is_dependency_cancelled(simulation, n)
         })
 }
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -1,10 +1,12 @@
-//! Several nodes that serve requests, the state service, and a leader whose state lags behind it.
+//! Simulates controllers that serve requests, the state service, and a leader whose state lags behind it.
 
 use crate::common::{self, Refusal, Store};
 use crate::coverage::Coverage;
-use crate::jobs::{body_of, dependency_of, id_of, recorded_end, JOBS, NEVER_SUBMITTED};
-use crate::parts::{Fate, LateWrite, Leader, Machine, Node, Origin, Running, Waiting};
-use crate::rules::{Kind, Ledger, Question, ReportedState};
+use crate::jobs::{body_of, dependency_of, id_of, recorded_final_state, JOBS, NEVER_SUBMITTED};
+use crate::model::{
+    ActiveOperation, Controller, DelayedWrite, Delivery, Leader, Operation, Recipient, Waiting,
+};
+use crate::rules::{AnswerChecker, Kind, ReportedState, UserRequest};
 use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
     Answer, Context, PeerAnswer, Request, RequestEffect, RequestEvent, StoreAnswer, StoreCall,
@@ -18,46 +20,46 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Controllers that users ask.
-pub(crate) const NODES: usize = 3;
-/// Ends that a node remembers: few, so that some are forgotten.
-const ENDS_KEPT: usize = 3;
+/// Number of controllers.
+pub(crate) const CONTROLLERS: usize = 3;
+/// Final states that a controller keeps in memory: few, so that some are evicted.
+const MAX_FINAL_STATES: usize = 3;
 
-/// Nodes, their requests and the state service.
+/// Controllers, their requests and the state service.
 pub(crate) struct Simulation {
     pub store: Store,
-    pub nodes: Vec<Node>,
-    pub ledger: Ledger,
+    pub controllers: Vec<Controller>,
+    pub checker: AnswerChecker,
     pub coverage: Coverage,
-    /// Whether users query all nodes, and repeat the submission, whenever a new state is reported.
-    pub close_looks: bool,
+    /// Whether users query all controllers, and repeat the submission, after each reported state change.
+    pub ask_after_each_change: bool,
     pub leader: Option<Leader>,
     pub settings: Arc<Settings>,
-    running: BTreeMap<u64, Running>,
-    late: Vec<LateWrite>,
+    running: BTreeMap<u64, ActiveOperation>,
+    delayed: Vec<DelayedWrite>,
     counter: u64,
-    /// The batchers' clock.
+    /// The clock of the batchers, in seconds.
     now: f64,
 }
 
-/// The name of a node.
-pub(crate) fn name_of(node: usize) -> String {
-    format!("n{node}")
+/// The name of a controller.
+pub(crate) fn name_of(controller: usize) -> String {
+    format!("n{controller}")
 }
 
-/// The node of a name.
+/// The index of the controller with this name.
 fn number_of(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
 
 /// Seconds from one tick of a batcher to the next.
 const TICK_S: f64 = 0.05;
-/// A node that could not ask the state service tries again within so many seconds.
-const MOMENT_S: f64 = 1.0;
-/// Keys in a page of a list: few, so that there are several pages.
+/// A controller that the state service rejected tries again within this time, in seconds.
+const REJECTION_RETRY_S: f64 = 1.0;
+/// Keys per page of a listing: few, so that there are several pages.
 const PAGE: usize = 2;
 
-/// The job of an id, if there is one.
+/// The job number in an id, if it has one.
 fn job_of(id: &str) -> Option<u8> {
     id.strip_prefix("req-")?.parse().ok()
 }
@@ -65,10 +67,10 @@
 impl Simulation {
     pub(crate) fn new() -> Simulation {
         let settings = Arc::new(Settings::parse("test", common::SETTINGS).unwrap());
-        let node = |_| Node {
-            ends: RecentFinalStates::new(ENDS_KEPT),
+        let controller = |_| Controller {
+            final_states: RecentFinalStates::new(MAX_FINAL_STATES),
             leader: Some(0),
-            refused: false,
+            rejected: false,
             small_types: false,
             batcher: PollBatcher::new(Limits::of(&settings)),
             polls: BTreeMap::new(),
@@ -76,421 +78,465 @@
         };
         let mut simulation = Simulation {
             store: Store::default(),
-            nodes: (0..NODES).map(node).collect(),
-            ledger: Ledger::default(),
+            controllers: (0..CONTROLLERS).map(controller).collect(),
+            checker: AnswerChecker::default(),
             coverage: Coverage::default(),
-            close_looks: false,
+            ask_after_each_change: false,
             leader: None,
             settings,
             now: 0.0,
             running: BTreeMap::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             counter: 0,
         };
         simulation.elect(0);
         simulation
     }
 
-    /// What a request finds at a node.
-    fn context(&self, node: usize, from_peer: bool) -> Context {
+    /// The context of a request at a controller.
+    fn context(&self, controller: usize, from_peer: bool) -> Context {
         let mut machine_type = common::machine_type();
-        if self.nodes[node].small_types {
+        if self.controllers[controller].small_types {
             machine_type.cpus = 0.5;
         }
         Context {
             settings: self.settings.clone(),
             machine_types: Arc::new(vec![machine_type]),
             write_fence: WriteFence::Unstaged,
-            peers: (0..NODES).filter(|i| *i != node).map(name_of).collect(),
+            peers: (0..CONTROLLERS)
+                .filter(|i| *i != controller)
+                .map(name_of)
+                .collect(),
             from_peer,
             now_ms: 0,
         }
     }
 
-    /// A user sends a request to a node.
-    pub(crate) fn ask(&mut self, kind: Kind, job: u8, node: usize) {
+    /// A user sends a request to a controller.
+    pub(crate) fn send_request(&mut self, kind: Kind, job: u8, controller: usize) {
         if kind == Kind::Submit && job == NEVER_SUBMITTED {
             return;
         }
-        let question = self.ledger.asks(kind, job, node);
-        self.coverage.asked(&question);
-        self.begin(kind, job, node, Origin::User(question));
+        let request = self.checker.request_sent(kind, job, controller);
+        self.coverage.count_request(&request);
+        self.start_request(kind, job, controller, Recipient::User(request));
     }
 
-    /// A request begins at a node; returns its key.
-    fn begin(&mut self, kind: Kind, job: u8, node: usize, origin: Origin) -> u64 {
-        let context = self.context(node, !matches!(origin, Origin::User(_)));
+    /// Starts a request at a controller; returns its key.
+    fn start_request(
+        &mut self,
+        kind: Kind,
+        job: u8,
+        controller: usize,
+        recipient: Recipient,
+    ) -> u64 {
+        let context = self.context(controller, !matches!(recipient, Recipient::User(_)));
         let (request, effects) = match kind {
             Kind::Submit => Request::submission(&body_of(job), context),
             Kind::Query => Request::query(id_of(job), context),
             Kind::Cancel => Request::cancellation(id_of(job), context),
         };
-        let machine = Machine::Request(Box::new(request), kind, origin);
-        self.run(node, Some(job), machine, |simulation, key| {
+        let operation = Operation::Request(Box::new(request), kind, recipient);
+        self.start_operation(controller, Some(job), operation, |simulation, key| {
             simulation.request_effects(key, effects);
         })
     }
 
-    /// A machine begins at a node with what it does first; returns its key.
-    fn run(
+    /// Adds an operation at a controller and runs its first step; returns its key.
+    fn start_operation(
         &mut self,
-        node: usize,
+        controller: usize,
         job: Option<u8>,
-        machine: Machine,
+        operation: Operation,
         first: impl FnOnce(&mut Simulation, u64),
     ) -> u64 {
         self.counter += 1;
         let key = self.counter;
-        let running = Running {
-            node,
+        let running = ActiveOperation {
+            controller,
             job,
-            machine,
-            waiting: Waiting::Child,
+            operation,
+            waiting: Waiting::Forwarded,
         };
         self.running.insert(key, running);
         first(self, key);
         key
     }
 
-    /// Carries out what a request asks for, up to what it waits for.
+    /// Carries out the effects of a request, and notes what it waits for.
     fn request_effects(&mut self, key: u64, effects: Vec<RequestEffect>) {
         for effect in effects {
-            let node = self.running[&key].node;
+            let controller = self.running[&key].controller;
             match effect {
                 RequestEffect::ReadLocalView => self.wait(key, Waiting::LocalView),
                 RequestEffect::Store(call) => self.wait(key, Waiting::Store(call)),
                 RequestEffect::Forward(peer) => self.wait(key, Waiting::Peer(number_of(&peer))),
                 RequestEffect::JobAccepted { record, version } => {
-                    self.job_accepted(node, *record, version);
+                    self.job_accepted(controller, *record, version);
                 }
                 RequestEffect::JobEndRecorded(state) => {
                     let job = self.running[&key].job.unwrap();
-                    self.job_end_recorded(node, job, state);
+                    self.job_end_recorded(controller, job, state);
                 }
                 RequestEffect::ReadRecords(poll) => {
-                    let origin = self.finish(key);
-                    self.enqueue_poll(node, poll, origin);
+                    let recipient = self.finish(key);
+                    self.enqueue_poll(controller, poll, recipient);
                 }
                 RequestEffect::Answer(answer) => {
-                    let origin = self.finish(key);
-                    self.answer(origin, answer);
+                    let recipient = self.finish(key);
+                    self.answer(recipient, answer);
                 }
             }
         }
     }
 
-    /// A request goes on as a poll of its node.
-    fn enqueue_poll(&mut self, node: usize, poll: Poll, origin: Origin) {
+    /// Hands a query to its controller's poll batcher.
+    fn enqueue_poll(&mut self, controller: usize, poll: Poll, recipient: Recipient) {
         self.counter += 1;
         let (number, now) = (self.counter, self.now);
         let job = job_of(&poll.job).unwrap();
-        let node_parts = &mut self.nodes[node];
-        node_parts.polls.insert(number, (job, origin));
-        let effects = node_parts.batcher.enqueue(number, poll, now);
-        self.batcher_effects(node, effects);
+        let controller_state = &mut self.controllers[controller];
+        controller_state.polls.insert(number, (job, recipient));
+        let effects = controller_state.batcher.enqueue(number, poll, now);
+        self.batcher_effects(controller, effects);
     }
 
-    /// Carries out what a batcher asks for.
-    fn batcher_effects(&mut self, node: usize, effects: Vec<PollEffect>) {
+    /// Carries out the effects of a poll batcher.
+    fn batcher_effects(&mut self, controller: usize, effects: Vec<PollEffect>) {
         for effect in effects {
             match effect {
                 PollEffect::Store(call) => {
-                    self.run(node, None, Machine::Batch, |simulation, key| {
+                    self.start_operation(controller, None, Operation::Batch, |simulation, key| {
                         simulation.wait(key, Waiting::Store(call));
                     });
                 }
-                PollEffect::JobEndsRecorded(ends) => {
-                    for (id, state) in ends {
-                        self.job_end_recorded(node, job_of(&id).unwrap(), state);
+                PollEffect::JobEndsRecorded(final_states) => {
+                    for (id, state) in final_states {
+                        self.job_end_recorded(controller, job_of(&id).unwrap(), state);
                     }
                 }
                 PollEffect::Answer(number, answer) => {
-                    let (_, origin) = self.nodes[node].polls.remove(&number).unwrap();
-                    self.answer(origin, answer);
+                    let (_, recipient) =
+                        self.controllers[controller].polls.remove(&number).unwrap();
+                    self.answer(recipient, answer);
                 }
                 PollEffect::Forward(number) => {
-                    let (job, origin) = self.nodes[node].polls.remove(&number).unwrap();
-                    self.forward_poll(node, job, origin);
+                    let (job, recipient) =
+                        self.controllers[controller].polls.remove(&number).unwrap();
+                    self.forward_poll(controller, job, recipient);
                 }
             }
         }
     }
 
-    /// A poll for which the state service refuses its node.
-    fn forward_poll(&mut self, node: usize, job: u8, origin: Origin) {
-        let context = self.context(node, !matches!(origin, Origin::User(_)));
+    /// Forwards a poll that the state service rejected to the peers.
+    fn forward_poll(&mut self, controller: usize, job: u8, recipient: Recipient) {
+        let context = self.context(controller, !matches!(recipient, Recipient::User(_)));
         let (request, effects) = Request::refused_query(id_of(job), context);
-        let machine = Machine::Request(Box::new(request), Kind::Query, origin);
-        self.run(node, Some(job), machine, |simulation, key| {
+        let operation = Operation::Request(Box::new(request), Kind::Query, recipient);
+        self.start_operation(controller, Some(job), operation, |simulation, key| {
             simulation.request_effects(key, effects);
         });
     }
 
-    /// A machine waits until a step lets it go on.
+    /// Makes an operation wait until a step resumes it.
     fn wait(&mut self, key: u64, waiting: Waiting) {
         self.running.get_mut(&key).unwrap().waiting = waiting;
     }
 
-    /// A request is over; returns who gets its answer.
-    fn finish(&mut self, key: u64) -> Origin {
-        let running = self.running.remove(&key).expect("runs");
-        self.coverage.finished(key);
-        match running.machine {
-            Machine::Request(_, _, origin) => origin,
-            Machine::Batch => Origin::Nobody,
+    /// Removes a finished operation; returns who gets its answer.
+    fn finish(&mut self, key: u64) -> Recipient {
+        let running = self
+            .running
+            .remove(&key)
+            .expect("the operation is in progress");
+        self.coverage.request_finished(key);
+        match running.operation {
+            Operation::Request(_, _, recipient) => recipient,
+            Operation::Batch => Recipient::Nobody,
         }
     }
 
-    /// An answer goes to whoever asked.
-    fn answer(&mut self, origin: Origin, answer: Answer) {
+    /// Delivers an answer to its recipient.
+    fn answer(&mut self, recipient: Recipient, answer: Answer) {
         let answer = PeerAnswer::from(answer);
-        match origin {
-            Origin::User(question) => self.tell(&question, &answer),
-            Origin::Request(key) => self.peer_answered(key, Some(answer)),
-            Origin::Nobody => {}
+        match recipient {
+            Recipient::User(request) => self.answer_user(&request, &answer),
+            Recipient::Request(key) => self.peer_answered(key, Some(answer)),
+            Recipient::Nobody => {}
         }
     }
 
-    /// A user gets an answer, which is checked.
-    fn tell(&mut self, question: &Question, answer: &PeerAnswer) {
-        self.coverage.answered(question, answer);
-        let news = self.ledger.answered(question, answer, &self.store);
-        if self.close_looks && news.is_some() {
-            (0..NODES).for_each(|node| self.ask(Kind::Query, question.job, node));
-            self.ask(Kind::Submit, question.job, (question.node + 1) % NODES);
-            if news == Some(ReportedState::Accepted) && question.job % 2 == 0 {
-                self.ask(Kind::Cancel, question.job, (question.node + 2) % NODES);
+    /// Checks an answer and delivers it to the user.
+    fn answer_user(&mut self, request: &UserRequest, answer: &PeerAnswer) {
+        self.coverage.count_answer(request, answer);
+        let new_state = self.checker.check_answer(request, answer, &self.store);
+        if self.ask_after_each_change && new_state.is_some() {
+            (0..CONTROLLERS)
+                .for_each(|controller| self.send_request(Kind::Query, request.job, controller));
+            self.send_request(
+                Kind::Submit,
+                request.job,
+                (request.controller + 1) % CONTROLLERS,
+            );
+            if new_state == Some(ReportedState::Accepted) && request.job % 2 == 0 {
+                self.send_request(
+                    Kind::Cancel,
+                    request.job,
+                    (request.controller + 2) % CONTROLLERS,
+                );
             }
         }
     }
 
-    /// A request hears from another node, or does not.
+    /// A forwarded request is answered, or times out.
     fn peer_answered(&mut self, key: u64, answer: Option<PeerAnswer>) {
-        self.on(key, RequestEvent::Peer(answer));
+        self.on_event(key, RequestEvent::Peer(answer));
     }
 
-    /// A machine goes on with an event.
-    fn on(&mut self, key: u64, event: RequestEvent) {
-        match (&mut self.running.get_mut(&key).unwrap().machine, event) {
-            (Machine::Request(request, ..), event) => {
+    /// Passes an event to an operation.
+    fn on_event(&mut self, key: u64, event: RequestEvent) {
+        match (&mut self.running.get_mut(&key).unwrap().operation, event) {
+            (Operation::Request(request, ..), event) => {
                 let effects = request.on_event(event);
                 assert!(
                     !effects.is_empty(),
-                    "a request goes on until it is answered"
+                    "an unanswered request has a next effect"
                 );
                 self.request_effects(key, effects);
             }
-            (Machine::Batch, RequestEvent::Store(answer)) => {
-                let node = self.running[&key].node;
+            (Operation::Batch, RequestEvent::Store(answer)) => {
+                let controller = self.running[&key].controller;
                 self.finish(key);
-                let effects = self.nodes[node].batcher.on_answer(answer, self.now);
-                self.batcher_effects(node, effects);
+                let effects = self.controllers[controller]
+                    .batcher
+                    .on_answer(answer, self.now);
+                self.batcher_effects(controller, effects);
             }
-            (Machine::Batch, event) => panic!("{event:?} for a batcher"),
+            (Operation::Batch, event) => panic!("unexpected event for a batcher: {event:?}"),
         }
     }
 
-    /// One of those that wait is answered, or not.
-    pub(crate) fn advance(&mut self, pick: u8, fate: Fate) {
-        let waits = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Child);
-        let keys: Vec<u64> = self.running.keys().filter(waits).copied().collect();
+    /// Resumes one of the waiting operations, picked by number.
+    pub(crate) fn advance(&mut self, pick: u8, delivery: Delivery) {
+        let is_waiting = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Forwarded);
+        let keys: Vec<u64> = self.running.keys().filter(is_waiting).copied().collect();
         if !keys.is_empty() {
-            self.resume(keys[pick as usize % keys.len()], fate);
+            self.resume(keys[pick as usize % keys.len()], delivery);
         }
     }
 
-    /// What a machine waits for comes about, or fails.
-    fn resume(&mut self, key: u64, fate: Fate) {
+    /// Resumes an operation: what it waits for succeeds or fails.
+    fn resume(&mut self, key: u64, delivery: Delivery) {
         let running = self.running.get_mut(&key).unwrap();
-        let (node, job) = (running.node, running.job);
-        match std::mem::replace(&mut running.waiting, Waiting::Child) {
+        let (controller, job) = (running.controller, running.job);
+        match std::mem::replace(&mut running.waiting, Waiting::Forwarded) {
             Waiting::LocalView => {
-                let view = (fate != Fate::Refused).then(|| self.locate(node, job.unwrap()));
-                self.on(key, RequestEvent::LocalView(view));
+                let view = (delivery != Delivery::Rejected)
+                    .then(|| self.local_view(controller, job.unwrap()));
+                self.on_event(key, RequestEvent::LocalView(view));
             }
             Waiting::Store(call) => {
-                let answer = self.store_answer(key, node, call, fate);
-                self.on(key, RequestEvent::Store(answer));
+                let answer = self.store_answer(key, controller, call, delivery);
+                self.on_event(key, RequestEvent::Store(answer));
             }
-            Waiting::Peer(peer) => self.forward(key, peer, job.unwrap(), fate),
-            Waiting::Child => {}
+            Waiting::Peer(peer) => self.forward(key, peer, job.unwrap(), delivery),
+            Waiting::Forwarded => {}
         }
     }
 
-    /// A request is handed on to another node.
-    fn forward(&mut self, key: u64, peer: usize, job: u8, fate: Fate) {
-        let Machine::Request(_, kind, _) = self.running[&key].machine else {
-            panic!("only requests are handed on");
+    /// Forwards a request to a peer.
+    fn forward(&mut self, key: u64, peer: usize, job: u8, delivery: Delivery) {
+        let Operation::Request(_, kind, _) = self.running[&key].operation else {
+            panic!("only requests are forwarded");
         };
-        match fate {
-            Fate::Answered => {
+        match delivery {
+            Delivery::Answered => {
                 self.coverage.forwarded += 1;
-                self.begin(kind, job, peer, Origin::Request(key));
+                self.start_request(kind, job, peer, Recipient::Request(key));
             }
-            Fate::AnswerLost | Fate::Late => {
-                self.begin(kind, job, peer, Origin::Nobody);
+            Delivery::ResponseLost | Delivery::Delayed => {
+                self.start_request(kind, job, peer, Recipient::Nobody);
                 self.peer_answered(key, None);
             }
-            Fate::Lost | Fate::Refused => self.peer_answered(key, None),
+            Delivery::RequestLost | Delivery::Rejected => self.peer_answered(key, None),
         }
     }
 
-    /// What the state service answers to a call.
-    fn store_answer(&mut self, by: u64, node: usize, call: StoreCall, fate: Fate) -> StoreAnswer {
-        let refused = self.nodes[node].refused || fate == Fate::Refused;
+    /// The response of the state service to a call.
+    fn store_answer(
+        &mut self,
+        sender: u64,
+        controller: usize,
+        call: StoreCall,
+        delivery: Delivery,
+    ) -> StoreAnswer {
+        let rejected = self.controllers[controller].rejected || delivery == Delivery::Rejected;
         match call {
             StoreCall::Read(key) => {
-                let answered = fate == Fate::Answered && !refused;
+                let answered = delivery == Delivery::Answered && !rejected;
                 if answered {
-                    self.coverage.read(&key, node);
+                    self.coverage.count_read(&key, controller);
                 }
                 let item = answered.then(|| self.store.item(&key));
                 StoreAnswer::Read(item.ok_or(Unavailable))
             }
             StoreCall::List { under, after, .. } => {
-                let answered = fate == Fate::Answered && !refused;
+                let answered = delivery == Delivery::Answered && !rejected;
                 let page = answered.then(|| self.store.page(&under, &after, PAGE));
                 StoreAnswer::Listed(page.ok_or(Unavailable))
             }
-            StoreCall::Commit(_) if refused => {
-                self.coverage.refused += 1;
+            StoreCall::Commit(_) if rejected => {
+                self.coverage.rejected += 1;
                 StoreAnswer::Committed(CommitOutcome::Rejected)
             }
             StoreCall::Commit(transaction) => {
-                StoreAnswer::Committed(self.commit(by, node, transaction, fate))
+                StoreAnswer::Committed(self.commit(sender, controller, transaction, delivery))
             }
         }
     }
 
-    /// A transaction is carried out as far as its fate allows.
+    /// Executes a transaction as its delivery says.
     pub(crate) fn commit(
         &mut self,
-        by: u64,
-        node: usize,
+        sender: u64,
+        controller: usize,
         transaction: Transaction,
-        fate: Fate,
+        delivery: Delivery,
     ) -> CommitOutcome {
-        match fate {
-            Fate::Answered => self.apply(node, &transaction),
-            Fate::AnswerLost => {
-                if let CommitOutcome::Applied(_) = self.apply(node, &transaction) {
-                    self.coverage.answer_lost(by, node, &transaction);
+        match delivery {
+            Delivery::Answered => self.apply(controller, &transaction),
+            Delivery::ResponseLost => {
+                if let CommitOutcome::Applied(_) = self.apply(controller, &transaction) {
+                    self.coverage
+                        .record_lost_response(sender, controller, &transaction);
                 }
                 CommitOutcome::Indeterminate
             }
-            Fate::Late => {
-                let applied_before = self.nodes[node].applied;
-                self.late.push(LateWrite {
+            Delivery::Delayed => {
+                let applied_before = self.controllers[controller].applied;
+                self.delayed.push(DelayedWrite {
                     transaction,
-                    node,
-                    by,
+                    controller,
+                    sender,
                     applied_before,
                 });
                 CommitOutcome::Indeterminate
             }
-            Fate::Lost => CommitOutcome::Indeterminate,
-            Fate::Refused => CommitOutcome::Rejected,
+            Delivery::RequestLost => CommitOutcome::Indeterminate,
+            Delivery::Rejected => CommitOutcome::Rejected,
         }
     }
 
-    /// A transaction is carried out if its conditions hold.
-    fn apply(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
+    /// Applies a transaction if its conditions hold.
+    fn apply(&mut self, controller: usize, transaction: &Transaction) -> CommitOutcome {
         let conflicts = self.store.conflicts(transaction);
         match self.store.commit(transaction) {
             Ok(version) => {
-                self.nodes[node].applied += usize::from(!transaction.operations.is_empty());
+                self.controllers[controller].applied +=
+                    usize::from(!transaction.operations.is_empty());
                 CommitOutcome::Applied(version)
             }
             Err(Refusal::Conflict) => CommitOutcome::Conflict(conflicts),
-            Err(Refusal::TooLarge) => panic!("too large: {transaction:?}"),
+            Err(Refusal::TooLarge) => panic!("transaction too large: {transaction:?}"),
         }
     }
 
-    /// A transaction that was given up on is carried out.
-    pub(crate) fn late_write(&mut self, pick: u8) {
-        if self.late.is_empty() {
+    /// Applies one of the delayed transactions, picked by number.
+    pub(crate) fn apply_delayed_write(&mut self, pick: u8) {
+        if self.delayed.is_empty() {
             return;
         }
-        let late = self.late.remove(pick as usize % self.late.len());
-        let is_newer = self.nodes[late.node].applied > late.applied_before;
-        let is_given_up = !self.running.contains_key(&late.by);
+        let delayed = self.delayed.remove(pick as usize % self.delayed.len());
+        let after_newer = self.controllers[delayed.controller].applied > delayed.applied_before;
+        let is_finished = !self.running.contains_key(&delayed.sender);
         let applied = matches!(
-            self.apply(late.node, &late.transaction),
+            self.apply(delayed.controller, &delayed.transaction),
             CommitOutcome::Applied(_)
         );
-        self.coverage.late_write(applied, is_newer, is_given_up);
+        self.coverage
+            .count_delayed_write(applied, after_newer, is_finished);
     }
 
-    /// The batcher of a node ticks, a while later.
-    pub(crate) fn tick(&mut self, node: usize) {
+    /// Advances the clock by one tick, and ticks a controller's batcher.
+    pub(crate) fn tick(&mut self, controller: usize) {
         self.now += TICK_S;
-        let effects = self.nodes[node].batcher.tick(self.now);
-        self.batcher_effects(node, effects);
+        let effects = self.controllers[controller].batcher.tick(self.now);
+        self.batcher_effects(controller, effects);
     }
 
-    /// All faults end: what is in flight is finished, and what was late is carried out. Nodes ask
-    /// the state service again after a moment.
+    /// Ends all faults: finishes the operations in progress, applies delayed transactions, and brings
+    /// the leader and all controllers up to date.
     pub(crate) fn settle(&mut self) {
-        self.close_looks = false;
-        self.now += MOMENT_S;
-        for node in &mut self.nodes {
-            node.refused = false;
+        self.ask_after_each_change = false;
+        self.now += REJECTION_RETRY_S;
+        for controller in &mut self.controllers {
+            controller.rejected = false;
         }
         self.finish_all();
-        while !self.late.is_empty() {
-            self.late_write(0);
+        while !self.delayed.is_empty() {
+            self.apply_delayed_write(0);
         }
         if self.leader.is_none() {
             self.elect(0);
         }
         (0..JOBS).for_each(|job| self.deliver_to_leader(job));
         for job in (0..JOBS).filter(|job| dependency_of(*job).is_some()) {
-            let needed = dependency_of(job).and_then(|n| recorded_end(&self.store, n));
-            if needed == Some(JobState::Cancelled) {
-                self.leader_ends_job(job, Fate::Answered);
+            let dependency = dependency_of(job).and_then(|n| recorded_final_state(&self.store, n));
+            if dependency == Some(JobState::Cancelled) {
+                self.leader_finishes_job(job, Delivery::Answered);
             }
         }
-        (0..NODES).for_each(|node| self.follow(node));
+        (0..CONTROLLERS).for_each(|controller| self.learn_leader(controller));
     }
 
-    /// Lets all that is in flight come to its end, with answers to all calls.
+    /// Finishes all operations in progress; all calls are answered.
     pub(crate) fn finish_all(&mut self) {
         loop {
-            (0..NODES).for_each(|node| self.tick(node));
-            let waits = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Child);
-            let keys: VecDeque<u64> = self.running.keys().filter(waits).copied().collect();
-            let idle =
-                |node: &Node| node.polls.is_empty() && node.batcher.tick_interval_s().is_none();
-            if keys.is_empty() && self.nodes.iter().all(idle) {
+            (0..CONTROLLERS).for_each(|controller| self.tick(controller));
+            let is_waiting = |r: &&u64| !matches!(self.running[r].waiting, Waiting::Forwarded);
+            let keys: VecDeque<u64> = self.running.keys().filter(is_waiting).copied().collect();
+            let is_idle = |controller: &Controller| {
+                controller.polls.is_empty() && controller.batcher.tick_interval_s().is_none()
+            };
+            if keys.is_empty() && self.controllers.iter().all(is_idle) {
                 return;
             }
             for key in keys {
-                self.resume(key, Fate::Answered);
+                self.resume(key, Delivery::Answered);
             }
         }
     }
 
-    /// The state service refuses the nodes whose bits are set.
-    pub(crate) fn refuse(&mut self, bits: u8) {
-        let before = self.nodes.iter().filter(|node| node.refused).count();
-        for (i, node) in self.nodes.iter_mut().enumerate() {
-            node.refused = bits & (1 << i) != 0;
+    /// The state service rejects the controllers whose bits are set.
+    pub(crate) fn reject(&mut self, bits: u8) {
+        let before = self
+            .controllers
+            .iter()
+            .filter(|controller| controller.rejected)
+            .count();
+        for (i, controller) in self.controllers.iter_mut().enumerate() {
+            controller.rejected = bits & (1 << i) != 0;
         }
-        let after = self.nodes.iter().filter(|node| node.refused).count();
-        if (before, after) == (1, NODES) {
+        let after = self
+            .controllers
+            .iter()
+            .filter(|controller| controller.rejected)
+            .count();
+        if (before, after) == (1, CONTROLLERS) {
             for running in self.running.values() {
-                if let Machine::Request(_, kind, _) = running.machine {
-                    self.coverage.refusal_met(kind);
+                if let Operation::Request(_, kind, _) = running.operation {
+                    self.coverage.count_during_rejection(kind);
                 }
             }
         }
     }
 
-    /// The end of a job is written; requests about it are under way.
-    pub(crate) fn end_met_requests(&mut self, job: u8) {
+    /// Counts the requests in progress about a job whose final state has just been written.
+    pub(crate) fn count_requests_during_final_write(&mut self, job: u8) {
         for running in self.running.values().filter(|r| r.job == Some(job)) {
-            if let Machine::Request(_, kind, _) = running.machine {
-                self.coverage.end_met(kind);
+            if let Operation::Request(_, kind, _) = running.operation {
+                self.coverage.count_during_final_write(kind);
             }
         }
     }
