--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,4 +1,5 @@
-//! More questions of users than the state service can answer beside the leader's own requests.
+//! Guards against user queries that use up the request limit of the state service: the leader needs most
+//! of it for its lease and its records.
 
 mod common;
 
@@ -13,13 +14,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Questions that come to one of three nodes within a second, as users of a fleet of 6,000 machines ask.
-const QUESTIONS: usize = 400;
-/// What the users of all nodes may cost the state service, as a share of its requests: the leader needs
-/// the others for its lease and its records.
-const USERS_SHARE: f64 = 0.4;
+/// Queries that one of three controllers receives within a second, as from users of 6,000 machines.
+const QUERIES: usize = 400;
+/// The share of the state service's request limit that user queries may use at all controllers together.
+/// The leader needs the rest for its lease and its records.
+const QUERIES_SHARE: f64 = 0.4;
 
-/// What a question finds at a node with two peers.
+/// The context of a query at a controller with two peers.
 fn context() -> Context {
     let mut settings = Settings::parse("test", SETTINGS).unwrap();
     for name in ["b", "c"] {
@@ -35,8 +36,8 @@
     }
 }
 
-/// What a question costs while the leader does not answer in time: it goes to the node's batcher.
-fn poll_of_question(job: &str) -> Poll {
+/// The poll that a query turns into when the leader does not answer in time.
+fn poll_of_query(job: &str) -> Poll {
     let (mut request, effects) = Request::query(job.to_string(), context());
     let mut effects = VecDeque::from(effects);
     while let Some(effect) = effects.pop_front() {
@@ -48,31 +49,28 @@
             })),
             RequestEffect::Forward(_) => RequestEvent::Peer(None),
             RequestEffect::ReadRecords(poll) => return poll,
-            other => panic!("a question costs nothing else: {other:?}"),
+            other => panic!("a query has no other effect: {other:?}"),
         };
         effects.extend(request.on_event(event));
     }
-    panic!("a question goes on until it is answered");
+    panic!("the query stopped without a poll");
 }
 
-/// Calls to the state service, and answers by their status.
+/// Counts calls to the state service, and answers by status.
 #[derive(Default)]
-struct Seen {
+struct Counts {
     calls: usize,
     answers: BTreeMap<u16, usize>,
 }
 
-impl Seen {
-    /// Carries out what a batcher asks for: no job is known.
+impl Counts {
+    /// Carries out the effects of a batcher against a state service without jobs.
     fn carry_out(&mut self, batcher: &mut PollBatcher, effects: Vec<PollEffect>, now: f64) {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
                 PollEffect::Store(StoreCall::Commit(transaction)) => {
-                    assert!(
-                        transaction.operations.is_empty(),
-                        "a question writes nothing"
-                    );
+                    assert!(transaction.operations.is_empty(), "a query must not write");
                     self.calls += 1;
                     let answer = StoreAnswer::Committed(CommitOutcome::Applied(1));
                     effects.extend(batcher.on_answer(answer, now));
@@ -80,36 +78,36 @@
                 PollEffect::Answer(_, answer) => {
                     *self.answers.entry(answer.status()).or_default() += 1;
                 }
-                other => panic!("no job is known to the state service: {other:?}"),
+                other => panic!("unexpected effect, the state service has no jobs: {other:?}"),
             }
         }
     }
 }
 
 #[test]
-fn questions_leave_the_leader_most_requests_of_the_state_service() {
+fn queries_leave_most_state_service_requests_to_the_leader() {
     let settings = context().settings;
     let mut batcher = PollBatcher::new(Limits::of(&settings));
-    let mut seen = Seen::default();
-    for i in 0..QUESTIONS {
-        let now = i as f64 / QUESTIONS as f64;
-        let poll = poll_of_question(&format!("req-{i}"));
+    let mut counts = Counts::default();
+    for i in 0..QUERIES {
+        let now = i as f64 / QUERIES as f64;
+        let poll = poll_of_query(&format!("req-{i}"));
         let effects = batcher.enqueue(i as u64, poll, now);
-        seen.carry_out(&mut batcher, effects, now);
+        counts.carry_out(&mut batcher, effects, now);
         let effects = batcher.tick(now);
-        seen.carry_out(&mut batcher, effects, now);
+        counts.carry_out(&mut batcher, effects, now);
     }
     let mut now = 1.0;
     while let Some(pause_s) = batcher.tick_interval_s() {
         now += pause_s;
         let effects = batcher.tick(now);
-        seen.carry_out(&mut batcher, effects, now);
+        counts.carry_out(&mut batcher, effects, now);
     }
-    let calls = seen.calls;
-    let part = USERS_SHARE * settings.cluster.state.rps / 3.0;
+    let calls = counts.calls;
+    let max_calls = QUERIES_SHARE * settings.cluster.state.rps / 3.0;
     assert!(
-        calls as f64 <= part,
-        "{calls} calls in a second of {part:.0}"
+        calls as f64 <= max_calls,
+        "{calls} calls, at most {max_calls:.0} are allowed"
     );
-    assert_eq!(seen.answers, BTreeMap::from([(404, QUESTIONS)]));
+    assert_eq!(counts.answers, BTreeMap::from([(404, QUERIES)]));
 }
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a node's batcher of polls, and of requests that meet the state service's limit.
+//! Single decisions of a controller's poll batcher, and of requests that exceed the state service's limit.
 
 mod common;
 
@@ -24,7 +24,7 @@
     PollBatcher::new(Limits::of(&settings()))
 }
 
-/// A poll of a job that no leader knows of.
+/// A poll of a job that no leader knows.
 fn poll(job: &str) -> Poll {
     Poll {
         job: job.into(),
@@ -32,8 +32,8 @@
     }
 }
 
-/// Runs a batcher against these records until it is idle; returns the statuses of its answers with the
-/// ids of their polls.
+/// Runs a batcher against these records until it is idle; returns the poll number and status of each
+/// answer.
 fn answers(batcher: &mut PollBatcher, store: &Store, first: Vec<PollEffect>) -> Vec<(u64, u16)> {
     let mut now = 0.0;
     let mut effects = first;
@@ -46,7 +46,7 @@
                 }
                 PollEffect::Answer(number, answer) => answers.push((number, answer.status())),
                 PollEffect::JobEndsRecorded(..) => {}
-                PollEffect::Forward(number) => panic!("{number} is handed on"),
+                PollEffect::Forward(number) => panic!("poll {number} is forwarded"),
             }
         }
         if !effects.is_empty() {
@@ -60,17 +60,17 @@
     }
 }
 
-/// What the state service answers to a call.
+/// The response of the state service to a call.
 fn answer_of(store: &Store, call: StoreCall) -> StoreAnswer {
     match call {
         StoreCall::Read(key) => StoreAnswer::Read(Ok(store.item(&key))),
         StoreCall::Commit(transaction) => StoreAnswer::Committed(store.compared(&transaction)),
-        list => panic!("one record is not read in a page: {list:?}"),
+        list => panic!("a single record must not be listed: {list:?}"),
     }
 }
 
-/// Records of an open job that waits for another, and of that other's end, if it has one.
-fn pipeline(needed_end: Option<&str>) -> Store {
+/// The records of an open job and of its dependency, which is open or has this final state.
+fn pipeline(dependency_state: Option<&str>) -> Store {
     let mut store = Store::default();
     let mut open = |id: &str, waits_on: &[&str]| {
         let mut body = submission(id, "sweep", "normal", 4);
@@ -80,48 +80,52 @@
         store.values.insert(open_key(id), (value, 1));
     };
     open("req-2", &["req-1"]);
-    match needed_end {
+    match dependency_state {
         None => open("req-1", &[]),
         Some(state) => {
-            let end = json!({ "state": state });
-            store.values.insert(final_state_key("req-1"), (end, 2));
+            let final_state = json!({ "state": state });
+            store
+                .values
+                .insert(final_state_key("req-1"), (final_state, 2));
         }
     }
     store
 }
 
-/// How a poll is answered of a job that waits for one with such an end.
-fn answers_of_pipeline(needed_end: Option<&str>) -> Vec<(u64, u16)> {
+/// The answers to a poll of a job whose dependency is open or has this final state.
+fn answers_of_pipeline(dependency_state: Option<&str>) -> Vec<(u64, u16)> {
     let mut batcher = batcher();
     let first = batcher.enqueue(1, poll("req-2"), 0.0);
-    answers(&mut batcher, &pipeline(needed_end), first)
+    answers(&mut batcher, &pipeline(dependency_state), first)
 }
 
 #[test]
-fn a_job_is_called_pending_only_while_what_it_waits_for_is_not_cancelled() {
+fn dependent_is_reported_pending_unless_its_dependency_is_cancelled() {
     assert_eq!(answers_of_pipeline(None), [(1, 200)]);
     assert_eq!(answers_of_pipeline(Some("done")), [(1, 200)]);
     assert_eq!(answers_of_pipeline(Some("cancelled")), [(1, 503)]);
 }
 
 #[test]
-fn a_cancellation_that_is_known_already_counts_for_what_waits_for_it() {
+fn dependent_of_a_job_known_as_cancelled_has_no_state_until_its_own_is_recorded() {
     let mut batcher = batcher();
     batcher.job_accepted("req-2", &["req-1".to_string()]);
     batcher.job_end_recorded("req-1", JobState::Cancelled);
     let first = batcher.enqueue(1, poll("req-2"), 0.0);
     let mut store = pipeline(Some("cancelled"));
     assert_eq!(answers(&mut batcher, &store, first), [(1, 503)]);
-    // Once its own end is on record, that is reported.
+    // Once the final state of the dependent is recorded, that state is reported.
     store.values.remove(&open_key("req-2"));
-    let end = json!({"state": "cancelled"});
-    store.values.insert(final_state_key("req-2"), (end, 3));
+    let final_state = json!({"state": "cancelled"});
+    store
+        .values
+        .insert(final_state_key("req-2"), (final_state, 3));
     let first = batcher.enqueue(2, poll("req-2"), 10.0);
     assert_eq!(answers(&mut batcher, &store, first), [(2, 200)]);
 }
 
 #[test]
-fn polls_beyond_what_can_be_compared_in_time_are_turned_away_at_once_and_come_back_apart() {
+fn polls_beyond_the_compare_rate_are_rejected_at_once_with_spread_retry_times() {
     let mut batcher = batcher();
     for number in 0..4000 {
         batcher.enqueue(number, poll(&format!("req-{number}")), 0.0);
@@ -130,23 +134,23 @@
     for effect in batcher.tick(0.0) {
         if let PollEffect::Answer(_, answer) = effect {
             assert_eq!(answer.status(), 503);
-            retries.push(answer.retry_after().expect("when to come back"));
+            retries.push(answer.retry_after().expect("a Retry-After value"));
         }
     }
     assert!(retries.len() > 3000, "{}", retries.len());
     for seconds in 2..=5 {
-        let back = retries.iter().filter(|after| **after == seconds).count();
-        assert!(back > 50, "{back} come back after {seconds} s");
+        let retrying = retries.iter().filter(|after| **after == seconds).count();
+        assert!(retrying > 50, "{retrying} retry after {seconds} s");
     }
     assert!(retries.iter().all(|after| *after <= 5));
 }
 
 #[test]
-fn the_ends_that_a_page_tells_of_come_in_one_effect_before_the_answers() {
+fn final_states_of_a_page_are_reported_in_one_effect_before_the_answers() {
     let mut store = Store::default();
     for job in ["req-1", "req-2", "req-3"] {
-        let end = json!({"state": "done"});
-        store.values.insert(final_state_key(job), (end, 1));
+        let final_state = json!({"state": "done"});
+        store.values.insert(final_state_key(job), (final_state, 1));
     }
     let mut batcher = batcher();
     batcher.enqueue(1, poll("req-1"), 0.0);
@@ -167,34 +171,34 @@
     };
     let page = store.page(under, after, *limit);
     let effects = batcher.on_answer(StoreAnswer::Listed(Ok(page)), 0.1);
-    let [PollEffect::JobEndsRecorded(ends), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
+    let [PollEffect::JobEndsRecorded(final_states), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
         &effects[..]
     else {
         panic!("{effects:?}");
     };
     let done = |job: &str| (job.to_string(), JobState::Done);
-    assert_eq!(*ends, ["req-1", "req-2", "req-3"].map(done));
+    assert_eq!(*final_states, ["req-1", "req-2", "req-3"].map(done));
 }
 
-/// Whether this poll is handed on to another node.
+/// Whether this poll is forwarded to a peer.
 fn is_forwarded(effects: &[PollEffect], number: u64) -> bool {
     matches!(effects, [PollEffect::Forward(n)] if *n == number)
 }
 
 #[test]
-fn while_the_state_service_refuses_polls_are_handed_on_at_once_and_asked_again_after_a_moment() {
+fn polls_are_forwarded_while_the_state_service_rejects_and_compared_again_after_a_pause() {
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll("req-1"), 0.0).is_empty());
     assert!(matches!(batcher.tick(0.0)[..], [PollEffect::Store(_)]));
-    let refused = StoreAnswer::Committed(CommitOutcome::Rejected);
-    assert!(is_forwarded(&batcher.on_answer(refused, 0.01), 1));
+    let rejected = StoreAnswer::Committed(CommitOutcome::Rejected);
+    assert!(is_forwarded(&batcher.on_answer(rejected, 0.01), 1));
     assert!(is_forwarded(&batcher.enqueue(2, poll("req-2"), 0.5), 2));
     assert!(batcher.enqueue(3, poll("req-3"), 1.5).is_empty());
     assert!(matches!(batcher.tick(1.5)[..], [PollEffect::Store(_)]));
 }
 
 #[test]
-fn a_poll_that_is_one_too_many_is_compared_again_and_not_handed_on() {
+fn rate_limited_poll_is_compared_again_and_not_forwarded() {
     let mut batcher = batcher();
     batcher.enqueue(1, poll("req-1"), 0.0);
     batcher.tick(0.0);
@@ -204,13 +208,13 @@
 }
 
 #[test]
-fn what_is_beyond_the_limit_of_the_state_service_is_not_asked_of_other_nodes() {
+fn rate_limited_submission_is_rejected_with_retry_after_and_not_forwarded() {
     let body = submission("req-1", "sweep", "normal", 4).to_string();
     let (mut request, _) =
         Request::submission(body.as_bytes(), request_context(WriteFence::Unstaged));
     let limited = RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::RateLimited));
     let effects = request.on_event(limited);
-    let turned_away = matches!(&effects[..], [RequestEffect::Answer(answer)]
+    let is_rejected = matches!(&effects[..], [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some());
-    assert!(turned_away, "{effects:?}");
+    assert!(is_rejected, "{effects:?}");
 }
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -1,41 +1,47 @@
-//! Users' polls at three nodes while no leader answers for spells, or at all, one node is cut off from
-//! the state service and others use most of its requests: no answer is older than one given before,
-//! no second sees more requests than the nodes' share, and every job is answered within a bound.
+//! Users poll three controllers while there is no leader, for a while or at all, one controller can't
+//! reach the state service, and other clients use most of its request limit. No final state may change
+//! once it was reported, the controllers must stay within their share of requests in every second, and
+//! every job must be answered within a bound.
 
 mod common;
+#[path = "polls/controllers.rs"]
+mod controllers;
 #[path = "polls/jobs.rs"]
 mod jobs;
-#[path = "polls/nodes.rs"]
-mod nodes;
 #[path = "polls/state_service.rs"]
 mod state_service;
 #[path = "polls/users.rs"]
 mod users;
 
-use nodes::{Cluster, Leadership};
+use controllers::{Cluster, Leadership};
 use std::collections::BTreeMap;
-use users::{Users, PERIOD_S};
+use users::{Users, POLL_PERIOD_S};
 
-/// Simulations of each test.
+/// The seed of each simulation of a test.
 const SEEDS: std::ops::Range<u64> = 1..3;
-/// Jobs with an open poll: at five seconds a poll, 400 questions a second.
+/// Jobs that are polled: at one poll in five seconds each, 400 polls a second.
 const JOBS: usize = 2000;
-/// How long each simulation lasts.
+/// The duration of each simulation.
 const DURATION_S: f64 = 120.0;
-/// What users call forgotten.
-const FORGOTTEN_S: f64 = 75.0;
+/// Users consider a job lost after this time without an answer, in seconds. The bound must be shorter.
+const MAX_BOUND_S: f64 = 75.0;
 
 /// The conditions of a simulation.
 #[derive(Clone, Copy)]
 struct Scenario {
     jobs: usize,
     leadership: Leadership,
-    cut_off: bool,
+    disconnected: bool,
 }
 
-/// Lets users poll for that time.
+/// Runs the users' polls for the whole duration.
 fn simulate(seed: u64, scenario: Scenario) -> (Users, Cluster) {
-    let mut cluster = Cluster::new(seed, scenario.jobs, scenario.leadership, scenario.cut_off);
+    let mut cluster = Cluster::new(
+        seed,
+        scenario.jobs,
+        scenario.leadership,
+        scenario.disconnected,
+    );
     let mut users = Users::new(seed, scenario.jobs);
     while cluster.now < DURATION_S {
         cluster.step();
@@ -44,37 +50,38 @@
     (users, cluster)
 }
 
-/// Polls after which three were at the same of three nodes, whichever each finds.
-const VISITS: f64 = 7.0;
+/// Among this many polls at three controllers, three are at the same one.
+const MAX_POLLS: f64 = 7.0;
 
-/// Seconds within which every job that is asked about is answered. The first poll at a node may be
-/// turned away. The node answers those first that it has turned away longest, so that one that comes
-/// after all jobs can have been compared once is compared; where that shows a record that is not known
-/// yet, it is read, a page of others with it. The third poll at the node is answered.
+/// The time in seconds within which every polled job is answered. The first poll at a controller may be
+/// rejected. The controller serves the jobs first that it has rejected for longest, so a poll that comes
+/// after the time to compare all jobs once is compared. If the comparison finds a record that the
+/// controller does not know yet, it reads a page with that record. The third poll at the controller is
+/// answered.
 fn bound_s(scenario: Scenario, cluster: &Cluster) -> f64 {
     let round_s = scenario.jobs as f64 / cluster.polls_per_s();
     let pages_s = 2.0 * cluster.pages(scenario.jobs) as f64 / cluster.reads_per_s();
-    let visits_s = VISITS * PERIOD_S;
-    round_s + pages_s + visits_s
+    let polls_s = MAX_POLLS * POLL_PERIOD_S;
+    round_s + pages_s + polls_s
 }
 
-/// Simulates the scenario with several seeds; returns the answers that users got in all, by their status.
+/// Simulates the scenario with several seeds and checks the bounds; returns the number of answers by status.
 fn assert_bounds(scenario: Scenario) -> BTreeMap<u16, usize> {
     let mut counts = BTreeMap::new();
     for seed in SEEDS {
         let (users, cluster) = simulate(seed, scenario);
         let bound = bound_s(scenario, &cluster);
-        assert!(bound < FORGOTTEN_S, "{bound} s");
+        assert!(bound < MAX_BOUND_S, "bound {bound} s");
         let longest = users.longest_wait_s();
         assert!(
             longest <= bound,
-            "seed {seed}: {longest:.1} s of {bound:.1}"
+            "seed {seed}: no answer for {longest:.1} s, the bound is {bound:.1} s"
         );
         let share = cluster.requests_share();
         let max_requests = cluster.max_requests_per_s();
         assert!(
             max_requests as f64 <= share,
-            "seed {seed}: {max_requests} requests in a second of {share:.0}"
+            "seed {seed}: {max_requests} requests in a second, the share is {share:.0}"
         );
         for (status, answers) in users.counts() {
             *counts.entry(*status).or_default() += answers;
@@ -83,46 +90,46 @@
     counts
 }
 
-/// Whether users got answers all the time, at one a period and job; those of jobs that were never
-/// submitted are answered with 404.
-fn are_served(scenario: Scenario, counts: &BTreeMap<u16, usize>, share: f64) -> bool {
-    let asked = SEEDS.count() as f64 * scenario.jobs as f64 * DURATION_S / PERIOD_S;
-    (counts[&200] + counts[&404]) as f64 > share * asked
+/// Whether more than this share of the polls, one per period and job, got a status. Polls of jobs that
+/// were never submitted are answered with 404.
+fn is_served(scenario: Scenario, counts: &BTreeMap<u16, usize>, share: f64) -> bool {
+    let sent = SEEDS.count() as f64 * scenario.jobs as f64 * DURATION_S / POLL_PERIOD_S;
+    (counts[&200] + counts[&404]) as f64 > share * sent
 }
 
 #[test]
-fn every_job_is_answered_within_the_bound_while_leaders_change_and_a_node_is_cut_off() {
+fn every_job_is_answered_within_bound_while_leaders_change_and_a_controller_is_disconnected() {
     let scenario = Scenario {
         jobs: JOBS,
         leadership: Leadership::Changes,
-        cut_off: true,
+        disconnected: true,
     };
     let counts = assert_bounds(scenario);
-    assert!(are_served(scenario, &counts, 0.9), "{counts:?}");
+    assert!(is_served(scenario, &counts, 0.9), "{counts:?}");
 }
 
 #[test]
-fn every_job_is_answered_within_the_bound_while_nobody_leads() {
+fn every_job_is_answered_within_bound_without_a_leader() {
     let scenario = Scenario {
         jobs: JOBS,
-        leadership: Leadership::Nobody,
-        cut_off: true,
+        leadership: Leadership::None,
+        disconnected: true,
     };
     let counts = assert_bounds(scenario);
-    assert!(are_served(scenario, &counts, 0.9), "{counts:?}");
+    assert!(is_served(scenario, &counts, 0.9), "{counts:?}");
     assert!(counts[&404] > 0, "{counts:?}");
 }
 
 #[test]
-fn polls_are_turned_away_but_none_for_long_while_three_times_as_much_is_asked() {
-    for leadership in [Leadership::Changes, Leadership::Nobody] {
+fn every_job_is_answered_within_bound_while_overload_causes_rejections() {
+    for leadership in [Leadership::Changes, Leadership::None] {
         let scenario = Scenario {
             jobs: 3 * JOBS,
             leadership,
-            cut_off: true,
+            disconnected: true,
         };
         let counts = assert_bounds(scenario);
-        assert!(are_served(scenario, &counts, 0.3), "{counts:?}");
+        assert!(is_served(scenario, &counts, 0.3), "{counts:?}");
         assert!(counts[&503] > JOBS, "{counts:?}");
     }
 }
--- a/tests/polls/jobs.rs
+++ b/tests/polls/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: some wait for others, and all end eventually.
+//! The polled jobs: some depend on others.
 
 use crate::common::random::SplitMix64;
 use crate::common::{parsed, submission};
@@ -6,12 +6,12 @@
 use stairstage::protocol::job::JobState;
 use stairstage::storage::records::{FinalStateRecord, OpenRecord};
 
-/// One of so many jobs waits for the one before it.
-const WAITS_EVERY: usize = 10;
-/// One of so many jobs was never submitted.
+/// One in this many jobs depends on the job before.
+const DEPENDENT_EVERY: usize = 10;
+/// One in this many jobs was never submitted.
 const UNKNOWN_EVERY: usize = 50;
-/// One of so many jobs ends as cancelled.
-const CANCELLED_OF: u64 = 4;
+/// One in this many jobs is cancelled; the others are done.
+const CANCELLED_EVERY: u64 = 4;
 
 /// The id of a job.
 pub(crate) fn id_of(number: usize) -> String {
@@ -23,23 +23,23 @@
     number % UNKNOWN_EVERY != UNKNOWN_EVERY - 1
 }
 
-/// The job that another waits for, if any.
-pub(crate) fn waits_on(number: usize) -> Option<usize> {
-    (number % WAITS_EVERY == 1).then(|| number - 1)
+/// The dependency of a job, if any.
+pub(crate) fn dependency_of(number: usize) -> Option<usize> {
+    (number % DEPENDENT_EVERY == 1).then(|| number - 1)
 }
 
-/// The record of an open job.
+/// The open record of a job.
 pub(crate) fn record_of(number: usize) -> Value {
-    let waits_on: Vec<String> = waits_on(number).into_iter().map(id_of).collect();
+    let dependencies: Vec<String> = dependency_of(number).into_iter().map(id_of).collect();
     let mut body = submission(&id_of(number), "sweep", "normal", 4);
-    body["waits_on"] = json!(waits_on);
+    body["waits_on"] = json!(dependencies);
     let spec = parsed(&body);
     serde_json::to_value(OpenRecord::accepted(spec, 0)).expect("serializing plain data cannot fail")
 }
 
-/// How a job ends.
-pub(crate) fn end_of(random: &mut SplitMix64) -> (JobState, Value) {
-    let state = match random.next() % CANCELLED_OF {
+/// A random final state, with its record.
+pub(crate) fn random_final_state(random: &mut SplitMix64) -> (JobState, Value) {
+    let state = match random.next() % CANCELLED_EVERY {
         0 => JobState::Cancelled,
         _ => JobState::Done,
     };
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -1,4 +1,4 @@
-//! A state service with a limit on requests, which others use for the most part.
+//! A state service with a request limit that other clients mostly use up.
 
 use crate::common::random::SplitMix64;
 use crate::common::Store;
@@ -11,22 +11,22 @@
 use stairstage::storage::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 
-/// Jobs that end in a second.
-const ENDS_PER_S: f64 = 10.0;
-/// What others ask for in a second, as a share of the requests: the leader's records and lease, and
-/// what users submit and cancel.
-const OTHERS_SHARE: f64 = 0.9;
+/// Jobs that reach a final state per second.
+const FINAL_STATES_PER_S: f64 = 10.0;
+/// The share of the request limit that other requests use: the leader's records and lease, and users'
+/// submissions and cancellations.
+const OTHER_CLIENTS_SHARE: f64 = 0.9;
 
-/// The state service with the records of jobs, which others use too.
+/// The state service with the records of all jobs, shared with other clients.
 pub(crate) struct StateService {
     store: Store,
     requests: TokenBucket,
     rps: f64,
-    /// How jobs have ended.
-    pub ends: BTreeMap<usize, JobState>,
+    /// The final states of jobs.
+    pub final_states: BTreeMap<usize, JobState>,
     random: SplitMix64,
-    others: f64,
-    ends_due: f64,
+    other_requests: f64,
+    final_states_due: f64,
     open: Vec<usize>,
 }
 
@@ -36,10 +36,10 @@
             store: Store::default(),
             requests: TokenBucket::new(rps, rps),
             rps,
-            ends: BTreeMap::new(),
+            final_states: BTreeMap::new(),
             random: SplitMix64(seed),
-            others: 0.0,
-            ends_due: 0.0,
+            other_requests: 0.0,
+            final_states_due: 0.0,
             open: Vec::new(),
         };
         for number in (0..jobs).filter(|number| jobs::is_submitted(*number)) {
@@ -56,51 +56,52 @@
         self.store.values.insert(key, (value, version));
     }
 
-    /// Others ask for their part, and jobs end.
-    pub(crate) fn pass(&mut self, seconds: f64, now: f64) {
-        self.others += OTHERS_SHARE * self.rps * seconds;
-        while self.others >= 1.0 {
-            self.others -= 1.0;
+    /// Advances the time: other clients use their share of requests, and some jobs finish.
+    pub(crate) fn advance(&mut self, seconds: f64, now: f64) {
+        self.other_requests += OTHER_CLIENTS_SHARE * self.rps * seconds;
+        while self.other_requests >= 1.0 {
+            self.other_requests -= 1.0;
             self.requests.take(now, 1.0);
         }
-        self.ends_due += ENDS_PER_S * seconds;
-        while self.ends_due >= 1.0 {
-            self.ends_due -= 1.0;
-            self.end_random_job();
+        self.final_states_due += FINAL_STATES_PER_S * seconds;
+        while self.final_states_due >= 1.0 {
+            self.final_states_due -= 1.0;
+            self.finish_random_job();
         }
     }
 
-    /// One of the open jobs ends, unless it waits for one that is open; with a cancelled one, what
-    /// waits for it ends at once.
-    fn end_random_job(&mut self) {
+    /// Finishes a random open job, unless its dependency is open. If the job is cancelled, its dependent
+    /// is cancelled too.
+    fn finish_random_job(&mut self) {
         let Some(index) =
             (!self.open.is_empty()).then(|| self.random.next() as usize % self.open.len())
         else {
             return;
         };
         let number = self.open[index];
-        let needed = jobs::waits_on(number);
-        if needed.is_some_and(|needed| self.open.contains(&needed)) {
+        let dependency = jobs::dependency_of(number);
+        if dependency.is_some_and(|dependency| self.open.contains(&dependency)) {
             return;
         }
-        let (state, value) = jobs::end_of(&mut self.random);
-        self.record_end(number, state, &value);
+        let (state, value) = jobs::random_final_state(&mut self.random);
+        self.record_final_state(number, state, &value);
         let dependent = number + 1;
-        let waits = jobs::waits_on(dependent) == Some(number) && self.open.contains(&dependent);
-        if state == JobState::Cancelled && waits {
-            self.record_end(dependent, state, &value);
+        let depends =
+            jobs::dependency_of(dependent) == Some(number) && self.open.contains(&dependent);
+        if state == JobState::Cancelled && depends {
+            self.record_final_state(dependent, state, &value);
         }
     }
 
-    /// A job ends.
-    fn record_end(&mut self, number: usize, state: JobState, value: &Value) {
+    /// Replaces the open record of a job with its final state.
+    fn record_final_state(&mut self, number: usize, state: JobState, value: &Value) {
         self.open.retain(|open| *open != number);
         self.store.values.remove(&open_key(&jobs::id_of(number)));
         self.write(final_state_key(&jobs::id_of(number)), value.clone());
-        self.ends.insert(number, state);
+        self.final_states.insert(number, state);
     }
 
-    /// Answers a node's call, or refuses it as one too many.
+    /// Answers a controller's call, or rejects it if it exceeds the request limit.
     pub(crate) fn answer(&mut self, call: &StoreCall, now: f64) -> StoreAnswer {
         let allowed = self.requests.take(now, 1.0);
         match call {
@@ -119,7 +120,7 @@
                 Err(Unavailable)
             }),
             StoreCall::Commit(transaction) if !transaction.operations.is_empty() => {
-                panic!("polls write nothing: {transaction:?}")
+                panic!("a poll must not write: {transaction:?}")
             }
             StoreCall::Commit(transaction) => StoreAnswer::Committed(if allowed {
                 self.store.compared(transaction)
