--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,4 +1,4 @@
-//! Elections of several nodes in virtual time: generated schedules of faults, and particular
+//! Elections among several controllers in simulated time: generated schedules of faults, and particular
 //! combinations of faults.
 
 #[path = "common/election_cluster/mod.rs"]
@@ -13,31 +13,31 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The lease of a leader.
+/// The duration of a leader's lease.
 const LEASE: Micros = 16 * SECOND / 10;
-/// The time after which a node leads again: a watch whose connection was lost is held open for four
-/// leases.
-const RECOVERY: Micros = 7 * LEASE;
-/// The same faults in each run.
+/// The time after the end of all faults within which there is a leader. A watch whose connection was lost
+/// is held open for four leases.
+const RECOVERY_TIME: Micros = 7 * LEASE;
+/// A fixed seed: each run has the same faults.
 const SEED: u64 = 7;
 
-/// A cluster whose faults affect every request.
+/// A cluster in which a fault affects every request.
 fn cluster() -> Cluster {
     Cluster::new(LEASE, MAX_EXPIRY_DELAY, 1.0, SEED)
 }
 
-/// The same with an elected node.
+/// A cluster whose faults affect every request, with an elected leader.
 fn cluster_with_leader() -> (Cluster, usize) {
     let mut cluster = cluster();
     let leader = cluster.run_until_elected(None, LEASE);
     (cluster, leader)
 }
 
-/// Once the faults are over there is a leader, which stays and knows its token.
+/// Ends all faults and checks that there is a leader, which stays and knows its token.
 fn assert_recovers(cluster: &mut Cluster) {
     cluster.heal();
-    cluster.run_for(RECOVERY);
-    let leader = cluster.leader().expect("somebody leads again");
+    cluster.run_for(RECOVERY_TIME);
+    let leader = cluster.leader().expect("there is a leader again");
     for _ in 0..30 {
         cluster.run_for(LEASE / 10);
         assert_eq!(cluster.leader(), Some(leader), "the leader stays");
@@ -46,42 +46,49 @@
     assert_eq!(cluster.valid_token(leader), Some(record.version));
 }
 
-/// What goes wrong, with whom and for how long.
+/// A fault, with the controller that it affects and its duration.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Restart(usize, Micros),
     RestartAll(Micros),
     Pause(usize, Micros),
-    Refuse(usize, Micros),
+    Reject(usize, Micros),
     Partition(usize, Micros),
     LoseResponses(usize, Micros),
     DelayCommits(usize, Micros),
     SlowController(usize, Micros),
     Outage(Micros),
-    LeaderRefusedThenAll(Micros),
+    LeaderRejectedThenOutage(Micros),
     RestartLeader(Micros),
     PauseLeader(Micros),
     Resign,
     RaiseToken,
 }
 
-/// Any fault.
+/// Generates any fault.
 fn fault() -> impl Strategy<Value = Fault> {
-    let node = 0..3usize;
+    let controller = 0..3usize;
     let brief = SECOND / 20..SECOND;
     let long = SECOND / 2..5 * LEASE;
     let either = || prop_oneof![brief.clone(), long.clone()];
     prop_oneof![
-        (node.clone(), either()).prop_map(|(node, time)| Fault::Restart(node, time)),
+        (controller.clone(), either())
+            .prop_map(|(controller, time)| Fault::Restart(controller, time)),
         either().prop_map(Fault::RestartAll),
-        (node.clone(), either()).prop_map(|(node, time)| Fault::Pause(node, time)),
-        (node.clone(), either()).prop_map(|(node, time)| Fault::Refuse(node, time)),
-        (node.clone(), either()).prop_map(|(node, time)| Fault::Partition(node, time)),
-        (node.clone(), long.clone()).prop_map(|(node, time)| Fault::LoseResponses(node, time)),
-        (node.clone(), long.clone()).prop_map(|(node, time)| Fault::DelayCommits(node, time)),
-        (node, long.clone()).prop_map(|(node, time)| Fault::SlowController(node, time)),
+        (controller.clone(), either())
+            .prop_map(|(controller, time)| Fault::Pause(controller, time)),
+        (controller.clone(), either())
+            .prop_map(|(controller, time)| Fault::Reject(controller, time)),
+        (controller.clone(), either())
+            .prop_map(|(controller, time)| Fault::Partition(controller, time)),
+        (controller.clone(), long.clone())
+            .prop_map(|(controller, time)| Fault::LoseResponses(controller, time)),
+        (controller.clone(), long.clone())
+            .prop_map(|(controller, time)| Fault::DelayCommits(controller, time)),
+        (controller, long.clone())
+            .prop_map(|(controller, time)| Fault::SlowController(controller, time)),
         either().prop_map(Fault::Outage),
-        long.clone().prop_map(Fault::LeaderRefusedThenAll),
+        long.clone().prop_map(Fault::LeaderRejectedThenOutage),
         either().prop_map(Fault::RestartLeader),
         either().prop_map(Fault::PauseLeader),
         Just(Fault::Resign),
@@ -90,17 +97,17 @@
     ]
 }
 
-/// A fault begins.
+/// Starts a fault.
 fn apply(cluster: &mut Cluster, fault: Fault) {
     match fault {
-        Fault::Restart(node, time) => cluster.restart(node, time),
+        Fault::Restart(controller, time) => cluster.restart(controller, time),
         Fault::RestartAll(time) => restart_all(cluster, time),
-        Fault::Pause(node, time) => cluster.pause(node, time),
-        Fault::Refuse(node, time) => cluster.refuse(node, time),
-        Fault::Partition(node, time) => cluster.partition(node, time),
-        Fault::LoseResponses(node, time) => cluster.lose_responses(node, time),
-        Fault::DelayCommits(node, time) => cluster.delay_commits(node, time),
-        Fault::SlowController(node, time) => cluster.slow_controller(node, time),
+        Fault::Pause(controller, time) => cluster.pause(controller, time),
+        Fault::Reject(controller, time) => cluster.refuse(controller, time),
+        Fault::Partition(controller, time) => cluster.partition(controller, time),
+        Fault::LoseResponses(controller, time) => cluster.lose_responses(controller, time),
+        Fault::DelayCommits(controller, time) => cluster.delay_commits(controller, time),
+        Fault::SlowController(controller, time) => cluster.slow_controller(controller, time),
         Fault::Outage(time) => cluster.begin_outage(time),
         fault => {
             if let Some(leader) = cluster.leader() {
@@ -110,10 +117,10 @@
     }
 }
 
-/// A fault begins that strikes whoever leads.
+/// Starts a fault of the current leader.
 fn apply_to_leader(cluster: &mut Cluster, fault: Fault, leader: usize) {
     match fault {
-        Fault::LeaderRefusedThenAll(time) => {
+        Fault::LeaderRejectedThenOutage(time) => {
             cluster.refuse(leader, time);
             cluster.run_for(SECOND);
             cluster.begin_outage(time);
@@ -122,14 +129,14 @@
         Fault::PauseLeader(time) => cluster.pause(leader, time),
         Fault::Resign => cluster.resign(leader),
         Fault::RaiseToken => cluster.raise_token(leader),
-        other => unreachable!("{other:?} is not the leader's alone"),
+        other => unreachable!("{other:?} is not a fault of the leader"),
     }
 }
 
-/// All processes end, and are back after so long.
+/// Stops all processes and starts them again after this time.
 fn restart_all(cluster: &mut Cluster, downtime: Micros) {
-    for node in 0..cluster.nodes() {
-        cluster.restart(node, downtime);
+    for controller in 0..cluster.nodes() {
+        cluster.restart(controller, downtime);
     }
 }
 
@@ -142,7 +149,7 @@
     })]
 
     #[test]
-    fn no_schedule_breaks_the_election(
+    fn cluster_recovers_after_any_schedule_of_faults(
         seed in any::<u64>(),
         schedule in prop::collection::vec((fault(), 0..2 * LEASE), 5..40),
     ) {
@@ -156,7 +163,7 @@
 }
 
 #[test]
-fn leaders_change_ten_times_in_two_minutes() {
+fn token_rises_with_each_of_ten_leader_changes_in_two_minutes() {
     let (mut cluster, mut leader) = cluster_with_leader();
     for change in 0..10 {
         if change == 4 {
@@ -164,7 +171,7 @@
         }
         let token = cluster.valid_token(leader);
         cluster.restart(leader, 5 * SECOND);
-        // During the outage the node is back before its lease is over, and may lead a new term.
+        // During the outage the controller restarts before its lease expires, and may lead a new term.
         cluster.run_for(SECOND / 100);
         leader = cluster.run_until_elected(None, 12 * SECOND);
         assert!(cluster.valid_token(leader) > token);
@@ -175,7 +182,7 @@
 }
 
 #[test]
-fn a_leader_that_ends_inside_an_outage_leads_again_or_is_followed() {
+fn leader_restarting_during_outage_is_reelected_or_replaced() {
     let (mut cluster, leader) = cluster_with_leader();
     cluster.begin_outage(10 * LEASE);
     for _ in 0..10 {
@@ -187,7 +194,7 @@
 }
 
 #[test]
-fn controllers_hand_over_and_back_then_all_end_and_one_returns() {
+fn sole_restarted_controller_is_elected_after_two_resignations_and_a_full_stop() {
     for downtime in [SECOND / 4, SECOND, 3 * LEASE] {
         let (mut cluster, first) = cluster_with_leader();
         cluster.resign(first);
@@ -195,8 +202,15 @@
         cluster.run_for(2 * LEASE);
         cluster.resign(second);
         cluster.run_until_elected(Some(second), LEASE);
-        for node in 0..cluster.nodes() {
-            cluster.restart(node, if node == first { downtime } else { 8 * LEASE });
+        for controller in 0..cluster.nodes() {
+            cluster.restart(
+                controller,
+                if controller == first {
+                    downtime
+                } else {
+                    8 * LEASE
+                },
+            );
         }
         cluster.run_for(downtime);
         assert_eq!(cluster.run_until_elected(None, 2 * LEASE), first);
@@ -205,7 +219,7 @@
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_workers_lease() {
+fn leader_is_elected_after_all_controllers_were_down_longer_than_a_workers_lease() {
     let (mut cluster, _) = cluster_with_leader();
     restart_all(&mut cluster, 8 * LEASE);
     cluster.run_for(8 * LEASE);
@@ -214,7 +228,7 @@
 }
 
 #[test]
-fn the_leader_is_refused_alone_and_then_everybody() {
+fn another_controller_is_elected_after_leader_is_rejected_and_outage_follows() {
     let (mut cluster, leader) = cluster_with_leader();
     cluster.refuse(leader, 20 * LEASE);
     cluster.run_for(SECOND);
@@ -225,48 +239,52 @@
 }
 
 #[test]
-fn a_campaign_whose_answer_is_lost_is_won_within_a_lease() {
+fn campaign_with_lost_response_elects_a_leader_within_two_leases() {
     let mut cluster = cluster();
-    for node in 0..cluster.nodes() {
-        cluster.lose_responses(node, SECOND / 10);
+    for controller in 0..cluster.nodes() {
+        cluster.lose_responses(controller, SECOND / 10);
     }
     cluster.run_until_elected(None, 2 * LEASE);
     assert_recovers(&mut cluster);
 }
 
 #[test]
-fn a_campaign_that_is_carried_out_late_leads_nobody() {
+fn delayed_campaign_transaction_elects_no_leader() {
     let (mut cluster, leader) = cluster_with_leader();
-    for node in 0..cluster.nodes() {
-        cluster.delay_commits(node, 2 * LEASE);
+    for controller in 0..cluster.nodes() {
+        cluster.delay_commits(controller, 2 * LEASE);
     }
     cluster.restart(leader, SECOND / 4);
     cluster.run_for(2 * LEASE);
-    // Neither does one of a process that has ended meanwhile.
+    // A delayed campaign of a process that has stopped since then elects no leader either.
     restart_all(&mut cluster, SECOND / 4);
     cluster.run_until_elected(None, 3 * LEASE);
     assert_recovers(&mut cluster);
 }
 
 #[test]
-fn a_restarted_leader_campaigns_against_its_own_record() {
+fn restarted_leader_is_reelected_before_its_old_lease_expires() {
     for downtime in [SECOND / 20, SECOND / 4] {
         let (mut cluster, leader) = cluster_with_leader();
         let token = cluster.valid_token(leader);
         cluster.restart(leader, downtime);
         cluster.run_for(downtime + LEASE / 4);
-        assert_eq!(cluster.leader(), Some(leader), "before its lease is over");
+        assert_eq!(
+            cluster.leader(),
+            Some(leader),
+            "reelected before its old lease expires"
+        );
         assert!(cluster.valid_token(leader) > token);
     }
 }
 
-/// The token rises in the same term: the leader loses neither its lease nor a write.
+/// Raises the token in the same term, and checks that the leader loses neither its lease nor a write.
 fn assert_raises_token(mut cluster: Cluster, leader: usize) {
     let token = cluster.valid_token(leader);
     cluster.raise_token(leader);
     for _ in 0..400 {
         cluster.run_for(LEASE / 20);
-        assert_eq!(cluster.leader(), Some(leader), "its lease never runs out");
+        assert_eq!(cluster.leader(), Some(leader), "its lease never expires");
     }
     assert!(cluster.valid_token(leader) > token);
     assert_eq!((cluster.elections, cluster.deposed_by_conflict), (1, 0));
@@ -274,7 +292,7 @@
 }
 
 #[test]
-fn a_raised_token_whose_answer_is_lost_is_noticed() {
+fn token_raise_with_lost_response_takes_effect_in_the_same_term() {
     for moment in 0..16 {
         let (mut cluster, leader) = cluster_with_leader();
         cluster.run_for(moment * LEASE / 32);
@@ -284,7 +302,7 @@
 }
 
 #[test]
-fn a_raised_token_that_is_carried_out_late_is_noticed() {
+fn delayed_token_raise_takes_effect_in_the_same_term() {
     for seed in 0..300 {
         let mut cluster = Cluster::new(LEASE, MAX_EXPIRY_DELAY, 0.5, seed);
         let leader = cluster.run_until_elected(None, LEASE);
@@ -294,10 +312,10 @@
 }
 
 #[test]
-fn a_raised_token_survives_an_outage_that_hides_its_outcome() {
-    for (late, tenths) in (1..10).flat_map(|tenths| [(false, tenths), (true, tenths)]) {
+fn indeterminate_token_raise_takes_effect_after_an_outage() {
+    for (delayed, tenths) in (1..10).flat_map(|tenths| [(false, tenths), (true, tenths)]) {
         let (mut cluster, leader) = cluster_with_leader();
-        if !late {
+        if !delayed {
             cluster.lose_responses(leader, LEASE / 8);
         } else {
             cluster.delay_commits(leader, LEASE / 8);
@@ -314,7 +332,7 @@
 }
 
 #[test]
-fn a_leader_that_stands_still_has_lost_its_lease_when_it_goes_on() {
+fn paused_leader_steps_down_after_lease_expiry() {
     let (mut cluster, leader) = cluster_with_leader();
     cluster.pause(leader, 4 * LEASE);
     let next = cluster.run_until_elected(Some(leader), 2 * LEASE);
@@ -323,12 +341,12 @@
 }
 
 #[test]
-fn a_node_that_stands_still_in_its_campaign_leads_nobody() {
+fn cluster_recovers_after_a_controller_pauses_in_its_campaign() {
     for moment in 0..40 {
         let mut cluster = cluster();
         cluster.run_for(moment * SECOND / 2000);
-        for node in 1..cluster.nodes() {
-            cluster.restart(node, LEASE / 2);
+        for controller in 1..cluster.nodes() {
+            cluster.restart(controller, LEASE / 2);
         }
         cluster.pause(0, LEASE - MAX_EXPIRY_DELAY + moment * SECOND / 100);
         cluster.run_for(3 * LEASE);
@@ -337,7 +355,7 @@
 }
 
 #[test]
-fn a_lease_counts_from_its_request_though_the_campaign_took_long() {
+fn lease_counts_from_its_request_after_a_slow_campaign() {
     let mut cluster = cluster();
     while cluster.recorded_leader().is_none() {
         cluster.run_for(SECOND / 10_000);
@@ -350,7 +368,7 @@
 }
 
 #[test]
-fn the_slowest_clock_does_not_outlast_a_long_lease() {
+fn leader_with_the_slowest_clock_does_not_outlast_a_long_lease() {
     const LONG_LEASE: Micros = 100 * SECOND;
     for seed in 0..20 {
         let mut cluster = Cluster::new(LONG_LEASE, 0, 1.0, seed);
@@ -361,17 +379,18 @@
 }
 
 #[test]
-fn what_a_slow_controller_asks_in_an_earlier_term_has_no_effect() {
-    for asks_for_token in [false, true] {
+fn delayed_controller_request_of_an_earlier_term_has_no_effect() {
+    for raises_token in [false, true] {
         let (mut cluster, leader) = cluster_with_leader();
-        for node in (0..cluster.nodes()).filter(|node| *node != leader) {
-            cluster.restart(node, 20 * LEASE);
+        for controller in (0..cluster.nodes()).filter(|controller| *controller != leader) {
+            cluster.restart(controller, 20 * LEASE);
         }
-        // The lease ends; the node is elected again before its controller learns that it was deposed.
+        // The lease expires. The election wins the next term before its controller learns that it has
+        // stepped down.
         cluster.pause(leader, 2 * LEASE);
         cluster.slow_controller(leader, 3 * LEASE);
         cluster.run_for(2 * LEASE + SECOND / 2);
-        if !asks_for_token {
+        if !raises_token {
             cluster.resign(leader);
         } else {
             cluster.raise_token(leader);
@@ -379,7 +398,7 @@
         cluster.run_for(SECOND);
         for _ in 0..40 {
             cluster.run_for(LEASE / 10);
-            assert_eq!(cluster.leader(), Some(leader), "the later term goes on");
+            assert_eq!(cluster.leader(), Some(leader), "the later term continues");
         }
         assert_eq!((cluster.elections, cluster.deposed_by_conflict), (2, 0));
     }
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -1,4 +1,4 @@
-//! Fleets of up to 6,000 machines: half as many again as the largest in service.
+//! Fleets of up to 6,000 machines, 1.5 times the largest one in production.
 
 mod common;
 #[path = "common/standins.rs"]
@@ -35,31 +35,31 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Counts what is allocated.
+/// Counts allocated bytes.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Machines of a fleet that others are compared with.
-const SMALL: u32 = 1000;
+/// Machines of the fleet that the largest one is compared with.
+const SMALL_FLEET: u32 = 1000;
 /// Machines of the largest fleet.
-const LARGEST: u32 = 6000;
+const LARGEST_FLEET: u32 = 6000;
 
-/// Tests that count allocated bytes, or build a whole fleet, run one after the other.
+/// Held by tests that count allocated bytes or build a whole fleet, so that they run one at a time.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-/// What events cost a leader, and what it holds.
+/// What events cost a leader, and its largest writes.
 #[derive(Debug, PartialEq)]
 struct Costs {
-    /// Machines and places that were looked at, and bytes that were sent, for reports without news.
-    report_looks: u64,
-    report_bytes: usize,
-    /// The same for tasks that end while nothing waits.
-    end_looks: u64,
+    /// The number of machines and placements examined, and the bytes sent, for unchanged heartbeats.
+    heartbeat_examined: u64,
+    heartbeat_bytes: usize,
+    /// The number of machines examined when tasks exit and no job is queued.
+    exit_examined: u64,
     largest: LargestWrite,
 }
 
-/// What events cost the leader of this fleet.
-fn costs(fleet: FullFleet) -> Costs {
+/// Measures what events cost the leader of this fleet.
+fn measure_costs(fleet: FullFleet) -> Costs {
     let FullFleet {
         mut manager,
         mut tasks,
@@ -67,67 +67,76 @@
         now,
         ..
     } = fleet;
-    let (report_looks, report_bytes) = heartbeats_without_news(&mut manager, &tasks, now);
-    let looks = manager.machines_examined();
-    for (i, here) in tasks.iter_mut().enumerate().skip(100).take(20) {
-        here[0].state = TaskState::Exited;
-        here[0].cause = Some(Cause::Done);
-        heartbeat_from(&mut manager, &format!("m-{i}"), 3, None, here.clone(), now);
+    let (heartbeat_examined, heartbeat_bytes) = heartbeats_without_news(&mut manager, &tasks, now);
+    let examined = manager.machines_examined();
+    for (i, machine_tasks) in tasks.iter_mut().enumerate().skip(100).take(20) {
+        machine_tasks[0].state = TaskState::Exited;
+        machine_tasks[0].cause = Some(Cause::Done);
+        heartbeat_from(
+            &mut manager,
+            &format!("m-{i}"),
+            3,
+            None,
+            machine_tasks.clone(),
+            now,
+        );
         manager.step(now);
         manager.take_effects();
     }
     Costs {
-        report_looks,
-        report_bytes,
-        end_looks: manager.machines_examined() - looks,
+        heartbeat_examined,
+        heartbeat_bytes,
+        exit_examined: manager.machines_examined() - examined,
         largest,
     }
 }
 
-/// The bytes that a leader holds for each of so many machines, and what events cost it.
-fn measured(machines: u32) -> (f64, Costs) {
+/// The bytes that a leader of a fleet of this size holds per machine, and what events cost it.
+fn measure(machines: u32) -> (f64, Costs) {
     let region = Region::new(ALLOCATOR);
     let fleet = full_fleet(machines);
     let change = region.change();
     let held = change.bytes_allocated as f64 - change.bytes_deallocated as f64;
-    (held / f64::from(machines), costs(fleet))
+    (held / f64::from(machines), measure_costs(fleet))
 }
 
 #[test]
-fn in_any_fleet_events_cost_the_same_and_a_machine_takes_as_much_memory() {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
-    let (small_bytes, small) = measured(SMALL);
-    let (large_bytes, large) = measured(LARGEST);
-    assert_eq!((small.report_looks, small.end_looks), (0, 0));
-    assert_eq!((large.report_looks, large.end_looks), (0, 0));
-    assert_eq!(small.report_bytes, large.report_bytes);
-    // The settings allow values of 16 KiB, 8 changes and four times as many conditions.
+fn event_cost_and_memory_per_machine_do_not_grow_with_the_fleet() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
+    let (small_bytes, small) = measure(SMALL_FLEET);
+    let (large_bytes, large) = measure(LARGEST_FLEET);
+    assert_eq!((small.heartbeat_examined, small.exit_examined), (0, 0));
+    assert_eq!((large.heartbeat_examined, large.exit_examined), (0, 0));
+    assert_eq!(small.heartbeat_bytes, large.heartbeat_bytes);
+    // The settings allow values of 16 KiB, 8 write operations and four times as many conditions.
     let settings = Settings::parse("test", SETTINGS).unwrap();
     let state = &settings.cluster.state;
-    for written in [small.largest, large.largest] {
+    for largest in [small.largest, large.largest] {
         assert!(
-            written.value_bytes <= state.max_record_bytes(),
-            "{written:?}"
+            largest.value_bytes <= state.max_record_bytes(),
+            "{largest:?}"
         );
-        assert!(written.changes <= state.max_operations(), "{written:?}");
-        assert!(written.conditions <= state.max_compares(), "{written:?}");
+        assert!(largest.changes <= state.max_operations(), "{largest:?}");
+        assert!(largest.conditions <= state.max_compares(), "{largest:?}");
     }
-    // With its job, its four tasks and what runs on it as the test keeps it. Of 72 MB, the least that
-    // any controller has had, the largest fleet takes less than two thirds.
-    let bytes = format!("{small_bytes} and {large_bytes} bytes a machine");
+    // The bytes include the machine's job, its four tasks, and the test's own copy of them. The largest
+    // fleet takes less than two thirds of 72 MB, the smallest memory that any controller has had.
+    let bytes = format!(
+        "bytes per machine: {small_bytes} in the small fleet, {large_bytes} in the largest"
+    );
     assert!(large_bytes < 1.1 * small_bytes, "{bytes}");
-    assert!(large_bytes * f64::from(LARGEST) < 48e6, "{bytes}");
+    assert!(large_bytes * f64::from(LARGEST_FLEET) < 48e6, "{bytes}");
     println!("{bytes}");
 }
 
-/// Half of the fleet falls silent; the others report every two seconds. Returns the machines that are
-/// given back within 20 s, and the most direct commands that were under way without an answer.
-fn lose_half(fleet: &mut FullFleet) -> (BTreeSet<usize>, usize) {
+/// Half of the fleet stops sending heartbeats; the others send one every two seconds. Returns the machines
+/// that are returned to the cloud within 20 s, and the maximum number of unanswered direct commands.
+fn lose_half_of_fleet(fleet: &mut FullFleet) -> (BTreeSet<usize>, usize) {
     let (manager, tasks) = (&mut fleet.manager, &fleet.tasks);
     let half = tasks.len() / 2;
     let mut returned = BTreeSet::new();
     let mut unanswered: Vec<(f64, String)> = Vec::new();
-    let mut most = 0;
+    let mut max_unanswered = 0;
     for tick in 1..=40 {
         let now = fleet.now + f64::from(tick) / 2.0;
         for i in (0..half).filter(|i| i % 4 == tick as usize % 4) {
@@ -141,11 +150,11 @@
                 now,
             );
         }
-        // A machine that hangs holds its command's connection for a second and a half.
-        let (over, waits): (Vec<_>, Vec<_>) =
+        // A hanging machine keeps the connection of its command open for 1.5 seconds.
+        let (timed_out, waiting): (Vec<_>, Vec<_>) =
             unanswered.drain(..).partition(|(at, _)| now > at + 1.5);
-        unanswered = waits;
-        for (_, machine) in over {
+        unanswered = waiting;
+        for (_, machine) in timed_out {
             manager.commands_answered(&machine.as_str().into(), CommandOutcome::Unknown, now);
         }
         manager.tick(now);
@@ -153,35 +162,41 @@
             Effect::SendCommands { machine, .. } => unanswered.push((now, machine.to_string())),
             Effect::ReturnMachines(names) => {
                 returned.extend(names.iter().map(|n| machine_number(n)));
-                // Commands to what is gone end with it.
+                // Commands to returned machines are no longer outstanding.
                 unanswered.retain(|(_, machine)| !names.contains(machine));
                 manager.machines_returned(&names, true, now);
             }
             _ => {}
         });
-        most = most.max(unanswered.len());
+        max_unanswered = max_unanswered.max(unanswered.len());
     }
-    (returned, most)
+    (returned, max_unanswered)
 }
 
 #[test]
-fn the_loss_of_half_of_the_largest_fleet_is_noticed_with_few_connections() {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
-    let mut fleet = full_fleet(LARGEST);
+fn loss_of_half_of_the_largest_fleet_is_detected_with_few_connections() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
+    let mut fleet = full_fleet(LARGEST_FLEET);
     let half = fleet.tasks.len() / 2;
-    let (returned, most) = lose_half(&mut fleet);
+    let (returned, max_unanswered) = lose_half_of_fleet(&mut fleet);
     let settings = Settings::parse("test", SETTINGS).unwrap();
-    assert!(most <= settings.command_connections(), "{most} at a time");
-    assert!(returned.iter().all(|i| *i >= half), "only what is silent");
-    // A hundred machines go back in each call, and two calls in a second.
+    assert!(
+        max_unanswered <= settings.command_connections(),
+        "{max_unanswered} connections at a time"
+    );
+    assert!(
+        returned.iter().all(|i| *i >= half),
+        "a machine with heartbeats was returned"
+    );
+    // Each call returns a hundred machines, and there are two calls a second.
     assert!(
         returned.len() >= half * 2 / 3,
-        "{} of {half}",
+        "{} of {half} machines returned",
         returned.len()
     );
 }
 
-/// The records that a leader of a full fleet leaves to the next one.
+/// The records that the next leader of a full fleet reads.
 fn records_of(fleet: &FullFleet) -> Records {
     let item = |key: String, value, version| VersionedValue {
         key,
@@ -203,16 +218,16 @@
 }
 
 #[test]
-fn a_new_leader_takes_the_largest_fleet_over_and_launches_nothing_twice() {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
-    let fleet = full_fleet(LARGEST);
+fn new_leader_of_the_largest_fleet_launches_nothing_twice() {
+    let _guard = ONE_AT_A_TIME.lock().unwrap_or_else(|e| e.into_inner());
+    let fleet = full_fleet(LARGEST_FLEET);
     let token = 1_000_000;
     let mut next = manager_with_token(token);
     next.recover(records_of(&fleet), 0, 0.0);
     assert_eq!(next.machine_count(), fleet.tasks.len());
     let mut launched = 0;
     let mut running = 0;
-    // All come within a heartbeat interval, as after a restart of all controllers.
+    // All machines send heartbeats within one interval, as after a restart of all controllers.
     for (i, tasks) in fleet.tasks.iter().enumerate() {
         let now = 2.0 * i as f64 / fleet.tasks.len() as f64;
         for (sequence, seen) in [(3, 1), (4, token)] {
@@ -236,14 +251,14 @@
     for i in 0..fleet.tasks.len() {
         running += next.status(&format!("req-{i}")).unwrap().running;
     }
-    assert_eq!(launched, 0, "all of it runs");
+    assert_eq!(launched, 0, "all tasks are running already");
     assert_eq!(running as usize, 4 * fleet.tasks.len());
 }
 
 #[test]
-fn all_open_jobs_are_read_anew_in_one_message() {
+fn lagging_watch_reloads_all_open_jobs_in_one_message() {
     let mut state = standins::KeyValueStore::default();
-    for i in 0..LARGEST {
+    for i in 0..LARGEST_FLEET {
         state.revision += 1;
         let record = standins::Entry {
             value: json!(job_of_machine(i)),
@@ -253,7 +268,7 @@
         state.keys.insert(format!("{OPEN_PREFIX}req-{i}"), record);
     }
     let state = Mutex::new(state);
-    // Each watch finds that it has fallen behind.
+    // Each watch gets the response that its revision is too old.
     let address = standins::serve(move |method, url, body| {
         if url.starts_with("/changes") {
             (410, json!({}))
@@ -276,37 +291,40 @@
     for message in &messages {
         match message {
             Message::RecordsLoaded { records, .. } => {
-                assert_eq!(records.open.len(), LARGEST as usize);
+                assert_eq!(records.open.len(), LARGEST_FLEET as usize);
             }
             Message::JobsAccepted { jobs } => opened = Some(jobs),
             Message::RecordsRead { .. } => break,
-            _ => panic!("nothing else is read"),
+            _ => panic!("unexpected message"),
         }
     }
-    assert_eq!(opened.map(|jobs| jobs.len()), Some(LARGEST as usize));
+    assert_eq!(opened.map(|jobs| jobs.len()), Some(LARGEST_FLEET as usize));
     term.store(0, Ordering::Relaxed);
     drop(messages);
     thread.join().unwrap();
 }
 
 #[test]
-fn a_list_of_the_largest_fleet_is_read_to_its_end_though_pages_come_too_fast() {
+fn machine_list_of_the_largest_fleet_is_read_completely_despite_rate_limiting() {
     let calls = AtomicUsize::new(0);
     let address = standins::serve(move |_, url, _| {
-        // Every second call is one too many.
+        // Every second call is rate limited.
         if calls.fetch_add(1, Ordering::Relaxed) % 2 == 1 {
             return (429, json!({}));
         }
         let query = url.split_once('?').unwrap().1;
         let after = query.split('&').find_map(|p| p.strip_prefix("after=m-"));
         let first = after.map_or(0, |n| n.parse::<u32>().unwrap() + 1);
-        let last = (first + 500).min(LARGEST);
+        let last = (first + 500).min(LARGEST_FLEET);
         let machine = |i: u32| {
             json!({"name_id": format!("m-{i:06}"), "endpoint": null, "hull": "m4", "berth": "z",
                 "driftwood": false, "status": "running", "age_s": 1.0})
         };
         let fleet: Vec<_> = (first..last).map(machine).collect();
-        (200, json!({"fleet": fleet, "truncated": last < LARGEST}))
+        (
+            200,
+            json!({"fleet": fleet, "truncated": last < LARGEST_FLEET}),
+        )
     });
     let text = SETTINGS
         .replace("127.0.0.1:3", &address.to_string())
@@ -314,22 +332,22 @@
     let settings = Settings::parse("test", &text).unwrap();
     let listed = CloudClient::new(&settings).list().unwrap();
     let names: BTreeSet<&str> = listed.iter().map(|m| m.name.as_str()).collect();
-    assert_eq!(names.len(), LARGEST as usize);
+    assert_eq!(names.len(), LARGEST_FLEET as usize);
 }
 
-/// Sends a worker's heartbeat; the answer.
-fn report_on(stream: &mut TcpStream, worker: u32) -> String {
+/// Sends a worker's heartbeat and returns the answer.
+fn send_heartbeat(stream: &mut TcpStream, worker: u32) -> String {
     send(stream, "POST", "/agent/beat", &worker.to_string())
 }
 
 #[test]
 fn every_worker_of_the_largest_fleet_is_answered_with_far_fewer_sockets_than_machines() {
-    let heard = Arc::new(Mutex::new(BTreeSet::new()));
+    let received = Arc::new(Mutex::new(BTreeSet::new()));
     let runtime = Runtime::start().unwrap();
-    let noted = heard.clone();
+    let recorded = received.clone();
     let handler = move |call, respond: stairstage::transport::Responder| {
         if let ApiRequest::Heartbeat(body) = call {
-            noted.lock().unwrap().insert(body);
+            recorded.lock().unwrap().insert(body);
         }
         respond(Reply::json(200, &()));
     };
@@ -343,19 +361,19 @@
     let any = "127.0.0.1:0".parse().unwrap();
     let healthy = Arc::new(|| true);
     let address = api_server::serve(&runtime, any, bounds, Arc::new(handler), healthy).unwrap();
-    // The first workers keep their connections open, so that their share is used up.
+    // The first workers keep their connections open and use up the share of workers.
     let connect = move || TcpStream::connect(address).unwrap();
     let mut open: Vec<TcpStream> = (0..16).map(|_| connect()).collect();
     for (worker, stream) in open.iter_mut().enumerate() {
-        let answer = report_on(stream, worker as u32);
+        let answer = send_heartbeat(stream, worker as u32);
         assert!(answer.starts_with("http/1.1 200") && !answer.contains("connection: close"));
     }
     let senders = 16;
     std::thread::scope(|scope| {
         for sender in 0..senders {
             scope.spawn(move || {
-                for worker in (sender..LARGEST).step_by(senders as usize) {
-                    let answer = report_on(&mut connect(), worker);
+                for worker in (sender..LARGEST_FLEET).step_by(senders as usize) {
+                    let answer = send_heartbeat(&mut connect(), worker);
                     assert!(
                         answer.starts_with("http/1.1 200"),
                         "worker {worker}: {answer}"
@@ -369,5 +387,5 @@
         }
     });
     drop(open);
-    assert_eq!(heard.lock().unwrap().len(), LARGEST as usize);
+    assert_eq!(received.lock().unwrap().len(), LARGEST_FLEET as usize);
 }
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Calls between controllers, also with one of the version before, which lacks some of them.
+//! Calls between controllers, also with one of the previous version, which lacks some of the calls.
 
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 use stairstage::transport::peers::wire::peer_server::{Peer, PeerServer};
@@ -14,16 +14,16 @@
 use std::time::{Duration, Instant};
 use tonic::{Request, Response, Status};
 
-/// Takes whatever it is asked for a plain submission, as that version does with a kind it does not
-/// know.
-struct Former {
-    asked: Arc<AtomicUsize>,
+/// A controller of the previous version. It handles every request as a plain submission, as that version
+/// does with a kind that it does not know.
+struct PreviousVersion {
+    received: Arc<AtomicUsize>,
 }
 
 #[tonic::async_trait]
-impl Peer for Former {
+impl Peer for PreviousVersion {
     async fn ask(&self, _: Request<AskRequest>) -> Result<Response<AskReply>, Status> {
-        self.asked.fetch_add(1, Ordering::Relaxed);
+        self.received.fetch_add(1, Ordering::Relaxed);
         Ok(Response::new(AskReply {
             status: 201,
             ..AskReply::default()
@@ -54,88 +54,99 @@
     }
 }
 
-/// An address on loopback that nobody listens on.
+/// A loopback address with a free port.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// A controller of the version before; the runtime and the client of one that asks it.
-fn with_former(asked: Arc<AtomicUsize>) -> (Runtime, Peers) {
+/// Starts a controller of the previous version; returns the runtime and the client of a peer of it.
+fn with_previous_version(received: Arc<AtomicUsize>) -> (Runtime, Peers) {
     let runtime = Runtime::start().unwrap();
-    let (former, own) = (free_address(), free_address());
-    let service = PeerServer::new(Former { asked });
+    let (previous_address, own) = (free_address(), free_address());
+    let service = PeerServer::new(PreviousVersion { received });
     std::thread::spawn(move || {
         let server = tonic::transport::Server::builder().add_service(service);
-        let mut alone = tokio::runtime::Builder::new_current_thread();
-        let alone = alone.enable_all().build().unwrap();
-        alone.block_on(server.serve(former)).unwrap();
+        let mut runtime = tokio::runtime::Builder::new_current_thread();
+        let runtime = runtime.enable_all().build().unwrap();
+        runtime.block_on(server.serve(previous_address)).unwrap();
     });
-    let others = [("former".to_string(), former)];
+    let others = [("previous".to_string(), previous_address)];
     let log = CancellationLog::new(10);
     let peers = Peers::start(&runtime, own, &others, Arc::new(|_, _| {}), log).unwrap();
     (runtime, peers)
 }
 
-/// Tries until there is an answer: the other side may not listen yet.
+/// Retries until there is an answer: the server may not listen yet.
 fn answered<T>(mut attempt: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+    let start = Instant::now();
     loop {
         if let Some(answer) = attempt() {
             return answer;
         }
-        assert!(begun.elapsed() < Duration::from_secs(240), "never answers");
+        assert!(
+            start.elapsed() < Duration::from_secs(240),
+            "no answer in time"
+        );
     }
 }
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of a call.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_submission_that_waits_is_taken_by_no_peer_that_does_not_know_of_waiting() {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let (_runtime, peers) = with_former(asked.clone());
-    let ask = |waits: bool| {
-        let asked = ForwardedRequest {
+fn submission_with_dependencies_is_not_sent_to_a_peer_of_the_previous_version() {
+    let received = Arc::new(AtomicUsize::new(0));
+    let (_runtime, peers) = with_previous_version(received.clone());
+    let submit = |has_dependencies: bool| {
+        let request = ForwardedRequest {
             kind: Kind::Submit,
             job: "req-1",
             body: b"{}",
-            has_dependencies: waits,
+            has_dependencies,
         };
-        peers.forward_request("former", &asked, PATIENCE)
+        peers.forward_request("previous", &request, TIMEOUT)
     };
-    let taken = answered(|| ask(false));
-    assert_eq!(taken.status, 201);
-    let before = asked.load(Ordering::Relaxed);
-    assert!(ask(true).is_none());
-    assert_eq!(asked.load(Ordering::Relaxed), before, "not even asked");
+    let accepted = answered(|| submit(false));
+    assert_eq!(accepted.status, 201);
+    let before = received.load(Ordering::Relaxed);
+    assert!(submit(true).is_none());
+    assert_eq!(
+        received.load(Ordering::Relaxed),
+        before,
+        "the peer received the request"
+    );
 }
 
 #[test]
-fn a_controller_of_the_version_before_says_nothing_of_its_cancellations() {
-    let (_runtime, peers) = with_former(Arc::default());
-    answered(|| peers.receives_heartbeats("former", PATIENCE));
-    let told = peers.cancellations("former", Cursor::default(), PATIENCE);
-    assert_eq!(told, None);
+fn peer_of_the_previous_version_returns_no_cancellations() {
+    let (_runtime, peers) = with_previous_version(Arc::default());
+    answered(|| peers.receives_heartbeats("previous", TIMEOUT));
+    let cancellations = peers.cancellations("previous", Cursor::default(), TIMEOUT);
+    assert_eq!(cancellations, None);
 }
 
 #[test]
-fn a_controller_tells_the_cancellations_that_it_has_confirmed_since_it_was_last_asked() {
-    let (teller, asker) = (free_address(), free_address());
+fn peer_returns_the_cancellations_confirmed_since_the_last_call() {
+    let (responder, caller) = (free_address(), free_address());
     let log = CancellationLog::new(10);
     log.record("req-1");
     let runtime = Runtime::start().unwrap();
     let start = |own, others: &[(String, SocketAddr)], log| {
         Peers::start(&runtime, own, others, Arc::new(|_, _| {}), log).unwrap()
     };
-    let _teller = start(teller, &[], log.clone());
-    let others = [("teller".to_string(), teller)];
-    let peers = start(asker, &others, CancellationLog::new(10));
-    let ask = |after| answered(|| peers.cancellations("teller", after, PATIENCE));
-    let first = ask(Cursor::default());
+    let _responder = start(responder, &[], log.clone());
+    let others = [("responder".to_string(), responder)];
+    let peers = start(caller, &others, CancellationLog::new(10));
+    let call = |after| answered(|| peers.cancellations("responder", after, TIMEOUT));
+    let first = call(Cursor::default());
     assert_eq!(first, log.page(Cursor::default()));
-    assert!(!first.continues, "what came before is on record");
+    assert!(
+        !first.continues,
+        "earlier cancellations are only in the records"
+    );
     log.record("req-2");
-    let second = ask(first.cursor);
+    let second = call(first.cursor);
     assert!(second.continues && second.complete);
     assert_eq!(second.jobs, ["req-2".into()]);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,5 @@
-//! What must hold at any size: work per event, the state service's budget, and the front's bounds.
+//! Limits that must hold for fleets of any size: work per event, writes to the state service, and
+//! connections of the API server.
 
 mod common;
 
@@ -22,17 +23,17 @@
 use std::time::Duration;
 
 #[test]
-fn a_launch_writes_no_more_in_a_large_fleet_than_a_record_holds() {
+fn launch_in_a_large_fleet_writes_at_most_one_record() {
     let FullFleet {
         mut manager, now, ..
     } = full_fleet(2200);
     heartbeat_from(&mut manager, "m-new", 1, None, Vec::new(), now);
     submit(&mut manager, "req-9999", "sweep", "normal", None, 9999);
-    let (mut launched, mut most) = (0, 0);
+    let (mut launched, mut max_bytes) = (0, 0);
     for tenth in 0..20 {
         let at = now + f64::from(tenth) / 10.0;
         carry_out_all(&mut manager, at, |effect| {
-            most = most.max(effect_bytes(effect));
+            max_bytes = max_bytes.max(effect_bytes(effect));
             if let Effect::SendCommands {
                 commands: batch, ..
             } = effect
@@ -42,13 +43,13 @@
         });
     }
     assert_eq!(launched, 4);
-    // One record of 16 KiB with what surrounds it, and conditions on the job's end and the leader.
-    assert!(most > 0 && most < 17 * 1024, "{most} bytes");
+    // One record of 16 KiB, its JSON overhead, and the conditions on the job's final state and the leader.
+    assert!(max_bytes > 0 && max_bytes < 17 * 1024, "{max_bytes} bytes");
 }
 
 #[test]
-fn a_report_without_news_costs_the_same_in_any_fleet() {
-    // Looks at machines and places, and bytes of what is answered and sent.
+fn unchanged_heartbeat_costs_the_same_in_any_fleet() {
+    // The number of machines and placements examined, and the bytes answered and sent.
     let cost = |machines: u32| {
         let FullFleet {
             mut manager,
@@ -64,17 +65,17 @@
 }
 
 #[test]
-fn passes_are_paced_by_what_they_take() {
+fn scheduling_passes_are_spaced_by_their_duration() {
     let FullFleet {
         mut manager,
         mut tasks,
-        now: begun,
+        now: start,
         ..
     } = full_fleet(20);
     let mut passes = 0;
     for i in 0..200u32 {
-        // A task ends at each step, so that there is always something to decide.
-        let now = begun + f64::from(i) / 100.0;
+        // A task exits at each step, so that each step has something to schedule.
+        let now = start + f64::from(i) / 100.0;
         let machine = (i % 20) as usize;
         if let Some(t) = tasks[machine]
             .iter_mut()
@@ -97,27 +98,27 @@
             manager.cycle_took(0.05, now);
         }
     }
-    // Two seconds, and a quarter of a second from one pass to the next.
+    // The steps span two seconds, and a pass starts a quarter of a second after the one before.
     assert!((2..=9).contains(&passes), "{passes}");
 }
 
 #[test]
-fn launches_of_many_jobs_share_the_changes_of_their_records() {
+fn launches_of_many_jobs_share_record_writes() {
     let changes = full_fleet(120).changes;
-    assert!(changes <= 30, "{changes} changes for 120 jobs");
+    assert!(changes <= 30, "{changes} write operations for 120 jobs");
 }
 
-/// Few changes a second for small records, a fleet on which tasks end and others follow all the time,
-/// and as many machines again that come up at once. Returns how long these waited at most for all of
-/// their first tasks.
-fn second_half_of_a_fleet(machines: usize) -> f64 {
+/// Simulates a small write limit and small records, with a fleet where tasks constantly exit and others
+/// start. After 30 seconds as many machines again join at once. Returns the time in seconds from then
+/// until all of them have their first tasks.
+fn startup_time_of_second_half(machines: usize) -> f64 {
     let text = SETTINGS.replace("write_rps = 100.0", "write_rps = 5.0");
     let text = text.replace("value_kb = 16.0", "value_kb = 1.0");
     let settings = Arc::new(Settings::parse("test", &text).unwrap());
     let mut manager = ClusterManager::new(settings, FencingToken(1), 0.0);
     manager.set_lease_valid_until(f64::INFINITY);
     manager.set_machine_types(vec![machine_type()]);
-    // Large enough that their ends cost next to nothing.
+    // Large jobs, so that the writes of their final states hardly count.
     for n in 1..=4 {
         let spec = parsed(&submission(&format!("req-{n}"), "sweep", "normal", 2000));
         let record = OpenRecord::accepted(spec, 0);
@@ -126,22 +127,22 @@
     let mut seqs = vec![0; machines];
     let mut tasks: Vec<Vec<TaskStatus>> = vec![Vec::new(); machines];
     let mut launched = vec![0; machines];
-    let come_at = 30.0;
+    let join_at = 30.0;
     for tenth in 0..900 {
         let now = f64::from(tenth) / 10.0;
-        let up = if now < come_at {
+        let active = if now < join_at {
             machines / 2
         } else {
             machines
         };
-        // Each reports every two seconds, and half of them that a task of theirs has ended.
-        for i in 0..up {
+        // Each machine sends a heartbeat every two seconds; half of them report that a task has exited.
+        for i in 0..active {
             if (i + tenth as usize) % 20 > 0 && seqs[i] > 0 {
                 continue;
             }
             seqs[i] += 1;
-            let ends = i % 40 < 20;
-            if let Some(t) = tasks[i].iter_mut().find(|_| ends) {
+            let exits = i % 40 < 20;
+            if let Some(t) = tasks[i].iter_mut().find(|_| exits) {
                 t.state = TaskState::Exited;
                 t.cause = Some(Cause::Done);
             }
@@ -163,23 +164,24 @@
             }
         });
         if launched.iter().all(|n| *n >= 4) {
-            return now - come_at;
+            return now - join_at;
         }
     }
     f64::INFINITY
 }
 
 #[test]
-fn no_launch_waits_for_ever_for_its_record_while_changes_are_few() {
-    // A record holds some 30 places, and 3 changes a second are the leader's: 400 places take five
-    // seconds. By their numbers, the records of what follows on the others would always go first; and
-    // if places filled small gaps, each would cost a change.
-    let waited = second_half_of_a_fleet(200);
+fn launches_on_new_machines_are_not_starved_of_record_writes() {
+    // A record holds about 30 placements, and the leader may write 3 records a second: 400 placements
+    // take five seconds. If records were written in the order of their numbers, those of the machines
+    // that are already running would always go first. If placements filled small gaps in records, each
+    // placement would cost a write.
+    let startup_s = startup_time_of_second_half(200);
 
-    assert!(waited < 8.0, "{waited} s");
+    assert!(startup_s < 8.0, "{startup_s} s");
 }
 
-/// Serves users and workers within these bounds; answers everything.
+/// Starts an API server with these bounds that answers every request with 200.
 fn serve(bounds: Bounds) -> SocketAddr {
     let runtime = Runtime::start().unwrap();
     let handler = |_call, respond: stairstage::transport::Responder| respond(Reply::json(200, &()));
@@ -187,7 +189,7 @@
     api_server::serve(&runtime, any, bounds, Arc::new(handler), Arc::new(|| true)).unwrap()
 }
 
-/// Room for four workers and three users, of six connections.
+/// At most six connections, with shares of four for workers and three for users.
 fn bounds() -> Bounds {
     Bounds {
         connections: 6,
@@ -198,13 +200,13 @@
     }
 }
 
-/// Whether an answer asks to come back in a second.
-fn refused(text: &str) -> bool {
+/// Whether an answer is 503 with a retry after one second.
+fn is_rejected(text: &str) -> bool {
     text.starts_with("http/1.1 503") && text.contains("retry-after: 1")
 }
 
 #[test]
-fn workers_beyond_their_share_are_answered_and_users_keep_theirs() {
+fn workers_beyond_their_share_are_answered_without_taking_connections_of_users() {
     let address = serve(bounds());
     let connect = || TcpStream::connect(address).unwrap();
     let mut workers: Vec<TcpStream> = (0..4).map(|_| connect()).collect();
@@ -212,7 +214,7 @@
         let answer = send(worker, "POST", "/agent/beat", "{}");
         assert!(answer.starts_with("http/1.1 200") && !answer.contains("connection: close"));
     }
-    // Far more workers than sockets: each keeps its lease, none keeps a connection.
+    // Far more workers than sockets: each keeps its lease, as its heartbeat is answered, but no connection.
     for _ in 0..20 {
         let mut further = connect();
         let answer = send(&mut further, "POST", "/agent/beat", "{}");
@@ -221,18 +223,19 @@
     let mut user = connect();
     assert!(send(&mut user, "GET", "/healthz", "").starts_with("http/1.1 200"));
     drop(workers);
-    // Those that are open go on; the share is free for others again.
+    // The open user connection still works once the workers have freed their share.
     assert!(send(&mut user, "GET", "/v2/runs/req-1", "").starts_with("http/1.1 200"));
 }
 
 #[test]
-fn the_shares_of_sockets_leave_room_for_each_other() {
+fn socket_shares_fit_within_the_configured_maximum() {
     for all in [64, 500, 1000, 2237, 3606] {
         let text = SETTINGS.replace("max_sockets = 500", &format!("max_sockets = {all}"));
         let settings = Settings::parse("test", &text).unwrap();
         let b = stairstage::service::bounds(&settings);
-        // Full shares of workers and users leave some for workers that connect for each heartbeat, and
-        // all of the front's leave enough for peers, the state service and the cloud.
+        // When workers and users use their full shares, some connections remain for workers that connect
+        // for each heartbeat. All connections of the API server leave enough sockets for peers, the state
+        // service and the cloud.
         assert!(b.workers + b.users < b.connections);
         assert!(b.connections + 40 < all, "{} of {all}", b.connections);
         assert!(b.workers > b.users && b.users > (all - 40) / 5);
@@ -240,18 +243,18 @@
 }
 
 #[test]
-fn what_does_not_fit_is_told_so_at_once() {
+fn connection_beyond_the_maximum_is_rejected_at_once() {
     let address = serve(bounds());
     let connect = || TcpStream::connect(address).unwrap();
     let mut open: Vec<TcpStream> = (0..6).map(|_| connect()).collect();
-    // The last of them has been accepted when it is answered.
+    // The answer shows that the last connection has been accepted.
     assert!(send(&mut open[5], "GET", "/healthz", "").starts_with("http/1.1 200"));
     let mut more = connect();
-    assert!(refused(&send(&mut more, "GET", "/healthz", "")));
+    assert!(is_rejected(&send(&mut more, "GET", "/healthz", "")));
 }
 
 #[test]
-fn a_body_that_is_too_long_or_never_comes_costs_little() {
+fn oversized_incomplete_and_endless_requests_are_cut_off() {
     let address = serve(Bounds {
         idle_timeout: Duration::from_millis(200),
         body_timeout: Duration::from_millis(200),
@@ -265,7 +268,7 @@
     let head = "POST /v2/runs HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc";
     slow.write_all(head.as_bytes()).unwrap();
     assert!(answer(&mut slow).starts_with("http/1.1 408"));
-    // A head that never ends: the connection is closed.
+    // An incomplete request head: the connection is closed.
     let mut endless = TcpStream::connect(address).unwrap();
     endless.write_all(b"GET /healthz HT").unwrap();
     assert!(!answer(&mut endless).starts_with("http/1.1 200"));
