--- a/tests/election.rs
+++ b/tests/election.rs
@@ -1,5 +1,6 @@
 //! Elections among several controllers in simulated time: generated schedules of faults, and particular
-//! combinations of faults.
+//! combinations of faults. The cluster checks after each event that at most one controller trusts its
+//! lease and that valid tokens only rise.
 
 #[path = "common/election_cluster/mod.rs"]
 mod election_cluster;
@@ -26,7 +27,7 @@
     Cluster::new(LEASE, MAX_EXPIRY_DELAY, 1.0, SEED)
 }
 
-/// A cluster whose faults affect every request, with an elected leader.
+/// A cluster as above, with an elected leader.
 fn cluster_with_leader() -> (Cluster, usize) {
     let mut cluster = cluster();
     let leader = cluster.run_until_elected(None, LEASE);
@@ -149,7 +150,7 @@
     })]
 
     #[test]
-    fn cluster_recovers_after_any_schedule_of_faults(
+    fn cluster_has_at_most_one_leader_and_recovers_under_any_schedule_of_faults(
         seed in any::<u64>(),
         schedule in prop::collection::vec((fault(), 0..2 * LEASE), 5..40),
     ) {
@@ -341,7 +342,7 @@
 }
 
 #[test]
-fn cluster_recovers_after_a_controller_pauses_in_its_campaign() {
+fn controller_paused_in_its_campaign_never_leads_with_an_expired_lease() {
     for moment in 0..40 {
         let mut cluster = cluster();
         cluster.run_for(moment * SECOND / 2000);
--- a/tests/polls/controllers.rs
+++ b/tests/polls/controllers.rs
@@ -21,7 +21,7 @@
 /// The request limit of the state service per second, for all clients.
 const RPS: f64 = 200.0;
 /// The maximum number of conditions in a transaction.
-const CONDITIONS: usize = 32;
+const MAX_CONDITIONS: usize = 32;
 /// The maximum number of records in a page.
 const MAX_PAGE_LEN: usize = 400;
 /// Records per page for each queued poll.
@@ -97,7 +97,7 @@
     ) -> Cluster {
         let limits = Limits {
             requests_per_s: 0.4 * RPS / CONTROLLERS as f64,
-            max_compares: CONDITIONS,
+            max_compares: MAX_CONDITIONS,
             max_jobs: 10_000,
         };
         let controller = |_| Controller {
@@ -121,7 +121,7 @@
 
     /// Polls that a controller can compare per second, with two conditions each.
     pub(crate) fn polls_per_s(&self) -> f64 {
-        self.reads_per_s() * (CONDITIONS / 2) as f64
+        self.reads_per_s() * (MAX_CONDITIONS / 2) as f64
     }
 
     /// Half of a controller's share of requests per second.
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -109,7 +109,7 @@
     }
 
     /// The leader records the final state of a job: its last task is done, or its dependency is
-    /// cancelled. For a job that was cancelled before, it only deletes the open record.
+    /// cancelled. For a cancelled job, whose tasks are all gone, it only deletes the open record.
     pub(crate) fn leader_finishes_job(&mut self, job: u8, delivery: Delivery) {
         let Some(leader) = &self.leader else {
             return;
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -38,7 +38,7 @@
     LearnLeader(usize),
     /// The state service rejects the controllers whose bits are set.
     Reject(u8),
-    /// A controller gets a list of machine types: too small ones, or the usual ones.
+    /// A controller gets a list of machine types: only ones that are too small, or the usual ones.
     Types(usize, bool),
 }
 
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -48,7 +48,7 @@
 }
 
 /// The index of the controller with this name.
-fn number_of(name: &str) -> usize {
+fn index_of(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
 
@@ -170,7 +170,7 @@
             match effect {
                 RequestEffect::ReadLocalView => self.wait(key, Waiting::LocalView),
                 RequestEffect::Store(call) => self.wait(key, Waiting::Store(call)),
-                RequestEffect::Forward(peer) => self.wait(key, Waiting::Peer(number_of(&peer))),
+                RequestEffect::Forward(peer) => self.wait(key, Waiting::Peer(index_of(&peer))),
                 RequestEffect::JobAccepted { record, version } => {
                     self.job_accepted(controller, *record, version);
                 }
