--- a/tests/histories/combinations/cancellations.rs
+++ b/tests/histories/combinations/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations that meet changes of leader and outages of the state service.
+//! Cancellations during leader changes and outages of the state service.
 
 use super::{LEADER_LEASE_S, SEEDS};
 use crate::job::JobShape;
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 
 #[test]
-fn many_small_jobs_of_which_a_quarter_is_cancelled() {
+fn small_jobs_cancelled_at_submission_stop_within_cancellation_deadline() {
     let small = JobShape {
         run_s: 2.0,
         ..JobShape::default()
@@ -28,33 +28,33 @@
 }
 
 #[test]
-fn jobs_are_cancelled_while_work_changes_hands() {
+fn jobs_cancelled_around_leader_change_stop_within_cancellation_deadline() {
     for_each_seed(SEEDS, |world| {
         for _ in 0..5 {
-            world.submit_some(4);
-            world.run_busy(6.0);
-            world.cancel_some(0.2);
+            world.submit_random_jobs(4);
+            world.run_under_load(6.0);
+            world.cancel_random_jobs(0.2);
             if world.chance(0.5) {
-                world.end_leader();
+                world.stop_leader();
             } else {
                 world.isolate_leader(LEADER_LEASE_S);
             }
             for _ in 0..4 {
-                world.run_busy(0.5);
-                world.cancel_some(0.1);
+                world.run_under_load(0.5);
+                world.cancel_random_jobs(0.1);
             }
             world.replace_leader();
             for _ in 0..4 {
-                world.run_busy(0.5);
-                world.cancel_some(0.1);
+                world.run_under_load(0.5);
+                world.cancel_random_jobs(0.1);
             }
         }
     });
 }
 
-/// Long tasks run, the state service refuses the leader alone, and other controllers confirm
-/// cancellations. Returns how many tasks of cancelled jobs are on machines then.
-fn cancel_as_the_leader_is_refused(world: &mut World) -> usize {
+/// Starts long tasks, cuts only the leader off from the state service, and cancels jobs through its
+/// peers. Returns how many tasks of cancelled jobs still run on machines.
+fn cancel_jobs_while_leader_lacks_store(world: &mut World) -> usize {
     for _ in 0..4 {
         world.submit_shape(&JobShape {
             run_s: 90.0,
@@ -66,62 +66,66 @@
             ..JobShape::default()
         });
     }
-    let calm_s = world.between(5.0, 10.0);
-    world.run_for(calm_s);
-    world.refuse_leader(LEADER_LEASE_S);
-    let refused_s = world.between(0.0, 1.5);
-    world.run_for(refused_s);
-    world.cancel_some(0.5);
-    world.cancelled_on_machines()
+    let until_fault_s = world.between(5.0, 10.0);
+    world.run_for(until_fault_s);
+    world.disconnect_leader_from_store(LEADER_LEASE_S);
+    let disconnected_s = world.between(0.0, 1.5);
+    world.run_for(disconnected_s);
+    world.cancel_random_jobs(0.5);
+    world.cancelled_tasks_on_machines()
 }
 
-/// The state service is down for all, for longer than a cancellation may take.
-fn outage_longer_than_a_cancellation(world: &mut World, mut fault: impl FnMut(&mut World)) {
+/// Takes the state service down for longer than `cancel_s`, and injects a fault in the first half of
+/// the outage.
+fn run_outage_longer_than_cancellation_deadline(
+    world: &mut World,
+    mut fault: impl FnMut(&mut World),
+) {
     world.store_is_down = true;
     let outage_s = world.settings.cluster.workers.cancel_s * world.between(1.1, 2.0);
-    let trouble_s = world.between(0.0, outage_s / 2.0);
-    world.run_for(trouble_s);
+    let until_fault_s = world.between(0.0, outage_s / 2.0);
+    world.run_for(until_fault_s);
     fault(world);
-    world.run_for(outage_s - trouble_s);
+    world.run_for(outage_s - until_fault_s);
     world.store_is_down = false;
     world.replace_leader();
 }
 
 #[test]
-fn a_refused_leader_stops_what_others_confirm_as_cancelled_through_an_outage() {
+fn leader_without_store_stops_jobs_cancelled_by_peers_and_keeps_worker_leases() {
     let cancelled = Cell::new(0);
     for_each_seed(SEEDS, |world| {
-        cancelled.set(cancelled.get() + cancel_as_the_leader_is_refused(world));
+        cancelled.set(cancelled.get() + cancel_jobs_while_leader_lacks_store(world));
         let incarnations = world.incarnations();
-        outage_longer_than_a_cancellation(world, |_| {});
+        run_outage_longer_than_cancellation_deadline(world, |_| {});
         assert_eq!(
             world.incarnations(),
             incarnations,
-            "a worker's lease has ended"
+            "a worker's lease has expired"
         );
-        assert_eq!(world.cancelled_on_machines(), 0);
+        assert_eq!(world.cancelled_tasks_on_machines(), 0);
     });
-    assert!(cancelled.get() > 0, "nothing that ran was cancelled");
+    assert!(cancelled.get() > 0, "no running task was cancelled");
 }
 
 #[test]
-fn a_refused_leader_that_loses_a_peer_lets_leases_end_before_a_cancellation_must() {
+fn leader_without_store_and_a_peer_lets_worker_leases_expire_before_cancellation_deadline() {
     let cancelled = Cell::new(0);
     for_each_seed(SEEDS, |world| {
-        cancelled.set(cancelled.get() + cancel_as_the_leader_is_refused(world));
+        cancelled.set(cancelled.get() + cancel_jobs_while_leader_lacks_store(world));
         if world.chance(0.5) {
             world.isolate_leader(0.0);
         } else {
             world.peers.restart(0);
         }
         let incarnations = world.incarnations();
-        outage_longer_than_a_cancellation(world, |world| world.isolate_leader(0.0));
+        run_outage_longer_than_cancellation_deadline(world, |world| world.isolate_leader(0.0));
         assert_ne!(
             world.incarnations(),
             incarnations,
-            "nobody vouched for the leases"
+            "no worker's lease has expired"
         );
-        assert_eq!(world.cancelled_on_machines(), 0);
+        assert_eq!(world.cancelled_tasks_on_machines(), 0);
     });
-    assert!(cancelled.get() > 0, "nothing that ran was cancelled");
+    assert!(cancelled.get() > 0, "no running task was cancelled");
 }
--- a/tests/histories/combinations/leaders.rs
+++ b/tests/histories/combinations/leaders.rs
@@ -1,4 +1,4 @@
-//! Changes of leader that meet machines out of reach, or that follow each other.
+//! Leader changes while machines are unreachable, and leader changes in quick succession.
 
 use super::{LEADER_LEASE_S, SEEDS};
 use crate::job::JobShape;
@@ -6,29 +6,30 @@
 use crate::timed::for_each_seed;
 use stairstage::protocol::job::JobKind;
 
-/// The leader ends, is deposed while it lives on, or loses the state service; some of it in an outage.
+/// The leader stops, is replaced while it still runs, is isolated, or loses the state service just
+/// before an outage of the state service.
 #[test]
-fn leaders_change_ten_times_in_two_minutes_while_jobs_run() {
+fn ten_leader_changes_in_two_minutes_preserve_safety() {
     for_each_seed(SEEDS / 2, |world| {
         for _ in 0..10 {
-            world.submit_some(2);
-            let calm_s = world.between(5.0, 10.0);
-            world.run_busy(calm_s);
-            world.cancel_some(0.1);
+            world.submit_random_jobs(2);
+            let until_fault_s = world.between(5.0, 10.0);
+            world.run_under_load(until_fault_s);
+            world.cancel_random_jobs(0.1);
             let outage_s = world.between(0.5, 6.0);
             match world.between(0.0, 4.0) as u32 {
                 0 => world.change_leader(1.0),
                 1 => world.replace_leader(),
                 2 => {
                     world.isolate_leader(LEADER_LEASE_S);
-                    world.run_busy(1.0);
+                    world.run_under_load(1.0);
                     world.replace_leader();
                 }
                 _ => {
-                    world.refuse_leader(LEADER_LEASE_S);
+                    world.disconnect_leader_from_store(LEADER_LEASE_S);
                     world.store_is_down = true;
                     world.run_for(outage_s);
-                    world.end_leader();
+                    world.stop_leader();
                     world.run_for(outage_s);
                     world.store_is_down = false;
                     world.replace_leader();
@@ -39,60 +40,60 @@
 }
 
 #[test]
-fn controllers_hand_over_and_back_then_all_end_and_one_returns_while_jobs_run() {
+fn repeated_failovers_and_outage_of_all_controllers_preserve_safety() {
     let faults = Faults {
         slow_responses: 0.2,
         slow_commands: 0.3,
-        kept_heartbeats: 0.2,
-        kept_delay: DelayRange::new(0.0, 2.0),
+        replayed_heartbeats: 0.2,
+        replay_delay: DelayRange::new(0.0, 2.0),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         for _ in 0..4 {
-            world.submit_some(3);
-            world.run_busy(6.0);
+            world.submit_random_jobs(3);
+            world.run_under_load(6.0);
             for _ in 0..2 {
                 world.replace_leader();
-                world.cancel_some(0.1);
-                let until_back_s = world.between(0.25, 3.0);
-                world.run_busy(until_back_s);
+                world.cancel_random_jobs(0.1);
+                let interval_s = world.between(0.25, 3.0);
+                world.run_under_load(interval_s);
             }
-            world.end_leader();
+            world.stop_leader();
             world.former_leaders.clear();
-            world.cancel_some(0.1);
-            let away_s = world.between(0.25, 20.0);
-            world.run_busy(away_s);
+            world.cancel_random_jobs(0.1);
+            let outage_s = world.between(0.25, 20.0);
+            world.run_under_load(outage_s);
             world.replace_leader();
         }
     });
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
+fn jobs_finish_after_controller_outage_longer_than_worker_lease() {
     let faults = Faults {
-        late_commands: 0.2,
-        kept_heartbeats: 0.2,
-        kept_delay: DelayRange::new(0.0, 3.0),
+        timed_out_commands: 0.2,
+        replayed_heartbeats: 0.2,
+        replay_delay: DelayRange::new(0.0, 3.0),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         for _ in 0..3 {
-            world.submit_some(4);
-            world.run_busy(6.0);
-            world.end_leader();
-            world.cancel_some(0.2);
-            let away_s = world.between(10.0, 30.0);
-            world.run_busy(away_s);
-            world.cancel_some(0.2);
+            world.submit_random_jobs(4);
+            world.run_under_load(6.0);
+            world.stop_leader();
+            world.cancel_random_jobs(0.2);
+            let outage_s = world.between(10.0, 30.0);
+            world.run_under_load(outage_s);
+            world.cancel_random_jobs(0.2);
             world.replace_leader();
         }
     });
 }
 
 #[test]
-fn tasks_of_a_job_end_far_apart_across_a_change_of_leader() {
+fn jobs_with_staggered_tasks_finish_across_leader_changes() {
     for_each_seed(SEEDS, |world| {
         for i in 0..8 {
             world.submit_shape(&JobShape {
@@ -104,15 +105,15 @@
             });
         }
         for _ in 0..4 {
-            let until_change = world.between(2.0, 10.0);
-            world.run_busy(until_change);
+            let until_change_s = world.between(2.0, 10.0);
+            world.run_under_load(until_change_s);
             world.change_leader(1.0);
         }
     });
 }
 
 #[test]
-fn a_zone_with_the_former_leader_is_cut_off_for_longer_than_a_lease() {
+fn cancelled_service_in_partitioned_zone_with_former_leader_stops_within_cancellation_deadline() {
     for_each_seed(SEEDS, |world| {
         for zone in ["z", "y"] {
             let service = world.submit_shape(&JobShape {
@@ -121,20 +122,20 @@
                 zone: Some(zone),
                 ..JobShape::default()
             });
-            world.submit_some(8);
-            world.run_busy(6.0);
+            world.submit_random_jobs(8);
+            world.run_under_load(6.0);
             world.cloud_is_down = world.chance(0.5);
             world.isolate_leader(LEADER_LEASE_S);
-            // The replicas run on in the zone, and only the end of their lease ends them.
+            // The replicas keep running in the partitioned zone until their worker's lease expires.
             world.cancel(&service);
-            world.cancel_some(0.2);
-            world.cut_zone(zone, true);
+            world.cancel_random_jobs(0.2);
+            world.partition_zone(zone, true);
             world.replace_leader();
             for _ in 0..10 {
-                world.run_busy(4.0);
-                world.cancel_some(0.1);
+                world.run_under_load(4.0);
+                world.cancel_random_jobs(0.1);
                 if world.chance(0.2) {
-                    world.tell_formers();
+                    world.send_cancellations_to_former_leaders();
                 }
             }
             world.reconnect_all();
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_are_out_of_reach() {
+fn long_tasks_on_unreachable_machines_run_once_across_leader_change() {
     let long = JobShape {
         tasks: 4,
         run_s: 40.0,
@@ -153,10 +154,10 @@
     for_each_seed(SEEDS, |world| {
         for _ in 0..3 {
             world.submit_shape(&long);
-            world.submit_some(2);
-            world.run_busy(6.0);
+            world.submit_random_jobs(2);
+            world.run_under_load(6.0);
             for _ in 0..3 {
-                let i = world.some_worker();
+                let i = world.random_worker();
                 if world.chance(0.5) {
                     world.workers[i].partitioned = true;
                 } else {
@@ -165,8 +166,8 @@
             }
             world.cloud_is_down = world.chance(0.5);
             world.change_leader(1.0);
-            let away_s = world.between(3.0, 20.0);
-            world.run_busy(away_s);
+            let outage_s = world.between(3.0, 20.0);
+            world.run_under_load(outage_s);
             world.reconnect_all();
             world.cloud_is_down = false;
         }
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn teams_at_their_limits_while_machines_are_out_of_reach_and_the_leader_changes() {
+fn quotas_hold_while_machines_are_unreachable_and_leader_changes() {
     for_each_seed(SEEDS, |world| {
         for team in ["t", "u"] {
             for _ in 0..5 {
@@ -186,10 +187,10 @@
                 });
             }
         }
-        world.run_busy(5.0);
+        world.run_under_load(5.0);
         for _ in 0..4 {
             for _ in 0..2 {
-                let i = world.some_worker();
+                let i = world.random_worker();
                 if world.chance(0.5) {
                     world.workers[i].partitioned = true;
                 } else {
@@ -197,18 +198,18 @@
                 }
             }
             world.cloud_is_down = world.chance(0.5);
-            world.cancel_some(0.2);
+            world.cancel_random_jobs(0.2);
             if world.chance(0.5) {
                 world.replace_leader();
             } else {
                 world.change_leader(1.0);
             }
-            world.cancel_some(0.1);
-            let away_s = world.between(3.0, 18.0);
-            world.run_busy(away_s);
+            world.cancel_random_jobs(0.1);
+            let outage_s = world.between(3.0, 18.0);
+            world.run_under_load(outage_s);
             world.reconnect_all();
             world.cloud_is_down = false;
-            world.run_busy(2.0);
+            world.run_under_load(2.0);
         }
     });
 }
--- a/tests/histories/combinations/machines.rs
+++ b/tests/histories/combinations/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that are lost, hang, are new or reach no controller.
+//! Machines that fail, hang, are newly rented or reach no controller.
 
 use super::SEEDS;
 use crate::job::JobShape;
@@ -7,7 +7,7 @@
 use stairstage::protocol::job::JobKind;
 
 #[test]
-fn jobs_bound_to_a_zone_lose_machines() {
+fn zone_bound_jobs_finish_after_machine_loss() {
     for_each_seed(SEEDS, |world| {
         world.rentable = 3;
         for i in 0..5 {
@@ -31,14 +31,14 @@
                     ..JobShape::default()
                 });
             }
-            world.run_busy(5.0);
-            let i = world.some_worker();
+            world.run_under_load(5.0);
+            let i = world.random_worker();
             if world.chance(0.5) {
-                world.workers[i].die();
+                world.workers[i].terminate();
             } else {
                 world.workers[i].partitioned = true;
             }
-            world.run_busy(3.0);
+            world.run_under_load(3.0);
             if world.chance(0.3) {
                 world.replace_leader();
             }
@@ -47,21 +47,21 @@
 }
 
 #[test]
-fn workers_reach_no_controller_while_commands_reach_them() {
+fn workers_with_lost_heartbeats_run_no_task_twice() {
     for_each_seed(SEEDS, |world| {
         for _ in 0..4 {
-            world.submit_some(4);
+            world.submit_random_jobs(4);
             for _ in 0..3 {
-                let i = world.some_worker();
+                let i = world.random_worker();
                 world.workers[i].heartbeats_lost = true;
             }
             world.cloud_is_down = world.chance(0.5);
-            world.run_busy(9.0);
-            world.cancel_some(0.2);
+            world.run_under_load(9.0);
+            world.cancel_random_jobs(0.2);
             if world.chance(0.5) {
                 world.change_leader(1.0);
             }
-            world.run_busy(9.0);
+            world.run_under_load(9.0);
             world.cloud_is_down = false;
             if world.chance(0.5) {
                 world.reconnect_all();
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() {
+fn tasks_on_new_machines_run_once_despite_slow_writes_and_failover() {
     let faults = Faults {
         slow_writes: 0.4,
-        unanswered_writes: 0.15,
-        late_writes: 0.15,
+        lost_write_responses: 0.15,
+        timed_out_writes: 0.15,
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
@@ -83,25 +83,25 @@
         for _ in 0..5 {
             world.rentable += 3;
             for i in 0..2 {
-                let lost = world.some_worker();
-                world.workers[lost].die();
+                let lost = world.random_worker();
+                world.workers[lost].terminate();
                 let tasks = 3 + i;
                 world.submit_shape(&JobShape {
                     tasks,
                     ..JobShape::default()
                 });
             }
-            let until_change = world.between(1.0, 6.0);
-            world.run_busy(until_change);
-            world.cancel_some(0.1);
+            let until_change_s = world.between(1.0, 6.0);
+            world.run_under_load(until_change_s);
+            world.cancel_random_jobs(0.1);
             world.change_leader(1.0);
-            world.run_busy(4.0);
+            world.run_under_load(4.0);
         }
     });
 }
 
 #[test]
-fn machines_hang_and_resume_within_or_after_their_lease() {
+fn hung_machines_resuming_around_lease_expiry_run_no_task_twice() {
     let faults = Faults {
         lost_responses: 0.1,
         ..Faults::default()
@@ -109,17 +109,17 @@
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         for _ in 0..5 {
-            world.submit_some(4);
-            world.run_busy(4.0);
+            world.submit_random_jobs(4);
+            world.run_under_load(4.0);
             world.cloud_is_down = world.chance(0.7);
             for _ in 0..2 {
-                let i = world.some_worker();
+                let i = world.random_worker();
                 world.workers[i].hung = true;
             }
-            world.run_busy(1.0);
-            world.cancel_some(0.2);
-            let hangs_s = world.between(1.0, 16.0);
-            world.run_busy(hangs_s);
+            world.run_under_load(1.0);
+            world.cancel_random_jobs(0.2);
+            let hang_s = world.between(1.0, 16.0);
+            world.run_under_load(hang_s);
             if world.chance(0.3) {
                 world.replace_leader();
             }
--- a/tests/histories/combinations/messages.rs
+++ b/tests/histories/combinations/messages.rs
@@ -1,69 +1,70 @@
-//! Reports, answers and commands that arrive late or in another order.
+//! Delayed, duplicate and reordered heartbeats, responses and commands.
 
 use super::SEEDS;
 use crate::network::{DelayRange, Faults};
 use crate::timed::for_each_seed;
 
 #[test]
-fn reports_held_back_until_a_new_leader_has_acted() {
+fn heartbeats_delayed_past_failover_preserve_safety() {
     let faults = Faults {
-        kept_heartbeats: 0.3,
-        late_heartbeats: 0.1,
-        kept_delay: DelayRange::new(2.0, 12.0),
+        replayed_heartbeats: 0.3,
+        delayed_heartbeats: 0.1,
+        replay_delay: DelayRange::new(2.0, 12.0),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         for _ in 0..4 {
-            world.submit_some(3);
-            world.run_busy(8.0);
-            world.cancel_some(0.1);
+            world.submit_random_jobs(3);
+            world.run_under_load(8.0);
+            world.cancel_random_jobs(0.1);
             world.change_leader(2.0);
         }
     });
 }
 
 #[test]
-fn old_reports_reach_every_controller_as_a_new_leader_begins() {
+fn duplicate_heartbeats_right_after_election_preserve_safety() {
     let faults = Faults {
-        kept_heartbeats: 0.4,
-        kept_delay: DelayRange::new(0.0, 0.5),
+        replayed_heartbeats: 0.4,
+        replay_delay: DelayRange::new(0.0, 0.5),
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         for _ in 0..5 {
-            world.submit_some(3);
-            world.run_busy(9.0);
-            world.cancel_some(0.1);
+            world.submit_random_jobs(3);
+            world.run_under_load(9.0);
+            world.cancel_random_jobs(0.1);
             world.replace_leader();
         }
     });
 }
 
 #[test]
-fn old_reports_arrive_after_newer_ones() {
+fn duplicate_heartbeats_after_lease_expiry_preserve_safety() {
     let faults = Faults {
-        copied_heartbeats: 0.5,
-        late_commands: 0.2,
+        duplicate_heartbeats: 0.5,
+        timed_out_commands: 0.2,
         ..Faults::default()
     };
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         world.rentable = 2;
         for _ in 0..4 {
-            world.submit_some(3);
-            world.run_busy(3.0);
-            // The machines of one zone, or all, lose their lease: copies come from earlier incarnations and attempts.
+            world.submit_random_jobs(3);
+            world.run_under_load(3.0);
+            // Worker leases expire in one zone or everywhere, so that duplicate heartbeats come from
+            // earlier incarnations and attempts.
             if world.chance(0.5) {
-                world.cut_zone("y", false);
+                world.partition_zone("y", false);
             } else {
                 world.workers.iter_mut().for_each(|w| w.partitioned = true);
             }
-            world.run_busy(14.0);
+            world.run_under_load(14.0);
             world.reconnect_all();
-            world.run_busy(8.0);
-            world.cancel_some(0.1);
+            world.run_under_load(8.0);
+            world.cancel_random_jobs(0.1);
             if world.chance(0.5) {
                 world.replace_leader();
             }
@@ -72,9 +73,9 @@
 }
 
 #[test]
-fn direct_commands_are_carried_out_late() {
+fn commands_executed_after_timeout_preserve_safety() {
     let faults = Faults {
-        late_commands: 0.4,
+        timed_out_commands: 0.4,
         slow_commands: 0.3,
         lost_command_responses: 0.2,
         ..Faults::default()
@@ -82,9 +83,9 @@
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         for i in 0..8 {
-            world.submit_some(3);
-            world.run_busy(7.0);
-            world.cancel_some(0.2);
+            world.submit_random_jobs(3);
+            world.run_under_load(7.0);
+            world.cancel_random_jobs(0.2);
             match i % 4 {
                 2 => world.replace_leader(),
                 3 => world.change_leader(1.0),
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn commands_overtake_slow_answers_to_reports() {
+fn commands_overtaking_heartbeat_responses_preserve_safety() {
     let faults = Faults {
         slow_responses: 0.5,
         slow_commands: 0.7,
@@ -105,9 +106,9 @@
     for_each_seed(SEEDS, |world| {
         world.set_faults(faults);
         for _ in 0..10 {
-            world.submit_some(2);
-            world.run_busy(4.0);
-            world.cancel_some(0.15);
+            world.submit_random_jobs(2);
+            world.run_under_load(4.0);
+            world.cancel_random_jobs(0.15);
         }
     });
 }
--- a/tests/histories/combinations/mod.rs
+++ b/tests/histories/combinations/mod.rs
@@ -1,4 +1,5 @@
-//! Faults that meet, each meeting a short history that is played with many seeds.
+//! Combinations of faults, each in a short timed history that is played with many seeds. Each test
+//! checks the safety rules throughout and that every job finishes after the last fault.
 
 mod cancellations;
 mod leaders;
@@ -6,7 +7,7 @@
 mod messages;
 mod mixed;
 
-/// Histories of most tests.
+/// Number of seeds of most tests.
 const SEEDS: u64 = 20;
-/// How long the lease of a leader goes on that has lost the state service, at the most.
+/// Remaining leadership lease in seconds of a leader that loses the state service.
 const LEADER_LEASE_S: f64 = 5.0;
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -1,9 +1,9 @@
-//! How effects of a controller are carried out, and how reports and commands are delivered.
+//! Applies the effects of controllers, and delivers heartbeats and commands.
 
 use super::common::Refusal;
 use super::leader::Leader;
 use super::worker::Worker;
-use super::world::{World, WriteFate};
+use super::world::{World, WriteFault};
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
 use stairstage::protocol::cloud::Rent;
@@ -13,13 +13,13 @@
 use stairstage::storage::records::LEADER_KEY;
 
 impl World {
-    /// The number of a machine, if there was one of this name.
-    pub(crate) fn worker_named(&self, name: &str) -> Option<usize> {
+    /// The index of the machine with this name, terminated or not.
+    pub(crate) fn worker_index(&self, name: &str) -> Option<usize> {
         self.workers.iter().position(|w| w.name == name)
     }
 
-    /// Delivers direct commands: whether they were executed, and the worker's heartbeat.
-    pub(crate) fn deliver(
+    /// Delivers direct commands. Returns whether the worker executed them, and its heartbeat.
+    pub(crate) fn deliver_commands(
         &mut self,
         worker: usize,
         batch: &CommandBatch,
@@ -28,19 +28,19 @@
         if !w.is_up(now) {
             return None;
         }
-        let fits = w.accepts(batch);
+        let accepted = w.accepts(batch);
         let mut started = Vec::new();
-        if fits {
+        if accepted {
             w.token = batch.token.0;
-            started = w.run(&batch.commands, now);
+            started = w.execute(&batch.commands, now);
         }
-        let heartbeat = w.heartbeat();
+        let heartbeat = w.next_heartbeat();
         self.check_starts(worker, &started);
-        Some((fits, heartbeat))
+        Some((accepted, heartbeat))
     }
 
-    /// Carries out what the leader and former leaders have decided.
-    pub(crate) fn effects(&mut self) {
+    /// Applies the effects of the leader and of former leaders until there are none left.
+    pub(crate) fn apply_effects(&mut self) {
         let all = self.leader.iter().chain(&self.former_leaders);
         let ids: Vec<u64> = all.map(Leader::id).collect();
         for id in ids {
@@ -50,36 +50,36 @@
                     break;
                 }
                 for effect in effects {
-                    self.carry_out(id, effect);
+                    self.apply_effect(id, effect);
                 }
             }
         }
     }
 
-    /// Carries out one effect of the controller with this leadership.
-    pub(crate) fn carry_out(&mut self, from: u64, effect: Effect) {
+    /// Applies one effect of the controller with this leadership id.
+    pub(crate) fn apply_effect(&mut self, from: u64, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::Write { id, transaction } => self.write(from, id, transaction),
+            Effect::Write { id, transaction } => self.execute_write(from, id, transaction),
             Effect::SendCommands {
                 machine,
                 commands: batch,
                 ..
             } => match self.network {
                 Some(_) => self.send_commands(from, &machine, batch),
-                None => self.send_commands_at_once(from, &machine, &batch),
+                None => self.send_commands_immediately(from, &machine, &batch),
             },
             Effect::ReturnMachines(names) => {
                 let confirmed = !self.cloud_is_down;
                 if confirmed {
-                    self.take_back(&names);
+                    self.terminate_returned_machines(&names);
                 }
                 self.with_controller(from, |manager| {
                     manager.machines_returned(&names, confirmed, now);
                 });
             }
             Effect::RentMachines(rent) => {
-                let names = (!self.cloud_is_down).then(|| self.rent(&rent));
+                let names = (!self.cloud_is_down).then(|| self.rent_machines(&rent));
                 self.with_controller(from, |manager| {
                     manager.machines_rented(&rent.request, names, now);
                 });
@@ -90,7 +90,7 @@
                     manager.token_raised(token.map(FencingToken), now);
                 });
             }
-            Effect::JobEnded { id, state } => self.check_told_end(&id, state),
+            Effect::JobEnded { id, state } => self.check_reported_final_state(&id, state),
             Effect::ReadEnds(ids) => {
                 let ends = self.store.ends(&ids);
                 self.with_controller(from, |manager| manager.ends_found(ends, now));
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Hands something to a controller, if it still lives.
+    /// Runs `act` on the manager of a controller, if that controller still runs.
     pub(crate) fn with_controller(
         &mut self,
         id: u64,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The record of the leader is written anew, if it still names this one.
+    /// Rewrites the leader record if the controller still holds it; returns the new token.
     fn raise_token(&mut self, from: u64) -> Option<u64> {
         let leader = self.controller(from).filter(|l| l.reaches_store)?;
         let txn = Transaction::default()
@@ -118,8 +118,8 @@
         self.store.commit(&txn).ok()
     }
 
-    /// Carries out a write as far as its fate allows; the controller hears what it would hear.
-    fn write(&mut self, from: u64, id: u64, transaction: Transaction) {
+    /// Executes a write under the next write fault, and passes its outcome to the controller.
+    fn execute_write(&mut self, from: u64, id: u64, transaction: Transaction) {
         let reaches_store = self.controller(from).is_some_and(|l| l.reaches_store);
         if !reaches_store {
             let now = self.now;
@@ -130,36 +130,40 @@
         if self.network.is_some() {
             return self.send_write(from, id, transaction);
         }
-        let fate = std::mem::take(&mut self.next_write);
-        let result = match fate {
-            WriteFate::Answered | WriteFate::Unanswered => self.store.commit(&transaction),
-            WriteFate::Lost | WriteFate::Late => Err(Refusal::Conflict),
+        let fault = std::mem::take(&mut self.next_write_fault);
+        let result = match fault {
+            WriteFault::None | WriteFault::ResponseLost => self.store.commit(&transaction),
+            WriteFault::RequestLost | WriteFault::Delayed => Err(Refusal::Conflict),
         };
-        self.check_size(&transaction, &result);
-        let written = match (fate, result) {
-            (WriteFate::Answered, Ok(revision)) => WriteOutcome::Applied(revision),
+        self.check_write_size(&transaction, &result);
+        let written = match (fault, result) {
+            (WriteFault::None, Ok(revision)) => WriteOutcome::Applied(revision),
             _ => self.store.reread(&transaction),
         };
-        if fate != WriteFate::Lost {
-            self.late_transactions.push(transaction);
+        if fault != WriteFault::RequestLost {
+            self.replayable_transactions.push(transaction);
         }
         let now = self.now;
         self.with_controller(from, |manager| manager.write_finished(id, written, now));
     }
 
-    /// No write is larger than the state service takes.
-    pub(crate) fn check_size(&self, transaction: &Transaction, result: &Result<u64, Refusal>) {
+    /// Checks that no write exceeds the size limit of the state service.
+    pub(crate) fn check_write_size(
+        &self,
+        transaction: &Transaction,
+        result: &Result<u64, Refusal>,
+    ) {
         assert!(
             *result != Err(Refusal::TooLarge),
             "too large: {transaction:?}"
         );
     }
 
-    /// Direct commands arrive at once, or not at all.
-    fn send_commands_at_once(&mut self, from: u64, machine: &str, batch: &CommandBatch) {
-        let worker = self.worker_named(machine).expect("a machine");
-        // A copy of what is carried out may come again later.
-        self.repeatable_commands
+    /// Delivers direct commands immediately, or not at all.
+    fn send_commands_immediately(&mut self, from: u64, machine: &str, batch: &CommandBatch) {
+        let worker = self.worker_index(machine).expect("a machine");
+        // A duplicate of the commands may arrive later.
+        self.replayable_commands
             .push((machine.to_string(), batch.clone()));
         let w = &self.workers[worker];
         let result = if self.commands_held || w.partitioned || w.inbound_lost || w.hung {
@@ -173,30 +177,30 @@
         });
     }
 
-    /// Delivers direct commands, and says what their sender hears of it.
+    /// Delivers direct commands and returns the outcome that their sender receives.
     pub(crate) fn execute_commands(
         &mut self,
         worker: usize,
         batch: &CommandBatch,
     ) -> CommandOutcome {
-        match self.deliver(worker, batch) {
+        match self.deliver_commands(worker, batch) {
             None => CommandOutcome::NotSent,
             Some((true, heartbeat)) => CommandOutcome::Executed(heartbeat),
             Some((false, heartbeat)) => CommandOutcome::Rejected(Some(heartbeat)),
         }
     }
 
-    /// The cloud has carried out a return.
-    pub(crate) fn take_back(&mut self, names: &[String]) {
-        let returned = |w: &&mut Worker| names.contains(&w.name) && !w.gone;
+    /// Terminates the machines that were returned to the cloud.
+    pub(crate) fn terminate_returned_machines(&mut self, names: &[String]) {
+        let returned = |w: &&mut Worker| names.contains(&w.name) && !w.terminated;
         for w in self.workers.iter_mut().filter(returned) {
-            w.die();
+            w.terminate();
             self.rentable += usize::from(self.network.is_some());
         }
     }
 
-    /// The cloud rents what it has; the machines are up soon.
-    fn rent(&mut self, rent: &Rent) -> Vec<String> {
+    /// Rents up to the requested number of machines; they boot before they are up.
+    fn rent_machines(&mut self, rent: &Rent) -> Vec<String> {
         let count = self.rentable.min(rent.count as usize);
         self.rentable -= count;
         let kind = self.types.iter().position(|t| t.name == rent.kind);
@@ -214,11 +218,16 @@
         names
     }
 
-    /// A worker sends a heartbeat to the leader, or to the one before, and is answered at once.
-    pub(crate) fn heartbeat(&mut self, i: usize, response_lost: bool, to_former: bool) {
+    /// Sends a worker's heartbeat to the leader or the last former leader, and handles the response.
+    pub(crate) fn send_heartbeat_immediately(
+        &mut self,
+        i: usize,
+        response_lost: bool,
+        to_former: bool,
+    ) {
         let sent = self.now;
         let w = &self.workers[i];
-        if w.gone
+        if w.terminated
             || w.hung
             || w.heartbeats_lost
             || w.partitioned && !(to_former && w.with_former_leader)
@@ -234,15 +243,15 @@
         let Some(leader) = receiver.filter(|l| l.may_renew(sent, workers)) else {
             return;
         };
-        let heartbeat = self.workers[i].own_heartbeat(sent);
+        let heartbeat = self.workers[i].scheduled_heartbeat(sent);
         self.sent_heartbeats.push(heartbeat.clone());
-        if let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&heartbeat, sent) {
+        if let HeartbeatOutcome::Answer(response) = leader.manager.heartbeat(&heartbeat, sent) {
             let w = &mut self.workers[i];
-            if !response_lost && !w.inbound_lost && answer.token.0 >= w.token {
-                let started = w.take(&answer, sent, sent);
+            if !response_lost && !w.inbound_lost && response.token.0 >= w.token {
+                let started = w.apply_response(&response, sent, sent);
                 assert!(
                     !to_former || started.is_empty(),
-                    "a leader in doubt starts {started:?}"
+                    "a former leader starts {started:?}"
                 );
                 self.check_starts(i, &started);
             }
--- a/tests/histories/generated.rs
+++ b/tests/histories/generated.rs
@@ -1,10 +1,10 @@
-//! Histories of generated steps.
+//! Histories of randomly generated steps.
 
 use super::steps::{step, step_with_isolation, world, Step};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// So many cases, the same ones in each run.
+/// Runs the given number of cases, the same ones on every run.
 fn config(cases: u32, seed: u64) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -14,13 +14,14 @@
     }
 }
 
-/// Plays steps from a world with a job and three known machines; then everything heals.
+/// Plays steps in a cluster with one job and three machines known to the leader, then ends all faults
+/// and checks that every job finishes.
 fn play(steps: Vec<Step>) {
     let mut world = world();
     world.submit_number(0, 0, true);
     for worker in 0..3 {
         let response_lost = false;
-        world.apply(Step::Heartbeat {
+        world.apply(Step::SendHeartbeat {
             worker,
             response_lost,
         });
@@ -35,7 +36,7 @@
     #![proptest_config(config(600, 11))]
 
     #[test]
-    fn no_history_breaks_a_rule(steps in prop::collection::vec(step(), 20..160)) {
+    fn generated_histories_preserve_safety_and_finish_all_jobs(steps in prop::collection::vec(step(), 20..160)) {
         play(steps);
     }
 }
@@ -44,7 +45,7 @@
     #![proptest_config(config(300, 12))]
 
     #[test]
-    fn no_history_of_isolated_leaders_breaks_a_rule(
+    fn generated_histories_with_isolated_leaders_preserve_safety_and_finish_all_jobs(
         steps in prop::collection::vec(step_with_isolation(), 20..160)
     ) {
         play(steps);
--- a/tests/histories/job.rs
+++ b/tests/histories/job.rs
@@ -1,27 +1,27 @@
-//! Jobs as their users know them, and the shapes of jobs that histories submit.
+//! Jobs as their users see them, and the shapes of jobs that timed histories submit.
 
 use super::common;
 use serde_json::{json, Value};
 use stairstage::protocol::job::{JobKind, JobSpec, JobState};
 use std::collections::BTreeSet;
 
-/// How long the first task of a job runs, and how much longer each further one.
+/// The run time of a job's first task, and by how much each further task runs longer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunTimes {
     pub first_s: f64,
     pub stagger_s: f64,
 }
 
-/// What the users and the workers of a history know of an accepted job.
+/// An accepted job and its actual progress, independent of any controller.
 pub(crate) struct Job {
     pub spec: JobSpec,
     pub run_times: RunTimes,
-    /// Tasks that have completed.
+    /// The numbers of the tasks that have completed.
     pub done: BTreeSet<u32>,
     /// When its cancellation was confirmed.
     pub cancelled_at: Option<f64>,
-    /// The end that users were told.
-    pub told: Option<JobState>,
+    /// The final state that was reported to users.
+    pub reported_state: Option<JobState>,
 }
 
 impl Job {
@@ -31,11 +31,11 @@
             run_times,
             done: BTreeSet::new(),
             cancelled_at: None,
-            told: None,
+            reported_state: None,
         }
     }
 
-    /// Whether its tasks run until it is cancelled.
+    /// Whether the job is a service, whose tasks run until it is cancelled.
     pub(crate) fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
@@ -45,29 +45,29 @@
         self.run_times.first_s + self.run_times.stagger_s * f64::from(number)
     }
 
-    /// Whether its tasks run together.
+    /// Whether the job is a gang, whose tasks run together.
     pub(crate) fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// Whether it is neither complete nor cancelled, and no user was told an end.
+    /// Whether the job is neither complete nor cancelled, and no final state was reported to a user.
     pub(crate) fn is_open(&self) -> bool {
-        self.told.is_none() && self.cancelled_at.is_none() && !self.is_complete()
+        self.reported_state.is_none() && self.cancelled_at.is_none() && !self.is_complete()
     }
 
-    /// Whether all its tasks have completed.
+    /// Whether all tasks of the job have completed.
     pub(crate) fn is_complete(&self) -> bool {
         !self.is_service() && self.done.len() == self.spec.tasks as usize
     }
 }
 
-/// The job and the number of a task.
-pub(crate) fn split(task: &str) -> (&str, u32) {
+/// Splits a task's name into the job's id and the number of the task.
+pub(crate) fn split_task_name(task: &str) -> (&str, u32) {
     let (job, number) = task.rsplit_once('/').expect("a task's name");
     (job, number.parse().expect("a task's number"))
 }
 
-/// What distinguishes the jobs of a timed history.
+/// The parameters of a job in a timed history.
 #[derive(Clone, Debug)]
 pub(crate) struct JobShape {
     pub kind: JobKind,
@@ -100,7 +100,7 @@
 }
 
 impl JobShape {
-    /// What its user submits.
+    /// The body of the submission.
     pub(crate) fn submission(&self, id: &str) -> Value {
         let (rig, precedence) = match self.kind {
             JobKind::Array => ("sweep", "normal"),
--- a/tests/histories/leader.rs
+++ b/tests/histories/leader.rs
@@ -1,4 +1,4 @@
-//! A controller that leads or has led, and for how long it may renew the leases of workers.
+//! A leader or former leader, and until when it may renew worker leases.
 
 use super::peers::Peers;
 use stairstage::coordination::cluster::cancellation_evidence::CancellationEvidence;
@@ -6,17 +6,18 @@
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Workers;
 
-/// A controller that leads or has led.
+/// A leader or former leader.
 pub(crate) struct Leader {
     pub manager: ClusterManager,
-    /// Whether it still reaches the state service, and so learns of every confirmed cancellation.
+    /// Whether the state service is reachable, from which this controller learns of every confirmed
+    /// cancellation.
     pub reaches_store: bool,
-    /// Whether it reaches the other controllers, and so learns of what they confirm.
+    /// Whether the peers are reachable, from which this controller learns what they confirm.
     pub reaches_peers: bool,
-    /// What proves that it knows of every confirmed cancellation.
+    /// Evidence that this controller knows of every confirmed cancellation.
     evidence: CancellationEvidence,
-    /// When it last asked the other controllers.
-    asked_at: f64,
+    /// When this controller last queried its peers.
+    queried_at: f64,
 }
 
 impl Leader {
@@ -27,40 +28,40 @@
             reaches_store: true,
             reaches_peers: true,
             evidence: CancellationEvidence::new(peers.names()),
-            asked_at: now,
+            queried_at: now,
         };
         leader.records_read(now);
         leader
     }
 
-    /// Every cancellation on record at `sent` is known to it.
+    /// Notes that this controller has read every cancellation recorded before `sent`.
     pub(crate) fn records_read(&mut self, sent: f64) {
         self.evidence.records_read(sent);
     }
 
-    /// It loses the state service; what was confirmed before that moment is known to it.
-    pub(crate) fn lose_store(&mut self, known_until: f64) {
+    /// Cuts this controller off from the state service; it knows what was confirmed until then.
+    pub(crate) fn disconnect_store(&mut self, announced_until: f64) {
         if self.reaches_store {
             self.reaches_store = false;
-            self.records_read(known_until);
+            self.records_read(announced_until);
         }
     }
 
-    /// It loses the state service and the other controllers.
-    pub(crate) fn cut_off(&mut self, known_until: f64) {
-        self.lose_store(known_until);
+    /// Cuts this controller off from the state service and its peers.
+    pub(crate) fn isolate(&mut self, announced_until: f64) {
+        self.disconnect_store(announced_until);
         self.reaches_peers = false;
     }
 
-    /// Asks the other controllers which cancellations they have confirmed, if it is time to.
-    pub(crate) fn ask_peers(&mut self, peers: &Peers, now: f64, pause_s: f64) {
-        if !self.reaches_peers || now - self.asked_at < pause_s {
+    /// Queries the peers for the cancellations they have confirmed, at most once every `pause_s`.
+    pub(crate) fn query_peers(&mut self, peers: &Peers, now: f64, pause_s: f64) {
+        if !self.reaches_peers || now - self.queried_at < pause_s {
             return;
         }
-        self.asked_at = now;
+        self.queried_at = now;
         for name in peers.names() {
-            let asked = self.evidence.cursor(name);
-            let Some(answer) = peers.ask(name, asked, now) else {
+            let cursor = self.evidence.cursor(name);
+            let Some(answer) = peers.query(name, cursor, now) else {
                 continue;
             };
             for job in &answer.page.jobs {
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Whether it may answer reports, and so renew the leases of workers.
+    /// Whether this controller may answer heartbeats and thereby renew worker leases.
     pub(crate) fn may_renew(&self, now: f64, workers: &Workers) -> bool {
         self.reaches_store || self.evidence.may_renew(workers, now)
     }
 
-    /// Tokens of its leadership begin here; no other leadership has the same.
+    /// The leadership id: the first token of the leadership, which is unique.
     pub(crate) fn id(&self) -> u64 {
         self.manager.first_token().0
     }
--- a/tests/histories/main.rs
+++ b/tests/histories/main.rs
@@ -1,10 +1,14 @@
-//! Generated histories against stand-ins of the state service, the workers and the cloud, checked
-//! for the rules: lost answers, late and repeated messages, copies of heartbeats, workers that hear
-//! nothing, machines that are back at once or fall together, zones that are cut off, new leaders,
-//! and former ones that still have the workers' ear or that stood still between a check and its act.
+//! Generated histories of a cluster under faults, against simulated state service, workers and cloud.
+//! The faults: lost responses, delayed and duplicate messages, workers that receive nothing, machines
+//! that restart or fail together, zone partitions, leader changes, former leaders that still reach
+//! workers, and leaders that pause between a check and the action that relies on it.
 //!
-//! `generated` plays steps in an order of their own; `combinations` plays faults that meet, on a
-//! clock by which workers report, tasks end and messages take time.
+//! `checks` holds the safety rules, which every history checks as it runs. After each history all
+//! faults end, and every job must reach its final state.
+//!
+//! `generated` plays random sequences of steps. `combinations` plays given combinations of faults in
+//! timed histories: in simulated time, workers send heartbeats periodically, tasks complete and
+//! messages take time.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -1,4 +1,4 @@
-//! Messages that take time in histories with a clock of their own, and what goes wrong with them.
+//! Message delays and message faults of timed histories.
 
 use super::random::Random;
 use super::worker::RETRY_S;
@@ -10,7 +10,7 @@
 use stairstage::protocol::worker::{CommandBatch, Heartbeat, HeartbeatResponse};
 use stairstage::storage::records::OpenRecord;
 
-/// Between how many seconds a message takes at the least and at the most.
+/// The minimum and maximum delay of a message in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DelayRange {
     min_s: f64,
@@ -23,63 +23,67 @@
     }
 }
 
-/// A sender of direct commands gives up on an answer after this time.
+/// Time after which a sender of direct commands stops waiting for the response.
 const COMMAND_TIMEOUT_S: f64 = 2.0;
-/// The same of a write.
+/// Time after which a controller stops waiting for the response to a write.
 const WRITE_TIMEOUT_S: f64 = 1.0;
-/// For how long direct commands that are answered in time are held up on their way.
+/// Delay of slow direct commands and of their responses; both together stay below the timeout.
 const SLOW_COMMAND_DELAY: DelayRange = DelayRange::new(0.1, 0.9);
-/// The same of direct commands that their sender has given up on.
-const LATE_COMMAND_DELAY: DelayRange = DelayRange::new(2.0, 16.0);
-/// The same of such writes.
-const LATE_WRITE_DELAY: DelayRange = DelayRange::new(2.0, 12.0);
-/// The same of writes that are still answered in time.
+/// Delay of direct commands that arrive after their sender's timeout.
+const TIMED_OUT_COMMAND_DELAY: DelayRange = DelayRange::new(2.0, 16.0);
+/// Delay of writes that are applied after their sender's timeout.
+const TIMED_OUT_WRITE_DELAY: DelayRange = DelayRange::new(2.0, 12.0);
+/// Delay of slow writes, which are still answered before the timeout.
 const SLOW_WRITE_DELAY: DelayRange = DelayRange::new(0.2, 0.9);
-/// Responses to heartbeats may take longer than a worker waits.
+/// Delay of slow heartbeat responses; the longest exceed the worker's response timeout.
 const SLOW_RESPONSE_DELAY: DelayRange = DelayRange::new(0.3, 4.5);
-/// Copies of heartbeats arrive until well over a lease later.
-const LATE_HEARTBEAT_DELAY: DelayRange = DelayRange::new(2.0, 30.0);
-/// How long news of jobs takes to the leader.
+/// Delay of delayed and duplicate heartbeats, up to well over the worker lease.
+const HEARTBEAT_DELAY: DelayRange = DelayRange::new(2.0, 30.0);
+/// Delay of announcements of accepted and cancelled jobs to the leader.
 const ANNOUNCEMENT_DELAY: DelayRange = DelayRange::new(0.0, 0.5);
-/// When a machine that was rented is up.
+/// Boot time of a rented machine.
 const BOOT_DELAY: DelayRange = DelayRange::new(0.5, 2.0);
 
-/// The shares of messages that go wrong, each in its own way.
+/// The probability of each message fault.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
-    /// Direct commands that take their time, and so do their answers.
+    /// Direct commands that are delayed, and so are their responses.
     pub slow_commands: f64,
-    /// Direct commands that get no answer and are carried out once, late.
-    pub late_commands: f64,
-    /// Direct commands that are carried out at once and get no answer.
+    /// Direct commands that are executed once, after their sender's timeout, without a response.
+    pub timed_out_commands: f64,
+    /// Direct commands that are executed immediately and whose response is lost.
     pub lost_command_responses: f64,
-    /// Heartbeats of which a copy arrives again, after newer ones, at every controller.
-    pub copied_heartbeats: f64,
-    /// Heartbeats of which a copy is kept until the next leader begins, and arrives at every controller.
-    pub kept_heartbeats: f64,
-    /// How soon after the election those arrive, at the least and at the most.
-    pub kept_delay: DelayRange,
-    /// Heartbeats that arrive late, and nowhere before.
-    pub late_heartbeats: f64,
-    /// Responses to heartbeats that are slow, or lost.
+    /// Heartbeats of which a duplicate arrives later at the leader and every former leader.
+    pub duplicate_heartbeats: f64,
+    /// Heartbeats of which a duplicate is kept until the next election, and then arrives at the leader
+    /// and every former leader.
+    pub replayed_heartbeats: f64,
+    /// Delay of replayed heartbeats after the election.
+    pub replay_delay: DelayRange,
+    /// Heartbeats that are delayed, without a copy that arrives in time.
+    pub delayed_heartbeats: f64,
+    /// Responses to heartbeats that are delayed.
     pub slow_responses: f64,
+    /// Responses to heartbeats that are lost.
     pub lost_responses: f64,
-    /// Writes that are slow, that are carried out at once without an answer, or late.
+    /// Writes that are delayed and still answered.
     pub slow_writes: f64,
-    pub unanswered_writes: f64,
-    pub late_writes: f64,
+    /// Writes that are applied immediately and whose response is lost.
+    pub lost_write_responses: f64,
+    /// Writes that are applied after their sender's timeout, without a response.
+    pub timed_out_writes: f64,
 }
 
-/// What is on its way.
+/// A message in transit, or a timeout that its sender receives.
 #[derive(Debug)]
 pub(crate) enum Message {
     Command {
         machine: MachineName,
         batch: CommandBatch,
-        /// Who still waits for its answer.
-        answer_to: Option<u64>,
+        /// The controller that still waits for the response.
+        respond_to: Option<u64>,
     },
-    CommandAnswer {
+    CommandResponse {
         to: u64,
         machine: MachineName,
         result: CommandOutcome,
@@ -90,39 +94,40 @@
         incarnation: u64,
         sequence: u64,
         sent: f64,
-        answer: HeartbeatResponse,
+        response: HeartbeatResponse,
     },
     Write {
         transaction: Transaction,
-        answer: Option<AnswerTo>,
+        /// The write that is answered, if its response is not lost.
+        respond_to: Option<WriteId>,
     },
-    NoWriteAnswer {
-        to: AnswerTo,
+    WriteTimeout {
+        to: WriteId,
         transaction: Transaction,
     },
-    JobsAccepted(Box<OpenRecord>, u64),
-    JobsEnded(String, JobState),
+    JobAccepted(Box<OpenRecord>, u64),
+    JobFinished(String, JobState),
 }
 
-/// The controller and the number of a write.
+/// A controller's leadership id and the id of one of its writes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AnswerTo {
+pub(crate) struct WriteId {
     pub leader: u64,
     pub write: u64,
 }
 
-/// A message that arrives then.
+/// A message and its time of arrival.
 struct Delayed {
     at: f64,
     message: Message,
 }
 
-/// Messages on their way, and the random numbers that decide on them.
+/// Messages in transit, and the random numbers that determine faults and delays.
 pub(crate) struct Network {
     pub faults: Faults,
     pub random: Random,
     delayed: Vec<Delayed>,
-    kept: Vec<Heartbeat>,
+    heartbeats_to_replay: Vec<Heartbeat>,
 }
 
 impl Network {
@@ -131,32 +136,32 @@
             faults: Faults::default(),
             random: Random::new(seed),
             delayed: Vec::new(),
-            kept: Vec::new(),
+            heartbeats_to_replay: Vec::new(),
         }
     }
 
-    /// Sends a message that arrives then.
+    /// Sends a message that arrives at the given time.
     pub(crate) fn send(&mut self, at: f64, message: Message) {
         self.delayed.push(Delayed { at, message });
     }
 
-    /// Sends a message that takes a time within the range.
+    /// Sends a message with a random delay in the range.
     fn send_within(&mut self, now: f64, delay: DelayRange, message: Message) {
         let delay_s = self.random.between(delay.min_s, delay.max_s);
         self.send(now + delay_s, message);
     }
 
-    /// How long a machine takes to boot.
+    /// A random boot time of a machine.
     pub(crate) fn boot_s(&mut self) -> f64 {
         self.random.between(BOOT_DELAY.min_s, BOOT_DELAY.max_s)
     }
 
-    /// How long news of a job takes to the leader at the most.
+    /// The longest delay of an announcement to the leader.
     pub(crate) fn max_announcement_delay_s(&self) -> f64 {
         ANNOUNCEMENT_DELAY.max_s
     }
 
-    /// What arrives by now, in the order in which it does.
+    /// Removes the messages that have arrived by `now`, and returns them in order of arrival.
     fn due(&mut self, now: f64) -> Vec<Message> {
         let all = std::mem::take(&mut self.delayed);
         let (mut due, later): (Vec<Delayed>, Vec<Delayed>) =
@@ -166,28 +171,28 @@
         due.into_iter().map(|d| d.message).collect()
     }
 
-    /// Copies of a heartbeat that arrive besides itself.
-    pub(crate) fn copy(&mut self, heartbeat: &Heartbeat, now: f64) {
-        if self.random.chance(self.faults.copied_heartbeats) {
-            let copy = Message::Heartbeat(heartbeat.clone());
-            self.send_within(now, LATE_HEARTBEAT_DELAY, copy);
+    /// Sends or keeps duplicates of a heartbeat, by chance.
+    pub(crate) fn duplicate(&mut self, heartbeat: &Heartbeat, now: f64) {
+        if self.random.chance(self.faults.duplicate_heartbeats) {
+            let duplicate = Message::Heartbeat(heartbeat.clone());
+            self.send_within(now, HEARTBEAT_DELAY, duplicate);
         }
-        if self.random.chance(self.faults.kept_heartbeats) {
-            self.kept.push(heartbeat.clone());
+        if self.random.chance(self.faults.replayed_heartbeats) {
+            self.heartbeats_to_replay.push(heartbeat.clone());
         }
     }
 
-    /// Whether a heartbeat is held up; then it arrives late.
-    pub(crate) fn holds(&mut self, heartbeat: &Heartbeat, now: f64) -> bool {
-        let held = self.random.chance(self.faults.late_heartbeats);
-        if held {
-            let late = Message::Heartbeat(heartbeat.clone());
-            self.send_within(now, LATE_HEARTBEAT_DELAY, late);
+    /// Whether a heartbeat is delayed; if so, sends it with a delay.
+    pub(crate) fn delays_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> bool {
+        let delayed = self.random.chance(self.faults.delayed_heartbeats);
+        if delayed {
+            let message = Message::Heartbeat(heartbeat.clone());
+            self.send_within(now, HEARTBEAT_DELAY, message);
         }
-        held
+        delayed
     }
 
-    /// Whether the response to a heartbeat is lost; else for how long it is under way.
+    /// The delay of the response to a heartbeat, or `None` if the response is lost.
     pub(crate) fn response_delay_s(&mut self) -> Option<f64> {
         if self.random.chance(self.faults.lost_responses) {
             return None;
@@ -199,79 +204,82 @@
         Some(if slow { delay } else { 0.0 })
     }
 
-    /// A leader begins: reports that were kept for this moment arrive.
-    pub(crate) fn release_kept(&mut self, now: f64) {
-        for heartbeat in std::mem::take(&mut self.kept) {
-            self.send_within(now, self.faults.kept_delay, Message::Heartbeat(heartbeat));
+    /// Sends the heartbeats that were kept for the election of a leader.
+    pub(crate) fn replay_heartbeats(&mut self, now: f64) {
+        for heartbeat in std::mem::take(&mut self.heartbeats_to_replay) {
+            self.send_within(now, self.faults.replay_delay, Message::Heartbeat(heartbeat));
         }
     }
 
-    /// Sends news of a job to the leader.
+    /// Sends the leader an announcement of a job.
     fn announce(&mut self, now: f64, message: Message) {
         self.send_within(now, ANNOUNCEMENT_DELAY, message);
     }
 }
 
 impl World {
-    /// The network, which only timed histories have.
-    pub(crate) fn net(&mut self) -> &mut Network {
+    /// The network; panics outside timed histories.
+    pub(crate) fn network_mut(&mut self) -> &mut Network {
         self.network.as_mut().expect("a timed history")
     }
 
-    /// The leader learns of an accepted job: soon, or at once without a network.
+    /// Announces an accepted job to the leader, with a delay or, without a network, immediately.
     pub(crate) fn announce_job(&mut self, record: OpenRecord, version: u64) {
         let now = self.now;
         match &mut self.network {
             Some(network) => {
-                network.announce(now, Message::JobsAccepted(Box::new(record), version));
+                network.announce(now, Message::JobAccepted(Box::new(record), version));
             }
             None => {
-                self.announcement_arrives(|manager| manager.job_accepted(record, version, 0, now));
+                self.deliver_announcement(|manager| manager.job_accepted(record, version, 0, now));
             }
         }
     }
 
-    /// The leader learns of a cancellation: soon, or at once without a network.
-    pub(crate) fn announce_end(&mut self, id: &str) {
+    /// Announces a cancellation to the leader, with a delay or, without a network, immediately.
+    pub(crate) fn announce_cancellation(&mut self, id: &str) {
         let now = self.now;
         let state = JobState::Cancelled;
         match &mut self.network {
-            Some(network) => network.announce(now, Message::JobsEnded(id.to_string(), state)),
-            None => self.announcement_arrives(|manager| manager.job_end_recorded(id, state, now)),
+            Some(network) => network.announce(now, Message::JobFinished(id.to_string(), state)),
+            None => self.deliver_announcement(|manager| manager.job_end_recorded(id, state, now)),
         }
     }
 
-    /// Sends direct commands; the way there, or back, may be interrupted.
+    /// Sends direct commands; the commands or the response may be delayed or lost.
     pub(crate) fn send_commands(&mut self, from: u64, machine: &MachineName, batch: CommandBatch) {
         let now = self.now;
-        let Some(i) = self.worker_named(machine) else {
+        let Some(i) = self.worker_index(machine) else {
             return self.with_controller(from, |manager| {
                 manager.commands_answered(machine, CommandOutcome::NotSent, now);
             });
         };
-        let faults = self.net().faults;
-        let late = self.net().random.chance(faults.late_commands);
-        let response_lost = self.net().random.chance(faults.lost_command_responses);
-        let slow = self.net().random.chance(faults.slow_commands);
+        let faults = self.network_mut().faults;
+        let timed_out = self.network_mut().random.chance(faults.timed_out_commands);
+        let response_lost = self
+            .network_mut()
+            .random
+            .chance(faults.lost_command_responses);
+        let slow = self.network_mut().random.chance(faults.slow_commands);
         let w = &mut self.workers[i];
         if w.is_up(now) && (w.partitioned || w.inbound_lost || w.hung) {
-            // What a cut holds up, and what comes to a machine that hangs, arrives in the end.
+            // Commands to a partitioned or hung machine arrive once it is reachable and running.
             if !w.inbound_lost {
-                w.held.push(batch);
+                w.held_commands.push(batch);
             }
-        } else if late || slow {
+        } else if timed_out || slow {
             let command = Message::Command {
                 machine: machine.clone(),
                 batch,
-                answer_to: (!late).then_some(from),
+                respond_to: (!timed_out).then_some(from),
             };
-            let delay = if late {
-                LATE_COMMAND_DELAY
+            let delay = if timed_out {
+                TIMED_OUT_COMMAND_DELAY
             } else {
                 SLOW_COMMAND_DELAY
             };
-            self.net().send_within(now, delay, command);
-            if !late {
+            self.network_mut().send_within(now, delay, command);
+            if !timed_out {
                 return;
             }
         } else {
@@ -283,84 +291,86 @@
             }
         }
         let machine = machine.clone();
-        let timeout = Message::CommandAnswer {
+        let timeout = Message::CommandResponse {
             to: from,
             machine,
             result: CommandOutcome::Unknown,
         };
-        self.net().send(now + COMMAND_TIMEOUT_S, timeout);
+        self.network_mut().send(now + COMMAND_TIMEOUT_S, timeout);
     }
 
-    /// Sends a write; it may be slow, late or without an answer.
+    /// Sends a write; the write may be delayed, and the response may be lost.
     pub(crate) fn send_write(&mut self, from: u64, id: u64, transaction: Transaction) {
         let now = self.now;
-        let to = AnswerTo {
+        let to = WriteId {
             leader: from,
             write: id,
         };
-        let network = self.net();
+        let network = self.network_mut();
         let faults = network.faults;
         if network.random.chance(faults.slow_writes) {
             let write = Message::Write {
                 transaction,
-                answer: Some(to),
+                respond_to: Some(to),
             };
             return network.send_within(now, SLOW_WRITE_DELAY, write);
         }
-        let late = network.random.chance(faults.late_writes);
-        let unanswered = network.random.chance(faults.unanswered_writes);
-        if late || unanswered {
-            let timeout = Message::NoWriteAnswer {
+        let timed_out = network.random.chance(faults.timed_out_writes);
+        let response_lost = network.random.chance(faults.lost_write_responses);
+        if timed_out || response_lost {
+            let timeout = Message::WriteTimeout {
                 to,
                 transaction: transaction.clone(),
             };
             network.send(now + WRITE_TIMEOUT_S, timeout);
         }
-        if late {
+        if timed_out {
             let write = Message::Write {
                 transaction,
-                answer: None,
+                respond_to: None,
             };
-            return self.net().send_within(now, LATE_WRITE_DELAY, write);
+            return self
+                .network_mut()
+                .send_within(now, TIMED_OUT_WRITE_DELAY, write);
         }
-        self.carry_out_write(transaction, (!unanswered).then_some(to));
+        self.apply_write(transaction, (!response_lost).then_some(to));
     }
 
-    /// Applies a write; its controller hears of it if there is an answer.
-    fn carry_out_write(&mut self, transaction: Transaction, answer: Option<AnswerTo>) {
+    /// Applies a write; its controller receives the outcome unless the response is lost.
+    fn apply_write(&mut self, transaction: Transaction, respond_to: Option<WriteId>) {
         let result = self.store.commit(&transaction);
-        self.check_size(&transaction, &result);
+        self.check_write_size(&transaction, &result);
         let written = match result {
             Ok(revision) => WriteOutcome::Applied(revision),
             Err(_) => self.store.reread(&transaction),
         };
         let now = self.now;
-        if let Some(to) = answer {
+        if let Some(to) = respond_to {
             self.with_controller(to.leader, |manager| {
                 manager.write_finished(to.write, written, now);
             });
         }
     }
 
-    /// What was under way arrives.
+    /// Delivers all messages that are due.
     pub(crate) fn deliver_due(&mut self) {
         let now = self.now;
-        for message in self.net().due(now) {
-            self.arrive(message);
-            self.effects();
+        for message in self.network_mut().due(now) {
+            self.deliver_message(message);
+            self.apply_effects();
         }
     }
 
-    /// One message arrives.
-    fn arrive(&mut self, message: Message) {
+    /// Delivers one message.
+    fn deliver_message(&mut self, message: Message) {
         let now = self.now;
         match message {
             Message::Command {
                 machine,
                 batch,
-                answer_to,
-            } => self.command_arrives(&machine, batch, answer_to),
-            Message::CommandAnswer {
+                respond_to,
+            } => self.deliver_command(&machine, batch, respond_to),
+            Message::CommandResponse {
                 to,
                 machine,
                 result,
@@ -377,57 +387,59 @@
                 incarnation,
                 sequence,
                 sent,
-                answer,
+                response,
             } => {
-                let i = self.worker_named(&machine).expect("it has reported");
+                let i = self
+                    .worker_index(&machine)
+                    .expect("a machine that sent a heartbeat");
                 let w = &self.workers[i];
                 let awaited = w.incarnation == incarnation
-                    && w.awaited.is_some_and(|a| a.sequence == sequence);
+                    && w.awaited_response.is_some_and(|a| a.sequence == sequence);
                 if awaited && !w.hung && w.is_up(now) {
-                    self.accept_response(i, &answer, sent);
+                    self.accept_response(i, &response, sent);
                 }
             }
             Message::Write {
                 transaction,
-                answer,
-            } => self.carry_out_write(transaction, answer),
-            Message::NoWriteAnswer { to, transaction } => {
+                respond_to,
+            } => self.apply_write(transaction, respond_to),
+            Message::WriteTimeout { to, transaction } => {
                 let written = self.store.reread(&transaction);
                 self.with_controller(to.leader, |manager| {
                     manager.write_finished(to.write, written, now);
                 });
             }
-            Message::JobsAccepted(record, version) => self.announcement_arrives(|manager| {
+            Message::JobAccepted(record, version) => self.deliver_announcement(|manager| {
                 manager.job_accepted(*record, version, 0, now);
             }),
-            Message::JobsEnded(id, state) => {
-                self.announcement_arrives(|manager| manager.job_end_recorded(&id, state, now));
+            Message::JobFinished(id, state) => {
+                self.deliver_announcement(|manager| manager.job_end_recorded(&id, state, now));
             }
         }
     }
 
-    /// News of jobs comes from the state service.
-    fn announcement_arrives(
+    /// Delivers an announcement to the leader, if the state service, its source, is reachable.
+    fn deliver_announcement(
         &mut self,
-        tell: impl FnOnce(&mut stairstage::coordination::manager::ClusterManager),
+        notify: impl FnOnce(&mut stairstage::coordination::manager::ClusterManager),
     ) {
         if let Some(leader) = self.leader.as_mut().filter(|l| l.reaches_store) {
-            tell(&mut leader.manager);
+            notify(&mut leader.manager);
         }
     }
 
-    /// Direct commands arrive, and are answered if somebody still waits.
-    fn command_arrives(
+    /// Delivers direct commands, and sends the response if their sender still waits for it.
+    fn deliver_command(
         &mut self,
         machine: &MachineName,
         batch: CommandBatch,
-        answer_to: Option<u64>,
+        respond_to: Option<u64>,
     ) {
         let now = self.now;
-        let i = self.worker_named(machine).expect("a machine");
+        let i = self.worker_index(machine).expect("a machine");
         let w = &mut self.workers[i];
         let (result, delay) = if w.hung || w.partitioned {
-            w.held.push(batch);
+            w.held_commands.push(batch);
             (
                 CommandOutcome::Unknown,
                 DelayRange::new(COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S),
@@ -435,27 +447,27 @@
         } else {
             (self.execute_commands(i, &batch), SLOW_COMMAND_DELAY)
         };
-        if let Some(to) = answer_to {
+        if let Some(to) = respond_to {
             let machine = machine.clone();
-            let answer = Message::CommandAnswer {
+            let response = Message::CommandResponse {
                 to,
                 machine,
                 result,
             };
-            self.net().send_within(now, delay, answer);
+            self.network_mut().send_within(now, delay, response);
         }
     }
 
-    /// A worker takes the response to its last heartbeat.
-    pub(crate) fn accept_response(&mut self, i: usize, answer: &HeartbeatResponse, sent: f64) {
+    /// Lets a worker apply the response to its last heartbeat, unless its token is outdated.
+    pub(crate) fn accept_response(&mut self, i: usize, response: &HeartbeatResponse, sent: f64) {
         let now = self.now;
         let w = &mut self.workers[i];
-        w.awaited = None;
-        if answer.token.0 < w.token {
+        w.awaited_response = None;
+        if response.token.0 < w.token {
             w.next_heartbeat_at = now + RETRY_S;
             return;
         }
-        let started = w.take(answer, sent, now);
+        let started = w.apply_response(response, sent, now);
         self.check_starts(i, &started);
     }
 }
--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -1,24 +1,24 @@
-//! The other controllers, as far as they confirm cancellations to users and tell the leader of them.
+//! Simulated peers that confirm cancellations to users and report them to the leader.
 
 use stairstage::coordination::cluster::cancellation_evidence::PeerAnswer;
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 
-/// Cancellations that a controller keeps: more than any history has.
+/// Capacity of a peer's cancellation log: more than any history has cancellations.
 const CAPACITY: usize = 10_000;
-/// The other controllers.
-const NAMES: [&str; 2] = ["b", "c"];
+/// The names of the peers.
+const PEER_NAMES: [&str; 2] = ["b", "c"];
 
-/// A controller that keeps a log of the cancellations that it has confirmed.
+/// A controller with a log of the cancellations that it has confirmed.
 struct Peer {
     name: String,
     log: CancellationLog,
     incarnation: u64,
 }
 
-/// The other controllers of a history.
+/// The peers of the leader in a history.
 pub(crate) struct Peers {
     peers: Vec<Peer>,
-    /// Cancellations that were confirmed so far; users ask one controller after the other.
+    /// Number of cancellations confirmed so far; users send them to the peers in turn.
     confirmed: usize,
 }
 
@@ -30,39 +30,39 @@
             incarnation: 1,
         };
         Peers {
-            peers: NAMES.map(peer).into(),
+            peers: PEER_NAMES.map(peer).into(),
             confirmed: 0,
         }
     }
 
-    /// Their names.
+    /// The names of the peers.
     pub(crate) fn names(&self) -> impl Iterator<Item = &String> {
         self.peers.iter().map(|p| &p.name)
     }
 
-    /// One of them enters a cancellation, and then tells a user of it.
-    pub(crate) fn confirm(&mut self, job: &str) {
+    /// Records a cancellation in the log of the next peer, which then confirms it to a user.
+    pub(crate) fn confirm_cancellation(&mut self, job: &str) {
         let peer = self.confirmed % self.peers.len();
         self.peers[peer].log.record(job);
         self.confirmed += 1;
     }
 
-    /// The process of one of them ends and is back; nobody knows what it had confirmed.
+    /// Restarts the process of a peer, which loses its log of confirmed cancellations.
     pub(crate) fn restart(&mut self, number: usize) {
         let peer = &mut self.peers[number];
         peer.incarnation += 1;
         peer.log = CancellationLog::with_incarnation(peer.incarnation, CAPACITY);
     }
 
-    /// What a controller answers at once.
-    pub(crate) fn ask(&self, name: &str, asked: Cursor, now: f64) -> Option<PeerAnswer> {
+    /// The answer of a peer to a query, without delay.
+    pub(crate) fn query(&self, name: &str, cursor: Cursor, now: f64) -> Option<PeerAnswer> {
         let peer = self.peers.iter().find(|p| p.name == name)?;
         Some(PeerAnswer {
             peer: peer.name.clone(),
-            asked,
+            asked: cursor,
             sent: now,
             received: now,
-            page: peer.log.page(asked),
+            page: peer.log.page(cursor),
         })
     }
 }
--- a/tests/histories/random.rs
+++ b/tests/histories/random.rs
@@ -1,8 +1,8 @@
-//! A small generator of pseudo-random numbers: the same seed gives the same history.
+//! Pseudo-random numbers for timed histories; the same seed gives the same history.
 
 use crate::common::random::SplitMix64;
 
-/// Numbers with a fixed sequence for each seed.
+/// A random number generator with a fixed sequence for each seed.
 pub(crate) struct Random(SplitMix64);
 
 impl Random {
@@ -10,23 +10,23 @@
         Random(SplitMix64(seed))
     }
 
-    /// A number between 0 and 1.
+    /// A number in `[0, 1)`.
     fn unit(&mut self) -> f64 {
         (self.0.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A number in this range.
+    /// A number in `[low, high)`.
     pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.unit()
     }
 
-    /// A whole number below the bound.
+    /// An integer in `0..bound`.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         (self.0.next() % bound as u64) as usize
     }
 
-    /// Whether something happens that does in this share of cases.
-    pub(crate) fn chance(&mut self, share: f64) -> bool {
-        self.unit() < share
+    /// Returns `true` with this probability.
+    pub(crate) fn chance(&mut self, probability: f64) -> bool {
+        self.unit() < probability
     }
 }
--- a/tests/histories/settings.rs
+++ b/tests/histories/settings.rs
@@ -1,12 +1,12 @@
-//! The settings that histories run with.
+//! The settings of all histories.
 
 use super::common;
 use stairstage::protocol::cloud::MachineType;
 
-/// The zones that machines are in.
+/// The zones of the machines.
 pub(crate) const ZONES: [&str; 2] = ["z", "y"];
 
-/// Two teams with limits; the next limits of the state service are narrow.
+/// Two teams with CPU quotas, and narrow next limits for the state service.
 pub(crate) const SETTINGS: &str = r#"
 host_name = "a"
 zone = "z"
@@ -44,7 +44,7 @@
 max_sockets = 500
 "#;
 
-/// Two types of machine of the same size, in both zones.
+/// Two machine types of the same size, each in both zones.
 pub(crate) fn machine_types() -> Vec<MachineType> {
     ["m4", "g4"]
         .map(|name| MachineType {
--- a/tests/histories/tasks.rs
+++ b/tests/histories/tasks.rs
@@ -1,27 +1,28 @@
-//! How tasks run and end in histories with a clock of their own.
+//! How tasks run and exit in timed histories.
 
 use super::common::AttemptId;
-use super::job::split;
+use super::job::split_task_name;
 use super::world::World;
 use stairstage::protocol::worker::{Cause, TaskState};
 use std::collections::BTreeMap;
 
-/// An attempt of a gang: all its tasks have the same.
+/// An attempt of a gang; all tasks of the gang share its number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GangAttempt {
     job: String,
     attempt: u64,
 }
 
-/// How far an attempt of a gang has come.
+/// The progress of an attempt of a gang.
 #[derive(Default)]
-pub(crate) struct GangRun {
+pub(crate) struct GangProgress {
+    /// Since when all tasks have been running.
     complete_since: Option<f64>,
-    /// Since when a task of it is missing, or on a machine that hangs.
+    /// Since when a task of a once complete attempt has been missing, or on a hung machine.
     broken_since: Option<f64>,
 }
 
-/// Where a task of an attempt is.
+/// A task of an attempt on its worker.
 struct Member {
     worker: usize,
     id: AttemptId,
@@ -30,19 +31,19 @@
 }
 
 impl World {
-    /// Tasks that have run for long enough are done.
-    pub(crate) fn progress(&mut self) {
+    /// Completes tasks that have reached their run time.
+    pub(crate) fn advance_tasks(&mut self) {
         let mut gangs: BTreeMap<GangAttempt, Vec<Member>> = BTreeMap::new();
         for i in 0..self.workers.len() {
             let w = &self.workers[i];
-            if w.gone {
+            if w.terminated {
                 continue;
             }
             let live = w.tasks.iter().filter(|(_, t)| t.state != TaskState::Exited);
             let live: Vec<_> = live.map(|(id, t)| (id.clone(), t.since)).collect();
             let hung = w.hung;
             for (id, since) in live {
-                let job = split(&id.task).0.to_string();
+                let job = split_task_name(&id.task).0.to_string();
                 if self.jobs[&job].is_gang() {
                     let gang = GangAttempt {
                         job,
@@ -56,44 +57,45 @@
                     };
                     gangs.entry(gang).or_default().push(member);
                 } else if !hung {
-                    self.progress_task(i, &id, since);
+                    self.advance_task(i, &id, since);
                 }
             }
         }
-        self.gang_runs.retain(|run, _| gangs.contains_key(run));
+        self.gang_progress.retain(|run, _| gangs.contains_key(run));
         for (run, members) in gangs {
-            self.progress_gang(run, members);
+            self.advance_gang(run, members);
         }
     }
 
-    /// A task of an array, or a replica. The result of one that has completed is kept: started
-    /// again, it is done at once.
-    fn progress_task(&mut self, worker: usize, attempt: &AttemptId, since: f64) {
-        let (id, number) = split(&attempt.task);
+    /// Advances a task of an array, or a replica. The result of a completed task is kept: when started
+    /// again, the task completes immediately.
+    fn advance_task(&mut self, worker: usize, attempt: &AttemptId, since: f64) {
+        let (id, number) = split_task_name(&attempt.task);
         let job = self.jobs.get_mut(id).expect("an accepted job");
-        let over = self.now - since >= job.task_run_s(number) || job.done.contains(&number);
-        if over && !job.is_service() {
+        let completed = self.now - since >= job.task_run_s(number) || job.done.contains(&number);
+        if completed && !job.is_service() {
             job.done.insert(number);
             self.workers[worker].exit(attempt, Cause::Done, self.now);
         }
     }
 
-    /// The tasks of a gang end together: done, without one of them, or tired of waiting for it.
-    fn progress_gang(&mut self, run: GangAttempt, members: Vec<Member>) {
+    /// Advances a gang. Its tasks exit together: when done, when a task was lost for longer than
+    /// `gang_peer_s`, or when some task has not started within `gang_wait_s`.
+    fn advance_gang(&mut self, run: GangAttempt, members: Vec<Member>) {
         let now = self.now;
         let workers = &self.settings.cluster.workers;
         let job = self.jobs.get_mut(&run.job).expect("an accepted job");
-        let whole = members.len() == job.spec.tasks as usize;
-        let intact = whole && members.iter().all(|m| !m.hung);
-        let begun = members.iter().map(|m| m.since).fold(now, f64::min);
-        let state = self.gang_runs.entry(run).or_default();
-        if intact {
+        let all_present = members.len() == job.spec.tasks as usize;
+        let all_running = all_present && members.iter().all(|m| !m.hung);
+        let first_start = members.iter().map(|m| m.since).fold(now, f64::min);
+        let state = self.gang_progress.entry(run).or_default();
+        if all_running {
             state.complete_since.get_or_insert(now);
             state.broken_since = None;
         } else if state.complete_since.is_some() {
             state.broken_since.get_or_insert(now);
         }
-        let cause = if intact
+        let cause = if all_running
             && state
                 .complete_since
                 .is_some_and(|t| now - t >= job.run_times.first_s)
@@ -105,7 +107,7 @@
             .is_some_and(|t| now - t > workers.gang_peer_s)
         {
             Cause::Peers
-        } else if state.complete_since.is_none() && now - begun > workers.gang_wait_s {
+        } else if state.complete_since.is_none() && now - first_start > workers.gang_wait_s {
             Cause::Alone
         } else {
             return;
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -1,4 +1,5 @@
-//! Histories with a clock of their own: workers report by themselves, tasks end, messages take time.
+//! Timed histories, which run in simulated time: workers send heartbeats periodically, tasks complete
+//! after their run time, and messages may be delayed.
 
 use super::job::{JobShape, RunTimes};
 use super::leader::Leader;
@@ -11,24 +12,24 @@
 use stairstage::protocol::job::JobKind;
 use stairstage::protocol::worker::{Command, CommandBatch};
 
-/// Seconds between two moments at which anything happens.
+/// Length of a simulation tick in seconds.
 const TICK_S: f64 = 0.25;
-/// Heartbeat intervals differ by up to this share.
-const HEARTBEAT_SPREAD: f64 = 0.25;
-/// Ticks from one slower decision of the leader to the next.
-const TICKS_A_DECISION: u64 = 4;
-/// Ticks from one list of machines to the next.
-const TICKS_A_LIST: u64 = 16;
-/// Questions of a leader to each other controller in a heartbeat interval.
-const PEER_QUERIES: f64 = 4.0;
-/// Open jobs that keep the teams at their limits.
-const SMALL_JOBS: usize = 16;
-/// The share of ticks in which one of them is cancelled.
-const CANCELLED_SHARE: f64 = 0.15;
-/// Once all faults are over, every job has come to its end within this time.
-const QUIET_S: f64 = 150.0;
-
-/// Machines of a timed history: the second zone has fewer, and one of them is a spot machine.
+/// Heartbeat intervals vary by up to this fraction in both directions.
+const HEARTBEAT_JITTER: f64 = 0.25;
+/// Simulation ticks per call of the leader's `tick`.
+const TICKS_PER_MANAGER_TICK: u64 = 4;
+/// Simulation ticks per machine list that the leader receives.
+const TICKS_PER_MACHINE_LIST: u64 = 16;
+/// Queries of a leader to each peer per heartbeat interval.
+const PEER_QUERIES_PER_HEARTBEAT: f64 = 4.0;
+/// Number of open jobs that keeps the teams at their quotas.
+const MIN_OPEN_JOBS: usize = 16;
+/// Probability per tick that an open job is cancelled.
+const CANCELLATION_PROBABILITY: f64 = 0.15;
+/// Once all faults are over, every job finishes within this time.
+const SETTLE_TIMEOUT_S: f64 = 150.0;
+
+/// The machines of a timed history: four in the first zone and two in the second, one of them spot.
 fn fleet() -> Vec<Worker> {
     let mut fleet: Vec<Worker> = (0..6).map(|i| Worker::new(i, 0.0)).collect();
     for w in &mut fleet[4..] {
@@ -40,28 +41,28 @@
     fleet
 }
 
-/// Plays the same history with other random numbers, again and again, each to its end.
+/// Plays a history once for each seed, and lets it settle after the last fault.
 pub(crate) fn for_each_seed(seeds: u64, history: impl Fn(&mut World)) {
     for seed in 0..seeds {
-        let _named = NamedSeed(seed);
+        let _report = ReportSeedOnPanic(seed);
         let mut world = timed_world(seed);
         history(&mut world);
         world.settle();
     }
 }
 
-/// Names the seed of a history that fails.
-struct NamedSeed(u64);
+/// Prints the seed of a history that fails.
+struct ReportSeedOnPanic(u64);
 
-impl Drop for NamedSeed {
+impl Drop for ReportSeedOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("the history with seed {} fails", self.0);
+            eprintln!("history failed with seed {}", self.0);
         }
     }
 }
 
-/// A leader that has heard all machines, which are without work.
+/// A cluster without jobs, whose leader has received a heartbeat from every machine.
 fn timed_world(seed: u64) -> World {
     let mut world = World::new(machine_types(), fleet());
     world.network = Some(Network::new(seed));
@@ -71,30 +72,30 @@
 }
 
 impl World {
-    /// What goes wrong with messages from now on.
+    /// Sets the message faults from now on.
     pub(crate) fn set_faults(&mut self, faults: Faults) {
-        self.net().faults = faults;
+        self.network_mut().faults = faults;
     }
 
-    /// Whether something happens that does in this share of cases.
-    pub(crate) fn chance(&mut self, share: f64) -> bool {
-        self.net().random.chance(share)
+    /// Returns `true` with this probability.
+    pub(crate) fn chance(&mut self, probability: f64) -> bool {
+        self.network_mut().random.chance(probability)
     }
 
-    /// A number in this range.
+    /// A random number in this range.
     pub(crate) fn between(&mut self, low: f64, high: f64) -> f64 {
-        self.net().random.between(low, high)
+        self.network_mut().random.between(low, high)
     }
 
-    /// One of the machines that are there.
-    pub(crate) fn some_worker(&mut self) -> usize {
-        let there: Vec<usize> = (0..self.workers.len())
-            .filter(|i| !self.workers[*i].gone)
+    /// The index of a random machine that is not terminated, or 0 if there is none.
+    pub(crate) fn random_worker(&mut self) -> usize {
+        let present: Vec<usize> = (0..self.workers.len())
+            .filter(|i| !self.workers[*i].terminated)
             .collect();
-        if there.is_empty() {
+        if present.is_empty() {
             return 0;
         }
-        there[self.net().random.below(there.len())]
+        present[self.network_mut().random.below(present.len())]
     }
 
     /// Submits a job, and returns its id.
@@ -108,64 +109,64 @@
         id
     }
 
-    /// The users of this share of jobs cancel them.
-    pub(crate) fn cancel_some(&mut self, share: f64) {
-        let open = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_none());
-        let ids: Vec<String> = open.map(|(id, _)| id.clone()).collect();
+    /// Cancels each job with this probability.
+    pub(crate) fn cancel_random_jobs(&mut self, probability: f64) {
+        let not_cancelled = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_none());
+        let ids: Vec<String> = not_cancelled.map(|(id, _)| id.clone()).collect();
         for id in ids {
-            if self.chance(share) {
+            if self.chance(probability) {
                 self.cancel(&id);
             }
         }
     }
 
-    /// Lets time pass in ticks, with all that happens in each.
+    /// Runs the simulation for this time, tick by tick.
     pub(crate) fn run_for(&mut self, seconds: f64) {
         let ticks = (seconds / TICK_S).ceil() as u64;
         for _ in 0..ticks {
-            self.pass(TICK_S);
+            self.advance_time(TICK_S);
             self.deliver_due();
-            self.progress();
+            self.advance_tasks();
             for i in 0..self.workers.len() {
                 self.send_heartbeat_if_due(i);
             }
-            self.let_controllers_decide();
+            self.run_controllers();
         }
     }
 
-    /// The same, while small jobs keep the teams at their limits, and some are cancelled at once.
-    pub(crate) fn run_busy(&mut self, seconds: f64) {
+    /// Like `run_for`, while small jobs keep the teams at their quotas and random jobs are cancelled.
+    pub(crate) fn run_under_load(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
-            while self.open_jobs() < SMALL_JOBS {
-                let shape = self.small_shape();
+            while self.open_jobs() < MIN_OPEN_JOBS {
+                let shape = self.random_small_shape();
                 self.submit_shape(&shape);
             }
-            if self.chance(CANCELLED_SHARE) {
-                self.cancel_one();
+            if self.chance(CANCELLATION_PROBABILITY) {
+                self.cancel_random_open_job();
             }
             self.run_for(TICK_S);
         }
     }
 
-    /// Jobs that have not come to their end.
+    /// The number of open jobs.
     fn open_jobs(&self) -> usize {
         self.jobs.values().filter(|j| j.is_open()).count()
     }
 
-    /// The user of some open job cancels it: as likely as not, its tasks are just being launched.
-    fn cancel_one(&mut self) {
+    /// Cancels a random open job, often while its tasks are being launched.
+    fn cancel_random_open_job(&mut self) {
         let open = self.jobs.iter().filter(|(_, j)| j.is_open());
         let ids: Vec<String> = open.map(|(id, _)| id.clone()).collect();
         if !ids.is_empty() {
-            let i = self.net().random.below(ids.len());
+            let i = self.network_mut().random.below(ids.len());
             self.cancel(&ids[i]);
         }
     }
 
-    /// A small job of either team.
-    fn small_shape(&mut self) -> JobShape {
-        let random = &mut self.net().random;
+    /// A random small job of either team.
+    fn random_small_shape(&mut self) -> JobShape {
+        let random = &mut self.network_mut().random;
         JobShape {
             tasks: 1 + random.below(2) as u32,
             run_s: random.between(0.5, 5.0),
@@ -175,39 +176,40 @@
         }
     }
 
-    /// The leader and former leaders decide, with what they have learned until now.
-    fn let_controllers_decide(&mut self) {
+    /// Updates the leader's and former leaders' view of the cluster, and applies their decisions.
+    fn run_controllers(&mut self) {
         let now = self.now;
         let tick = (now / TICK_S).round() as u64;
-        let list = (tick % TICKS_A_LIST == 0).then(|| self.machine_list());
-        let known_until = self.known_until();
+        let list = (tick % TICKS_PER_MACHINE_LIST == 0).then(|| self.listed_machines());
+        let announced_until = self.announced_until();
         let Some(leader) = &mut self.leader else {
             return;
         };
         if let Some(list) = list {
             leader.manager.machines_listed(&list, now);
         }
-        if tick % TICKS_A_DECISION == 0 {
+        if tick % TICKS_PER_MANAGER_TICK == 0 {
             leader.manager.tick(now);
         }
-        let pause_s = self.settings.cluster.workers.report_s / PEER_QUERIES;
-        leader.ask_peers(&self.peers, now, pause_s);
+        let pause_s = self.settings.cluster.workers.report_s / PEER_QUERIES_PER_HEARTBEAT;
+        leader.query_peers(&self.peers, now, pause_s);
         if leader.reaches_store {
-            leader.records_read(known_until);
+            leader.records_read(announced_until);
         }
         leader.manager.step(now);
         let deposed = leader.manager.is_deposed();
-        self.let_formers_decide();
+        self.run_former_leaders();
         let workers = &self.settings.cluster.workers;
         self.former_leaders.retain(|l| l.may_renew(now, workers));
-        self.effects();
+        self.apply_effects();
         if deposed {
             self.replace_leader();
         }
     }
 
-    /// A former leader neither starts nor records anything; it stops what it knows to be cancelled.
-    fn let_formers_decide(&mut self) {
+    /// Lets former leaders decide. They must neither start tasks nor write records; they may only stop
+    /// tasks of jobs that they know to be cancelled.
+    fn run_former_leaders(&mut self) {
         let now = self.now;
         for id in self
             .former_leaders
@@ -227,19 +229,22 @@
                     } => {
                         let stops = |c: &Command| matches!(c, Command::Stop { .. });
                         let only_stops = batch.commands.iter().all(stops);
-                        assert!(only_stops, "a former leader acts: {batch:?}");
+                        assert!(
+                            only_stops,
+                            "a former leader sends a command other than Stop: {batch:?}"
+                        );
                     }
                     _ => {}
                 }
-                self.carry_out(id, effect);
+                self.apply_effect(id, effect);
             }
         }
     }
 
-    /// The cloud's list, which lags.
-    fn machine_list(&self) -> Vec<ListedMachine> {
+    /// The cloud's machine list, which lags by `list_lag_s`.
+    fn listed_machines(&self) -> Vec<ListedMachine> {
         let lag_s = self.settings.cluster.cloud.list_lag_s;
-        let listed = self.workers.iter().filter(|w| !w.gone);
+        let listed = self.workers.iter().filter(|w| !w.terminated);
         let listed = listed.filter(|w| self.now - w.up_at > lag_s);
         let item = |w: &Worker| ListedMachine {
             name: w.name.clone(),
@@ -253,16 +258,16 @@
         listed.map(item).collect()
     }
 
-    /// A worker reports if it is time to.
+    /// Sends a worker's heartbeat if it is due.
     fn send_heartbeat_if_due(&mut self, i: usize) {
         let now = self.now;
         let w = &mut self.workers[i];
         if !w.is_up(now) || w.hung {
             return;
         }
-        if let Some(awaited) = w.awaited {
+        if let Some(awaited) = w.awaited_response {
             if now - awaited.sent > RESPONSE_TIMEOUT_S {
-                w.awaited = None;
+                w.awaited_response = None;
                 w.next_heartbeat_at = now + RETRY_S;
             }
         } else if now >= w.next_heartbeat_at {
@@ -270,15 +275,15 @@
         }
     }
 
-    /// Sends a heartbeat to the leader that the worker reaches, if any, and takes or awaits the
+    /// Sends a heartbeat to the leader that the worker reaches, if any, and accepts or awaits the
     /// response.
     fn send_heartbeat(&mut self, i: usize) {
         let now = self.now;
         let report_s = self.settings.cluster.workers.report_s;
-        let spread = self.between(1.0 - HEARTBEAT_SPREAD, 1.0 + HEARTBEAT_SPREAD);
+        let jitter = self.between(1.0 - HEARTBEAT_JITTER, 1.0 + HEARTBEAT_JITTER);
         let w = &mut self.workers[i];
-        let heartbeat = w.own_heartbeat(now);
-        w.next_heartbeat_at = now + report_s * spread;
+        let heartbeat = w.scheduled_heartbeat(now);
+        w.next_heartbeat_at = now + report_s * jitter;
         let awaited = AwaitedResponse {
             sequence: heartbeat.sequence.0,
             sent: now,
@@ -288,83 +293,84 @@
             self.workers[i].next_heartbeat_at = now + RETRY_S;
             return;
         };
-        self.net().copy(&heartbeat, now);
-        if self.net().holds(&heartbeat, now) {
-            self.workers[i].awaited = Some(awaited);
+        self.network_mut().duplicate(&heartbeat, now);
+        if self.network_mut().delays_heartbeat(&heartbeat, now) {
+            self.workers[i].awaited_response = Some(awaited);
             return;
         }
-        let leader = self.controller(receiver).expect("it hears");
-        let in_doubt = now >= leader.manager.lease_valid_until();
-        let HeartbeatOutcome::Answer(answer) = leader.manager.heartbeat(&heartbeat, now) else {
+        let leader = self.controller(receiver).expect("the receiving leader");
+        let lease_expired = now >= leader.manager.lease_valid_until();
+        let HeartbeatOutcome::Answer(response) = leader.manager.heartbeat(&heartbeat, now) else {
             self.workers[i].next_heartbeat_at = now + RETRY_S;
             return;
         };
         let starts = |c: &Command| matches!(c, Command::Start { .. });
         assert!(
-            !in_doubt || !answer.commands.iter().any(starts),
-            "a leader in doubt starts tasks: {answer:?}"
+            !lease_expired || !response.commands.iter().any(starts),
+            "a leader with an expired lease starts tasks: {response:?}"
         );
-        self.workers[i].awaited = Some(awaited);
-        match self.net().response_delay_s() {
-            Some(0.0) if !inbound_lost => self.accept_response(i, &answer, now),
+        self.workers[i].awaited_response = Some(awaited);
+        match self.network_mut().response_delay_s() {
+            Some(0.0) if !inbound_lost => self.accept_response(i, &response, now),
             Some(delay_s) if !inbound_lost => {
                 let message = super::network::Message::HeartbeatResponse {
                     machine: heartbeat.machine,
                     incarnation,
                     sequence: heartbeat.sequence.0,
                     sent: now,
-                    answer,
+                    response,
                 };
-                self.net().send(now + delay_s, message);
+                self.network_mut().send(now + delay_s, message);
             }
             _ => {}
         }
-        self.effects();
+        self.apply_effects();
     }
 
-    /// The controller that answers a worker's reports.
+    /// The leader or former leader that answers a worker's heartbeats, if any.
     fn receiving_leader(&self, i: usize) -> Option<u64> {
         let w = &self.workers[i];
-        let heard = match (w.partitioned, w.with_former_leader) {
+        let leader = match (w.partitioned, w.with_former_leader) {
             _ if w.heartbeats_lost => None,
             (true, true) => self.former_leaders.last(),
             (true, false) => None,
             (false, _) => self.leader.as_ref(),
         };
         let workers = &self.settings.cluster.workers;
-        heard
+        leader
             .filter(|l| l.may_renew(self.now, workers))
             .map(|l| l.id())
     }
 
-    /// The leader ends, and nobody leads until the next election.
-    pub(crate) fn end_leader(&mut self) {
+    /// Stops the leader; there is none until the next election.
+    pub(crate) fn stop_leader(&mut self) {
         self.leader = None;
     }
 
-    /// Another controller leads; the former leader is out of reach, or in doubt.
+    /// Elects another leader, and replays the heartbeats kept for an election. A previous leader that
+    /// still runs is isolated.
     pub(crate) fn replace_leader(&mut self) {
         self.elect();
         let now = self.now;
-        self.net().release_kept(now);
+        self.network_mut().replay_heartbeats(now);
     }
 
-    /// Ends the leader and has another elected some time later.
+    /// Stops the leader, and elects another one after this time.
     pub(crate) fn change_leader(&mut self, after_s: f64) {
-        self.end_leader();
-        self.run_busy(after_s);
+        self.stop_leader();
+        self.run_under_load(after_s);
         self.replace_leader();
     }
 
-    /// Machines of a zone, or all but those, are cut off.
-    pub(crate) fn cut_zone(&mut self, zone: &str, with_former_leader: bool) {
+    /// Partitions all machines of a zone.
+    pub(crate) fn partition_zone(&mut self, zone: &str, with_former_leader: bool) {
         for w in self.workers.iter_mut().filter(|w| w.zone == zone) {
             w.partitioned = true;
             w.with_former_leader = with_former_leader;
         }
     }
 
-    /// All links of a machine are whole again; what was held up arrives.
+    /// Restores all links of a machine; commands held back arrive, unless the machine hangs.
     pub(crate) fn reconnect(&mut self, i: usize) {
         let w = &mut self.workers[i];
         w.partitioned = false;
@@ -372,28 +378,28 @@
         w.inbound_lost = false;
         w.heartbeats_lost = false;
         if !w.hung {
-            let held = std::mem::take(&mut w.held);
-            self.hand_out(i, &held);
+            let held = std::mem::take(&mut w.held_commands);
+            self.deliver_held_commands(i, &held);
         }
     }
 
-    /// A machine that hangs runs again.
+    /// Resumes a hung machine and delivers the commands held back.
     pub(crate) fn resume(&mut self, i: usize) {
         if self.workers[i].hung {
             let now = self.now;
             let held = self.workers[i].resume(now);
-            self.hand_out(i, &held);
+            self.deliver_held_commands(i, &held);
         }
     }
 
-    /// What was held up arrives in order; nobody waits for its answer any more.
-    fn hand_out(&mut self, i: usize, held: &[CommandBatch]) {
+    /// Delivers commands that were held back, in order; their sender no longer waits for a response.
+    fn deliver_held_commands(&mut self, i: usize, held: &[CommandBatch]) {
         for batch in held {
-            self.deliver(i, batch);
+            self.deliver_commands(i, batch);
         }
     }
 
-    /// No machine hangs or is out of reach any more.
+    /// Resumes and reconnects all machines.
     pub(crate) fn reconnect_all(&mut self) {
         for i in 0..self.workers.len() {
             self.resume(i);
@@ -401,12 +407,12 @@
         }
     }
 
-    /// All faults are over: every job that nobody has cancelled comes to its end.
+    /// Ends all faults, cancels all services, and checks that every job finishes in time.
     pub(crate) fn settle(&mut self) {
         self.set_faults(Faults::default());
         self.cloud_is_down = false;
         self.reconnect_all();
-        self.rentable += self.workers.iter().filter(|w| w.gone).count();
+        self.rentable += self.workers.iter().filter(|w| w.terminated).count();
         if self.leader.as_ref().is_none_or(|l| !l.reaches_store) {
             self.replace_leader();
         }
@@ -415,7 +421,7 @@
         for id in services.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             self.cancel(&id);
         }
-        let until = self.now + QUIET_S;
+        let until = self.now + SETTLE_TIMEOUT_S;
         while self.now < until
             && !self
                 .store
@@ -423,22 +429,22 @@
                 .is_empty()
         {
             self.run_for(1.0);
-            self.check_nothing_left_waiting();
+            self.check_no_starvation();
         }
-        self.check_ends();
+        self.check_final_states();
     }
 
-    /// Submits jobs of any shape.
-    pub(crate) fn submit_some(&mut self, count: usize) {
+    /// Submits jobs of random shapes.
+    pub(crate) fn submit_random_jobs(&mut self, count: usize) {
         for _ in 0..count {
-            let shape = self.some_shape();
+            let shape = self.random_shape();
             self.submit_shape(&shape);
         }
     }
 
-    /// A job of any shape that these machines can run.
-    pub(crate) fn some_shape(&mut self) -> JobShape {
-        let random = &mut self.net().random;
+    /// A random job shape that the initial machines can run.
+    pub(crate) fn random_shape(&mut self) -> JobShape {
+        let random = &mut self.network_mut().random;
         let zones = [None, None, Some("z"), Some("y")];
         let kind = [
             JobKind::Array,
--- a/tests/histories/worker.rs
+++ b/tests/histories/worker.rs
@@ -1,4 +1,4 @@
-//! A machine with its worker, as the protocol describes them.
+//! A simulated machine and its worker, which follow the worker protocol.
 
 use super::common::AttemptId;
 use stairstage::protocol::ids::{FencingToken, HeartbeatSequence, Incarnation};
@@ -7,61 +7,62 @@
 };
 use std::collections::BTreeMap;
 
-/// Processors of a machine.
+/// CPUs of a machine.
 pub(crate) const CPUS: f64 = 4.0;
-/// A worker takes no response to a heartbeat after this time.
+/// A worker ignores a response to a heartbeat after this time.
 pub(crate) const RESPONSE_TIMEOUT_S: f64 = 4.0;
-/// Seconds until a worker tries the next node.
+/// Seconds until a worker retries with another controller.
 pub(crate) const RETRY_S: f64 = 1.0;
-/// A worker sends no two heartbeats within this time.
-const MIN_HEARTBEAT_PAUSE_S: f64 = 0.5;
+/// Minimum time between two heartbeats of a worker.
+const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.5;
 
-/// A task on a machine, with the time since it is in its state.
+/// A task on a machine.
 #[derive(Clone)]
 pub(crate) struct TaskOnWorker {
     pub state: TaskState,
     pub cause: Option<Cause>,
+    /// When the task started.
     pub since: f64,
 }
 
-/// A heartbeat that its worker waits to have answered.
+/// A heartbeat whose response the worker is waiting for.
 #[derive(Clone, Copy)]
 pub(crate) struct AwaitedResponse {
     pub sequence: u64,
     pub sent: f64,
 }
 
-/// A machine with its worker, and what keeps it from others.
+/// A machine with its worker, and the faults that apply to it.
 pub(crate) struct Worker {
     pub name: String,
     pub kind: &'static str,
     pub zone: &'static str,
     pub spot: bool,
-    /// When it is up, and its worker begins to report.
+    /// When the machine has booted and its worker starts to send heartbeats.
     pub up_at: f64,
     pub incarnation: u64,
     pub sequence: u64,
     pub token: u64,
     pub tasks: BTreeMap<AttemptId, TaskOnWorker>,
-    /// When the last answered heartbeat was sent; infinite once its lease is over while it hangs.
+    /// When the last answered heartbeat was sent; infinite if the lease has expired during a hang.
     pub lease_renewed_at: f64,
-    /// It reaches no controller, and none reaches it.
+    /// The worker and the controllers do not reach each other.
     pub partitioned: bool,
-    /// The partition leaves it the former leader, which is in its zone.
+    /// During a partition, the worker still reaches the former leader, which is in the same zone.
     pub with_former_leader: bool,
-    /// Its heartbeats arrive; responses to them and direct commands are lost.
+    /// The worker's heartbeats arrive; responses to them and direct commands are lost.
     pub inbound_lost: bool,
-    /// Direct commands arrive and are answered; its own heartbeats are lost.
+    /// Direct commands arrive and are answered; the worker's own heartbeats are lost.
     pub heartbeats_lost: bool,
-    /// It does not run, and holds back what comes to it.
+    /// The machine hangs; incoming commands are held back.
     pub hung: bool,
-    /// It is gone for good, with all that was on it.
-    pub gone: bool,
-    /// Direct commands that arrive once it runs again, or is no longer cut off.
-    pub held: Vec<CommandBatch>,
+    /// The machine no longer exists.
+    pub terminated: bool,
+    /// Direct commands that are delivered once the machine resumes or is reachable again.
+    pub held_commands: Vec<CommandBatch>,
     pub next_heartbeat_at: f64,
     last_heartbeat_at: f64,
-    pub awaited: Option<AwaitedResponse>,
+    pub awaited_response: Option<AwaitedResponse>,
 }
 
 impl Worker {
@@ -82,15 +83,15 @@
             inbound_lost: false,
             heartbeats_lost: false,
             hung: false,
-            gone: false,
-            held: Vec::new(),
+            terminated: false,
+            held_commands: Vec::new(),
             next_heartbeat_at: now,
             last_heartbeat_at: f64::NEG_INFINITY,
-            awaited: None,
+            awaited_response: None,
         }
     }
 
-    /// Its process ended and is back at once, with fresh counters and without tasks.
+    /// Restarts the worker's process, with its counters reset and without tasks.
     pub(crate) fn restart(&mut self, now: f64) {
         self.incarnation = 1;
         self.sequence = 0;
@@ -99,63 +100,68 @@
         self.lease_renewed_at = now;
     }
 
-    /// It stops with all that is on it.
-    pub(crate) fn die(&mut self) {
-        self.gone = true;
+    /// Terminates the machine with all tasks on it.
+    pub(crate) fn terminate(&mut self) {
+        self.terminated = true;
         self.tasks.clear();
     }
 
-    /// Whether it has booted and is not gone.
+    /// Whether the machine has booted and is not terminated.
     pub(crate) fn is_up(&self, now: f64) -> bool {
-        !self.gone && now >= self.up_at
+        !self.terminated && now >= self.up_at
     }
 
-    /// Its lease is over: it has killed and forgotten every task. One that hangs does so before
-    /// anything else once it runs again; until then its tasks stand still for good.
-    pub(crate) fn expire(&mut self, now: f64) {
+    /// Expires the worker's lease: the worker kills and forgets every task. A hung worker does so
+    /// as soon as it resumes; until then its tasks make no progress.
+    pub(crate) fn expire_lease(&mut self, now: f64) {
         self.incarnation += 1;
         self.tasks.clear();
-        self.awaited = None;
+        self.awaited_response = None;
         self.lease_renewed_at = if self.hung { f64::INFINITY } else { now };
-        self.hasten_heartbeat(now);
+        self.schedule_heartbeat_soon(now);
     }
 
-    /// It runs again; what was held back meanwhile is handed out.
+    /// Resumes a hung machine; returns the commands that were held back.
     pub(crate) fn resume(&mut self, now: f64) -> Vec<CommandBatch> {
         self.hung = false;
         if self.lease_renewed_at == f64::INFINITY {
             self.lease_renewed_at = now;
         }
         self.next_heartbeat_at = now;
-        std::mem::take(&mut self.held)
+        std::mem::take(&mut self.held_commands)
     }
 
-    /// Something has changed, which it reports soon.
-    pub(crate) fn hasten_heartbeat(&mut self, now: f64) {
-        let soon = now.max(self.last_heartbeat_at + MIN_HEARTBEAT_PAUSE_S);
+    /// Schedules the next heartbeat as early as allowed, to report a change.
+    pub(crate) fn schedule_heartbeat_soon(&mut self, now: f64) {
+        let soon = now.max(self.last_heartbeat_at + MIN_HEARTBEAT_INTERVAL_S);
         self.next_heartbeat_at = self.next_heartbeat_at.min(soon);
     }
 
-    /// Takes a response to the heartbeat that it sent then; returns the tasks that started.
-    pub(crate) fn take(&mut self, answer: &HeartbeatResponse, sent: f64, now: f64) -> Vec<String> {
-        self.token = answer.token.0;
+    /// Applies the response to the heartbeat sent at `sent`; returns the tasks that started.
+    pub(crate) fn apply_response(
+        &mut self,
+        response: &HeartbeatResponse,
+        sent: f64,
+        now: f64,
+    ) -> Vec<String> {
+        self.token = response.token.0;
         self.lease_renewed_at = sent;
-        self.run(&answer.commands, now)
+        self.execute(&response.commands, now)
     }
 
-    /// Whether it executes direct commands.
+    /// Whether the worker executes these direct commands.
     pub(crate) fn accepts(&self, batch: &CommandBatch) -> bool {
         batch.token.0 >= self.token && batch.incarnation.0 == self.incarnation
     }
 
-    /// A heartbeat of its own; one that answers a direct command has a later number too.
-    pub(crate) fn own_heartbeat(&mut self, now: f64) -> Heartbeat {
+    /// A heartbeat that the worker sends on schedule, rather than in answer to a direct command.
+    pub(crate) fn scheduled_heartbeat(&mut self, now: f64) -> Heartbeat {
         self.last_heartbeat_at = now;
-        self.heartbeat()
+        self.next_heartbeat()
     }
 
-    /// The next heartbeat.
-    pub(crate) fn heartbeat(&mut self) -> Heartbeat {
+    /// A heartbeat with the next sequence number.
+    pub(crate) fn next_heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
@@ -182,7 +188,7 @@
     }
 
     /// The tasks that have not exited.
-    pub(crate) fn live(&self) -> impl Iterator<Item = &String> {
+    pub(crate) fn live_tasks(&self) -> impl Iterator<Item = &String> {
         let live = self
             .tasks
             .iter()
@@ -190,24 +196,25 @@
         live.map(|(id, _)| &id.task)
     }
 
-    /// A task exits, which the next heartbeat shows.
+    /// Marks a task as exited, to be reported in the next heartbeat.
     pub(crate) fn exit(&mut self, id: &AttemptId, cause: Cause, now: f64) {
         if let Some(task) = self.tasks.get_mut(id) {
             task.state = TaskState::Exited;
             task.cause = Some(cause);
-            self.hasten_heartbeat(now);
+            self.schedule_heartbeat_soon(now);
         }
     }
 
-    /// Runs commands; returns the tasks that started.
-    pub(crate) fn run(&mut self, commands: &[Command], now: f64) -> Vec<String> {
+    /// Executes commands; returns the tasks that started.
+    pub(crate) fn execute(&mut self, commands: &[Command], now: f64) -> Vec<String> {
         let mut started = Vec::new();
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
                     let id = AttemptId::new(task, *attempt);
-                    let full = self.live().count() as f64 + 1.0 > CPUS;
-                    if self.tasks.contains_key(&id) || full || self.live().any(|t| t == task) {
+                    let full = self.live_tasks().count() as f64 + 1.0 > CPUS;
+                    if self.tasks.contains_key(&id) || full || self.live_tasks().any(|t| t == task)
+                    {
                         continue;
                     }
                     let on_worker = TaskOnWorker {
@@ -238,7 +245,7 @@
             }
         }
         if !commands.is_empty() {
-            self.hasten_heartbeat(now);
+            self.schedule_heartbeat_soon(now);
         }
         started
     }
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -1,12 +1,12 @@
-//! The state service, the workers and the controllers of a history, and what users ask of them.
+//! The simulated cluster of a history: state service, workers and controllers, and users' requests.
 
 use super::common::{self, Refusal, Store};
-use super::job::{split, Job, RunTimes};
+use super::job::{split_task_name, Job, RunTimes};
 use super::leader::Leader;
 use super::network::Network;
 use super::peers::Peers;
 use super::settings::SETTINGS;
-use super::tasks::{GangAttempt, GangRun};
+use super::tasks::{GangAttempt, GangProgress};
 use super::worker::Worker;
 use serde_json::{json, Value};
 use stairstage::coordination::manager::ClusterManager;
@@ -20,51 +20,52 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What becomes of a write.
+/// The fault that a write meets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) enum WriteFate {
+pub(crate) enum WriteFault {
     #[default]
-    Answered,
-    /// It is carried out at once; only its answer is lost.
-    Unanswered,
-    Lost,
-    /// It is carried out later, if its conditions still hold then.
-    Late,
+    None,
+    /// The write is applied immediately; only the response is lost.
+    ResponseLost,
+    RequestLost,
+    /// The write is applied later, if its conditions still hold by then.
+    Delayed,
 }
 
-/// All parts of a history, and what its checks know.
+/// The state of a history, including what its checks compare against.
 pub(crate) struct World {
     pub now: f64,
     pub settings: Arc<Settings>,
     pub types: Vec<MachineType>,
     pub store: Store,
     pub workers: Vec<Worker>,
-    /// Nobody leads for a while after a leader has ended.
+    /// The present leader; `None` between a leader's stop and the next election.
     pub leader: Option<Leader>,
-    /// Earlier leaders that may still answer reports, the last one last.
+    /// Former leaders that may still answer heartbeats, the most recent one last.
     pub former_leaders: Vec<Leader>,
-    /// The controllers that never lead here; users cancel jobs by way of them.
+    /// The controllers that never become leader; users cancel jobs through them.
     pub peers: Peers,
-    /// The state service is down for all.
+    /// Whether no controller reaches the state service.
     pub store_is_down: bool,
-    /// Every heartbeat that was sent: copies of it may arrive.
+    /// All heartbeats sent so far, of which duplicates may arrive.
     pub sent_heartbeats: Vec<Heartbeat>,
-    /// Transactions that may be carried out late.
-    pub late_transactions: Vec<Transaction>,
-    /// Direct commands by machine, each of which may arrive again.
-    pub repeatable_commands: Vec<(String, CommandBatch)>,
+    /// Transactions that the state service may still apply, or receive again.
+    pub replayable_transactions: Vec<Transaction>,
+    /// Direct commands by machine, of which duplicates may arrive.
+    pub replayable_commands: Vec<(String, CommandBatch)>,
     /// Whether direct commands are held back.
     pub commands_held: bool,
-    pub next_write: WriteFate,
+    pub next_write_fault: WriteFault,
     pub jobs: BTreeMap<String, Job>,
-    /// What takes time, in histories that have a clock of their own.
+    /// Messages in transit; `None` in histories of steps, where messages arrive immediately.
     pub network: Option<Network>,
-    pub gang_runs: BTreeMap<GangAttempt, GangRun>,
-    /// Machines that the cloud still has to rent, and whether it refuses all requests.
+    pub gang_progress: BTreeMap<GangAttempt, GangProgress>,
+    /// The number of machines that the cloud can still rent out.
     pub rentable: usize,
+    /// Whether the cloud rejects all requests.
     pub cloud_is_down: bool,
-    /// Since when jobs wait that could run, once all faults are over.
-    pub could_run_since: BTreeMap<String, f64>,
+    /// Since when each waiting job could have started; only kept once all faults are over.
+    pub startable_since: BTreeMap<String, f64>,
 }
 
 impl World {
@@ -80,23 +81,25 @@
             peers: Peers::new(),
             store_is_down: false,
             sent_heartbeats: Vec::new(),
-            late_transactions: Vec::new(),
-            repeatable_commands: Vec::new(),
+            replayable_transactions: Vec::new(),
+            replayable_commands: Vec::new(),
             commands_held: false,
-            next_write: WriteFate::Answered,
+            next_write_fault: WriteFault::None,
             jobs: BTreeMap::new(),
             network: None,
-            gang_runs: BTreeMap::new(),
+            gang_progress: BTreeMap::new(),
             rentable: 0,
             cloud_is_down: false,
-            could_run_since: BTreeMap::new(),
+            startable_since: BTreeMap::new(),
         }
     }
 
-    /// A controller is elected; who has led until now loses the state service, if it still lives.
+    /// Elects a new leader. If the present leader has lost the state service, time first advances to
+    /// the end of its leadership lease. A previous leader that still runs is isolated and becomes a
+    /// former leader.
     pub(crate) fn elect(&mut self) {
-        if let Some(lease_end) = self.isolated_until() {
-            self.pass((lease_end - self.now).max(0.0));
+        if let Some(lease_end) = self.isolated_leader_lease_end() {
+            self.advance_time((lease_end - self.now).max(0.0));
         }
         let txn = Transaction::default().put(LEADER_KEY, json!({"node": "a"}));
         let token = self.store.commit(&txn).unwrap();
@@ -109,39 +112,39 @@
             former
                 .manager
                 .set_lease_valid_until(former.manager.lease_valid_until().min(self.now));
-            former.cut_off(self.known_until());
+            former.isolate(self.announced_until());
             self.former_leaders.push(former);
         }
         let (now, workers) = (self.now, &self.settings.cluster.workers);
         self.former_leaders.retain(|l| l.may_renew(now, workers));
-        self.effects();
+        self.apply_effects();
     }
 
-    /// When the lease of a leader is over that has lost the state service.
-    fn isolated_until(&self) -> Option<f64> {
+    /// When the leadership lease of a leader that has lost the state service expires.
+    fn isolated_leader_lease_end(&self) -> Option<f64> {
         let isolated = self.leader.as_ref().filter(|l| !l.reaches_store);
         isolated.map(|l| l.manager.lease_valid_until())
     }
 
-    /// The leader loses the state service and the other controllers; its lease goes on for a while.
+    /// Cuts the leader off from the state service and its peers; its lease stays valid for `lease_s`.
     pub(crate) fn isolate_leader(&mut self, lease_s: f64) {
-        self.refuse_leader(lease_s);
+        self.disconnect_leader_from_store(lease_s);
         if let Some(leader) = &mut self.leader {
             leader.reaches_peers = false;
         }
     }
 
-    /// The state service refuses the leader; its lease there goes on for a while.
-    pub(crate) fn refuse_leader(&mut self, lease_s: f64) {
-        let (known_until, now) = (self.known_until(), self.now);
+    /// Cuts the leader off from the state service only; its lease stays valid for `lease_s`.
+    pub(crate) fn disconnect_leader_from_store(&mut self, lease_s: f64) {
+        let (announced_until, now) = (self.announced_until(), self.now);
         if let Some(leader) = self.leader.as_mut().filter(|l| l.reaches_store) {
-            leader.lose_store(known_until);
+            leader.disconnect_store(announced_until);
             leader.manager.set_lease_valid_until(now + lease_s);
         }
     }
 
-    /// The moment up to which a controller that reaches the state service knows of everything.
-    pub(crate) fn known_until(&self) -> f64 {
+    /// The time up to which a controller that reaches the state service has received every announcement.
+    pub(crate) fn announced_until(&self) -> f64 {
         let delay_s = self
             .network
             .as_ref()
@@ -149,8 +152,8 @@
         self.now - delay_s
     }
 
-    /// Earlier leaders are told of every cancellation that was confirmed so far.
-    pub(crate) fn tell_formers(&mut self) {
+    /// Sends former leaders every cancellation that was confirmed so far.
+    pub(crate) fn send_cancellations_to_former_leaders(&mut self) {
         let cancelled = self.jobs.iter().filter(|(_, j)| j.cancelled_at.is_some());
         for former in &mut self.former_leaders {
             for (id, _) in cancelled.clone() {
@@ -163,15 +166,15 @@
         }
     }
 
-    /// The controller whose leadership has this id, if it still lives.
+    /// The controller whose leadership has this id, if it still runs.
     pub(crate) fn controller(&mut self, id: u64) -> Option<&mut Leader> {
         let mut all = self.leader.iter_mut().chain(&mut self.former_leaders);
         all.find(|l| l.id() == id)
     }
 
-    /// The decisions of the leader, which there must be.
+    /// The cluster manager of the leader; panics if there is no leader.
     pub(crate) fn manager(&mut self) -> &mut ClusterManager {
-        &mut self.leader.as_mut().expect("somebody leads").manager
+        &mut self.leader.as_mut().expect("a leader").manager
     }
 
     /// Whether all tasks of a job have completed.
@@ -179,50 +182,57 @@
         self.jobs.get(job).is_some_and(Job::is_complete)
     }
 
-    /// Whether the user of a job, or of one that it needs, has cancelled it.
+    /// Whether a user has cancelled the job or one of its dependencies, direct or indirect.
     pub(crate) fn is_cancelled_by_user(&self, id: &str) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let mut needs = job.spec.waits_on.iter();
-        job.cancelled_at.is_some() || needs.any(|n| self.is_cancelled_by_user(n))
+        let mut dependencies = job.spec.waits_on.iter();
+        job.cancelled_at.is_some() || dependencies.any(|d| self.is_cancelled_by_user(d))
     }
 
-    /// The leases of workers that were not renewed end.
-    pub(crate) fn expire(&mut self) {
+    /// Expires the leases of workers that were not renewed in time.
+    pub(crate) fn expire_leases(&mut self) {
         let lease_s = self.settings.cluster.workers.lease_s;
         for i in 0..self.workers.len() {
-            let over_at = self.workers[i].lease_renewed_at + lease_s;
-            if self.now > over_at && self.workers[i].is_up(self.now) {
-                self.check_cancelled_tasks_stopped(&self.workers[i], over_at);
-                self.workers[i].expire(self.now);
+            let expires_at = self.workers[i].lease_renewed_at + lease_s;
+            if self.now > expires_at && self.workers[i].is_up(self.now) {
+                self.check_cancelled_tasks_stopped(&self.workers[i], expires_at);
+                self.workers[i].expire_lease(self.now);
             }
         }
     }
 
-    /// Time passes without reports; leases that are not renewed end.
-    pub(crate) fn pass(&mut self, seconds: f64) {
+    /// Advances the time without heartbeats; worker leases that were not renewed expire.
+    pub(crate) fn advance_time(&mut self, seconds: f64) {
         self.now += seconds;
-        self.expire();
+        self.expire_leases();
         for w in &self.workers {
             self.check_cancelled_tasks_stopped(w, self.now);
         }
     }
 
-    /// A submission by way of any node. `looks`: the node checks whether what the job needs is cancelled.
-    pub(crate) fn submit(&mut self, id: &str, body: &Value, run_times: RunTimes, looks: bool) {
+    /// Submits a job through any controller. With `checks_dependencies`, the controller first checks
+    /// whether a dependency is cancelled.
+    pub(crate) fn submit(
+        &mut self,
+        id: &str,
+        body: &Value,
+        run_times: RunTimes,
+        checks_dependencies: bool,
+    ) {
         let spec = common::parsed(body);
-        let names = spec.waits_on.clone();
+        let dependencies = spec.waits_on.clone();
         let record = OpenRecord::accepted(spec.clone(), 0);
         let txn = Transaction::default()
             .absent(open_key(id))
             .absent(end_key(id))
             .put(open_key(id), serde_json::to_value(&record).unwrap());
-        let ended = |id: &String| self.store.item(&end_key(id)).map(|i| i.value);
-        if looks
-            && names
+        let final_state = |id: &String| self.store.item(&end_key(id)).map(|i| i.value);
+        if checks_dependencies
+            && dependencies
                 .iter()
-                .any(|n| ended(n).is_some_and(|v| v["state"] == "cancelled"))
+                .any(|d| final_state(d).is_some_and(|v| v["state"] == "cancelled"))
         {
             let txn = Transaction::default()
                 .absent(open_key(id))
@@ -230,17 +240,17 @@
                 .put(end_key(id), json!({"state": "cancelled"}));
             if self.store.commit(&txn).is_ok() {
                 self.jobs.insert(id.to_string(), Job::new(spec, run_times));
-                self.announce_end(id);
+                self.announce_cancellation(id);
             }
             return;
         }
-        if let Ok(version) = self.commit_of_a_node(&txn) {
+        if let Ok(version) = self.commit_for_user(&txn) {
             self.jobs.insert(id.to_string(), Job::new(spec, run_times));
             self.announce_job(record, version);
         }
     }
 
-    /// A cancellation by way of any node.
+    /// Cancels a job through any controller.
     pub(crate) fn cancel(&mut self, id: &str) {
         let Some(item) = self.store.item(&open_key(id)) else {
             return;
@@ -252,17 +262,17 @@
             .version(open_key(id), item.version)
             .put(end_key(id), json!({"state":"cancelled"}))
             .put(open_key(id), serde_json::to_value(&record).unwrap());
-        if self.commit_of_a_node(&txn).is_ok() {
-            self.peers.confirm(id);
+        if self.commit_for_user(&txn).is_ok() {
+            self.peers.confirm_cancellation(id);
             let job = self.jobs.get_mut(id).expect("an accepted job");
             job.cancelled_at = Some(self.now);
-            self.announce_end(id);
+            self.announce_cancellation(id);
         }
     }
 
-    /// What nodes write for users has other bounds than these histories', which are narrow so that
-    /// the leader's records are cut often.
-    fn commit_of_a_node(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
+    /// Commits a write for a user. Such writes are exempt from the limits of these histories, which
+    /// are narrow so that the leader's records are split often.
+    fn commit_for_user(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
         if self.store_is_down {
             return Err(Refusal::Conflict);
         }
@@ -272,22 +282,22 @@
         result
     }
 
-    /// Tasks of cancelled jobs that are on machines.
-    pub(crate) fn cancelled_on_machines(&self) -> usize {
-        let there = self.workers.iter().filter(|w| !w.gone);
-        let jobs = there
-            .flat_map(Worker::live)
-            .map(|task| &self.jobs[split(task).0]);
+    /// The number of tasks of cancelled jobs that run on machines.
+    pub(crate) fn cancelled_tasks_on_machines(&self) -> usize {
+        let present = self.workers.iter().filter(|w| !w.terminated);
+        let jobs = present
+            .flat_map(Worker::live_tasks)
+            .map(|task| &self.jobs[split_task_name(task).0]);
         jobs.filter(|j| j.cancelled_at.is_some()).count()
     }
 
-    /// The incarnations of all workers: one that goes on shows that a lease has ended.
+    /// The incarnations of all workers; a worker's incarnation increases when its lease expires.
     pub(crate) fn incarnations(&self) -> Vec<u64> {
         self.workers.iter().map(|w| w.incarnation).collect()
     }
 
-    /// Every job has come to its end: done, or cancelled if somebody asked for that.
-    pub(crate) fn check_ends(&self) {
+    /// Checks that every job is finished: cancelled if a user has cancelled it, otherwise done.
+    pub(crate) fn check_final_states(&self) {
         let open = self.store.under(OPEN_PREFIX);
         let id = |key: &str| {
             key.strip_prefix(OPEN_PREFIX)
@@ -295,7 +305,7 @@
                 .to_string()
         };
         let open: Vec<String> = open.iter().map(|i| self.describe(&id(&i.key))).collect();
-        assert!(open.is_empty(), "never ended: {open:#?}");
+        assert!(open.is_empty(), "not finished: {open:#?}");
         for id in self.jobs.keys() {
             let end = self.store.item(&end_key(id)).expect("recorded").value;
             let expected = if self.is_cancelled_by_user(id) {
@@ -303,23 +313,23 @@
             } else {
                 "done"
             };
-            assert_eq!(end["state"], expected, "orphaned, or lost: {id}");
+            assert_eq!(end["state"], expected, "wrong final state: {id}");
         }
     }
 
-    /// A job that is still open, and where its tasks are.
+    /// Describes a job and where its tasks run, for a failed check.
     pub(crate) fn describe(&self, id: &str) -> String {
         let job = &self.jobs[id];
         let mut tasks = Vec::new();
-        for w in self.workers.iter().filter(|w| !w.gone) {
+        for w in self.workers.iter().filter(|w| !w.terminated) {
             let of_job = w
                 .tasks
                 .iter()
-                .filter(|(attempt, _)| split(&attempt.task).0 == id);
+                .filter(|(attempt, _)| split_task_name(&attempt.task).0 == id);
             tasks.extend(of_job.map(|(attempt, t)| (&attempt.task, t.state, &w.name)));
         }
         format!(
-            "{:?}, done {:?}, cancelled {:?}, now at {tasks:?}",
+            "{:?}, done tasks {:?}, cancelled at {:?}, tasks on machines: {tasks:?}",
             job.spec, job.done, job.cancelled_at
         )
     }
