--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -59,7 +59,7 @@
         let peer = self.peers.iter().find(|p| p.name == name)?;
         Some(PeerAnswer {
             peer: peer.name.clone(),
-            requested_from: asked: cursor,
+            requested_from: cursor,
             sent: now,
             received: now,
             page: peer.log.page(cursor),
