--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -7,14 +7,14 @@
 //!     STAIRSTAGE_FORMER=PATH STAIRSTAGE_PROOF_S=150 \
 //!         cargo test --test upgrade_proof -- --ignored --nocapture
 
+#[path = "common/local_cluster.rs"]
+mod local_cluster;
 #[path = "common/random.rs"]
 mod random;
-#[path = "common/standins.rs"]
-mod standins;
 
+use local_cluster::{call, small_job, until, ControllerProcess, LocalCluster};
 use random::SplitMix64;
 use serde_json::{json, Value};
-use standins::{call, small_job, until, ControllerProcess, Grid};
 use std::collections::BTreeMap;
 use std::ffi::OsStr;
 use std::path::{Path, PathBuf};
@@ -36,7 +36,7 @@
 
 /// A cluster whose controllers change, and the states of jobs as users got them.
 struct UpgradeRun {
-    grid: Grid,
+    grid: LocalCluster,
     previous: PathBuf,
     policy: PathBuf,
     controllers: [Option<ControllerProcess>; 3],
@@ -52,7 +52,7 @@
 
 impl UpgradeRun {
     fn new(previous: PathBuf) -> UpgradeRun {
-        let grid = Grid::new("proof");
+        let grid = LocalCluster::new("proof");
         let policy = grid.write_file("upgrade.lisp", POLICY);
         let mut run = UpgradeRun {
             grid,
@@ -96,7 +96,7 @@
             job["waits_on"] = json!([dependency]);
         }
         for _ in 0..20 {
-            let front = self.grid.front(self.random.next() as usize % 3);
+            let front = self.grid.api_address(self.random.next() as usize % 3);
             match call("POST", &front, "/v2/runs", &job) {
                 Some((200 | 201, _)) => {
                     self.last_state.insert(id, "pending".into());
@@ -127,7 +127,12 @@
     /// A user polls a job at a controller; a final state must not be taken back.
     fn poll(&mut self, id: &str, controller: usize) {
         let path = format!("/v2/runs/{id}");
-        let answer = call("GET", &self.grid.front(controller), &path, &Value::Null);
+        let answer = call(
+            "GET",
+            &self.grid.api_address(controller),
+            &path,
+            &Value::Null,
+        );
         let Some((200, answer)) = answer else {
             let is_unknown = answer.is_some_and(|(status, _)| status == 404);
             assert!(!is_unknown, "{id}: an accepted job is unknown");
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -1,10 +1,10 @@
 //! Staged upgrades with three controller processes on loopback, and the `upgrade` command of operators.
 
-#[path = "common/standins.rs"]
-mod standins;
+#[path = "common/local_cluster.rs"]
+mod local_cluster;
 
+use local_cluster::{call, small_job, submit_job, until, ControllerProcess, LocalCluster};
 use serde_json::{json, Value};
-use standins::{accepted, call, small_job, until, ControllerProcess, Grid};
 use std::ffi::OsStr;
 use std::path::Path;
 use std::process::Command;
@@ -19,7 +19,7 @@
 }
 
 /// Runs `stairstage upgrade` with these arguments.
-fn upgrade(grid: &Grid, policy: &Path, arguments: &[&str]) -> CommandOutput {
+fn upgrade(grid: &LocalCluster, policy: &Path, arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
         .arg("upgrade")
         .args(arguments)
@@ -36,7 +36,7 @@
 }
 
 /// Starts a controller with this upgrade policy.
-fn start_staged(grid: &Grid, i: usize, policy: &Path) -> Option<ControllerProcess> {
+fn start_staged(grid: &LocalCluster, i: usize, policy: &Path) -> Option<ControllerProcess> {
     grid.start_with(i, &[OsStr::new("--upgrade"), policy.as_os_str()])
 }
 
@@ -48,13 +48,13 @@
 }
 
 /// Whether the health check of a controller succeeds.
-fn healthy(grid: &Grid, i: usize) -> bool {
-    call("GET", &grid.front(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
+fn healthy(grid: &LocalCluster, i: usize) -> bool {
+    call("GET", &grid.api_address(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
 }
 
 #[test]
 fn gated_feature_is_rejected_until_all_controllers_support_it_and_an_operator_finalizes() {
-    let grid = Grid::new("staged");
+    let grid = LocalCluster::new("staged");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
     let mut controllers: Vec<Option<ControllerProcess>> = vec![
         start_staged(&grid, 0, &policy),
@@ -72,10 +72,10 @@
     assert_eq!(status["next"], 2);
     assert_eq!(status["controllers"][2]["release"], Value::Null);
 
-    assert!([201, 200].contains(&accepted(&grid.front(0), &small_job("req-1"))));
+    assert!([201, 200].contains(&submit_job(&grid.api_address(0), &small_job("req-1"))));
     let dependent = dependent_job("req-2", "req-1");
     let (code, answer) = until("the submission is answered", || {
-        call("POST", &grid.front(0), "/v2/runs", &dependent)
+        call("POST", &grid.api_address(0), "/v2/runs", &dependent)
     });
     assert_eq!(code, 503, "{answer}");
     assert!(answer["error"].as_str().unwrap().contains("finalized"));
@@ -99,7 +99,7 @@
     }
     assert_eq!(upgrade(&grid, &policy, &["abort"]).code, 3);
     for i in 0..3 {
-        let front = grid.front(i);
+        let front = grid.api_address(i);
         until("a dependent job is accepted", || {
             let answer = call("POST", &front, "/v2/runs", &dependent)?;
             [200, 201].contains(&answer.0).then_some(())
@@ -110,7 +110,7 @@
 
 #[test]
 fn aborted_upgrade_stays_aborted_until_an_operator_finalizes() {
-    let grid = Grid::new("aborted");
+    let grid = LocalCluster::new("aborted");
     let automatic = "(upgrade (finalize automatic) (soak 0) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
     let mut controllers = vec![
@@ -150,7 +150,7 @@
 
 #[test]
 fn policy_finalizes_after_all_controllers_have_run_for_the_soak_time() {
-    let grid = Grid::new("automatic");
+    let grid = LocalCluster::new("automatic");
     let automatic = "(upgrade (finalize automatic) (soak 0.001) (member-lease 2))";
     let policy = grid.write_file("upgrade.lisp", automatic);
     let _controllers: Vec<Option<ControllerProcess>> =
@@ -163,7 +163,7 @@
 
 #[test]
 fn controllers_withdraw_when_their_release_does_not_support_the_active_version() {
-    let grid = Grid::new("withdraws");
+    let grid = LocalCluster::new("withdraws");
     let policy = grid.write_file("upgrade.lisp", BY_HAND);
     let _controllers: Vec<Option<ControllerProcess>> =
         (0..3).map(|i| start_staged(&grid, i, &policy)).collect();
@@ -171,7 +171,7 @@
     until("all controllers are healthy", || {
         (0..3).all(|i| healthy(&grid, i)).then_some(())
     });
-    accepted(&grid.front(0), &small_job("req-1"));
+    submit_job(&grid.api_address(0), &small_job("req-1"));
     // The record as a later release writes it when it finalizes version 9.
     let record = json!({"active": 9, "since_ms": 1});
     grid.state.lock().unwrap().put("cluster/version", record);
@@ -179,7 +179,7 @@
         grid.leader().is_none().then_some(())
     });
     for i in 0..3 {
-        let front = grid.front(i);
+        let front = grid.api_address(i);
         until("the health check fails", || {
             (!healthy(&grid, i)).then_some(())
         });
@@ -202,7 +202,7 @@
 
 #[test]
 fn invalid_policy_is_reported_with_file_field_and_value() {
-    let grid = Grid::new("mistaken");
+    let grid = LocalCluster::new("mistaken");
     let text = r#"(upgrade (window monday friday "20:00" "22:00" "Indian/Atlantis"))"#;
     let policy = grid.write_file("upgrade.lisp", text);
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
