--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -219,7 +219,8 @@
         let effects = self.manager().take_effects();
         self.advance_time(seconds);
         self.elect();
-        if let (Some(heartbeat), Some(HeartbeatOutcome::Response(response))) = (heartbeat, outcome) {
+        if let (Some(heartbeat), Some(HeartbeatOutcome::Response(response))) = (heartbeat, outcome)
+        {
             let w = &mut self.workers[i];
             let accepted = response.token.0 >= w.token && heartbeat.incarnation.0 == w.incarnation;
             if accepted && seconds < RESPONSE_TIMEOUT_S && !w.terminated && !w.inbound_lost {
