--- a/src/coordination/requests/acceptance.rs
+++ b/src/coordination/requests/acceptance.rs
@@ -7,12 +7,12 @@
 use crate::protocol::job::JobStatus;
 use crate::protocol::store::Transaction;
 use crate::storage::key_value_store::CommitOutcome;
-use crate::storage::records::{end_key, open_key};
+use crate::storage::records::{final_state_key, open_key};
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
 
-/// Writes a record of a job by compare-and-swap on the absence of all its records. This makes
-/// submissions idempotent: a repeated one meets a conflict, and looks the job up.
+/// Writes the first record of a job, on condition that the job has no record yet. This makes
+/// submissions idempotent: a repeated one conflicts, and looks up the job.
 pub(super) struct Acceptance {
     job: String,
     transaction: Transaction,
@@ -21,20 +21,20 @@
     lookup: Option<JobLookup>,
 }
 
-/// What has come of an [`Acceptance`].
+/// The outcome of an [`Acceptance`].
 pub(super) enum AcceptanceOutcome {
     /// This request has accepted the job.
     Created {
-        /// The version of the record that it wrote.
+        /// The version of the record that was written.
         version: u64,
     },
-    /// The job was accepted before, perhaps by an attempt of this request without a response; its
-    /// state, unless it can't be read yet.
+    /// The job was accepted before, possibly by an earlier attempt of this request whose response was
+    /// lost. Holds the job's status, or `None` if its record can't be read yet.
     Duplicate(Option<JobStatus>),
 }
 
 impl Acceptance {
-    /// Starts to write the record `value` at `key`.
+    /// Starts writing the record `value` at `key`.
     pub(super) fn begin(
         job: &str,
         key: String,
@@ -43,7 +43,7 @@
     ) -> (Acceptance, StoreCall) {
         let transaction = Transaction::at_version(write_fence)
             .absent(open_key(job))
-            .absent(end_key(job))
+            .absent(final_state_key(job))
             .put(key, value);
         let acceptance = Acceptance {
             job: job.to_string(),
@@ -75,15 +75,15 @@
                 self.lookup = Some(lookup);
                 Ok(Step::Call(call))
             }
-            CommitOutcome::Unknown if self.attempts < MAX_ATTEMPTS => {
+            CommitOutcome::Indeterminate if self.attempts < MAX_ATTEMPTS => {
                 self.attempts += 1;
                 Ok(Step::Call(self.commit()))
             }
-            CommitOutcome::Limited => Err(StepError::RateLimited),
-            CommitOutcome::Unknown
-            | CommitOutcome::Refused
+            CommitOutcome::RateLimited => Err(StepError::RateLimited),
+            CommitOutcome::Indeterminate
+            | CommitOutcome::Rejected
             | CommitOutcome::TooLarge
-            | CommitOutcome::NoLease => Err(StepError::Unavailable),
+            | CommitOutcome::LeaseExpired => Err(StepError::Unavailable),
         }
     }
 }
--- a/src/coordination/requests/submission.rs
+++ b/src/coordination/requests/submission.rs
@@ -1,4 +1,5 @@
-//! Submissions. Any node records an accepted job itself; the leader learns of it by its watch.
+//! Submissions. Any controller can accept a job by writing its open record; the leader receives the job
+//! through its watch.
 
 use super::acceptance::{Acceptance, AcceptanceOutcome};
 use super::admission::rejection;
@@ -10,10 +11,10 @@
 use super::step::{Step, StepResult};
 use super::store_call::{StoreAnswer, StoreCall};
 use crate::protocol::job::{JobSpec, JobState};
-use crate::storage::records::{end_key, open_key, EndRecord, OpenRecord};
+use crate::storage::records::{final_state_key, open_key, FinalStateRecord, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
-/// Accepts a job, unless it was accepted before or is rejected.
+/// Accepts or rejects a job, unless it was accepted before.
 pub(super) struct Submission {
     record: OpenRecord,
     write_fence: WriteFence,
@@ -21,15 +22,15 @@
 }
 
 enum State {
-    /// The job is to be rejected, unless it was accepted before: that holds whatever the settings
-    /// and the release of this node.
+    /// The job will be rejected unless the lookup finds it: an earlier acceptance remains valid even if
+    /// the settings or the release of this controller would reject the job now.
     Rejecting {
         lookup: JobLookup,
         answer: Answer,
     },
     CheckingDependencies(DependencyCheck),
     Accepting(Acceptance),
-    /// A dependency is cancelled: only the end of the job is recorded.
+    /// A dependency is cancelled: the job is recorded as cancelled and gets no open record.
     AcceptingCancelled(Acceptance),
 }
 
@@ -47,7 +48,7 @@
             };
             return (submission, Step::Call(call));
         }
-        let max_compares = context.settings.cluster.state.conditions();
+        let max_compares = context.settings.cluster.state.max_compares();
         let (check, step) = DependencyCheck::begin(&record.spec, max_compares);
         let mut submission = Submission {
             record,
@@ -103,8 +104,9 @@
 
     fn accept_cancelled(&mut self) -> StoreCall {
         let id = &self.record.spec.id;
-        let value = EndRecord::cancelled(self.record.at_ms).to_value();
-        let (acceptance, call) = Acceptance::begin(id, end_key(id), value, &self.write_fence);
+        let value = FinalStateRecord::cancelled(self.record.at_ms).to_value();
+        let (acceptance, call) =
+            Acceptance::begin(id, final_state_key(id), value, &self.write_fence);
         self.state = State::AcceptingCancelled(acceptance);
         call
     }
@@ -122,7 +124,7 @@
             version,
         };
         Decision {
-            accepted: (!state.is_end()).then(accepted),
+            accepted: (!state.is_final()).then(accepted),
             answer: Answer::Accepted {
                 job: self.record.spec.id.clone(),
                 state,
--- a/src/service/controller/effects.rs
+++ b/src/service/controller/effects.rs
@@ -24,8 +24,8 @@
                 let term = FencingToken(self.term.load(Ordering::Relaxed));
                 self.send_election_request(ElectionRequest::RaiseToken { term });
             }
-            Effect::JobEnded { id, state } => self.final_states.insert(&id, state),
-            Effect::ReadEnds(ids) => self.read_final_states(ids),
+            Effect::JobFinished { id, state } => self.final_states.insert(&id, state),
+            Effect::ReadFinalStates(ids) => self.read_final_states(ids),
         }
     }
 
@@ -35,7 +35,7 @@
         let mut unknown = Vec::new();
         for id in ids {
             match (self.final_states.get(&id).copied(), &mut self.role) {
-                (Some(state), Role::Leading(manager)) => manager.job_end_recorded(&id, state, now),
+                (Some(state), Role::Leading(manager)) => manager.job_finished(&id, state, now),
                 _ => unknown.push(id),
             }
         }
--- a/src/service/controller/election_events.rs
+++ b/src/service/controller/election_events.rs
@@ -32,7 +32,7 @@
                     manager.token_raised(token, now);
                 }
             }
-            ElectionEvent::Deposed => {
+            ElectionEvent::TermEnded => {
                 if !self.role.is_follower() {
                     self.become_follower();
                 }
@@ -45,7 +45,7 @@
         let must_withdraw = self.handles.write_fence.get().must_withdraw();
         // With a token below the promised one, a later term began before this election was observed.
         if must_withdraw || token < self.promised_token {
-            self.send_election_request(ElectionRequest::Resign { term: token });
+            self.send_election_request(ElectionRequest::StepDown { term: token });
             return;
         }
         info!(%token, "elected leader");
@@ -79,7 +79,7 @@
         };
         if let Err(error) = spawn("records", move || reader.run()) {
             warn!(error = %format_args!("{error:#}"), "cannot start the record reader");
-            self.send_election_request(ElectionRequest::Resign { term: token });
+            self.send_election_request(ElectionRequest::StepDown { term: token });
         }
     }
 
@@ -127,7 +127,7 @@
     pub(super) fn step_down(&mut self) {
         let term = FencingToken(self.term.load(Ordering::Relaxed));
         self.become_follower();
-        self.send_election_request(ElectionRequest::Resign { term });
+        self.send_election_request(ElectionRequest::StepDown { term });
     }
 
     /// Becomes a follower. The threads of the term stop when they see that it is over.
--- a/src/service/controller/jobs.rs
+++ b/src/service/controller/jobs.rs
@@ -58,7 +58,7 @@
         let now = self.now();
         self.final_states.insert(id, state);
         if let Some(manager) = self.role.manager_mut() {
-            manager.job_end_recorded(id, state, now);
+            manager.job_finished(id, state, now);
         }
     }
 }
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -22,10 +22,10 @@
 use super::messages::Message;
 use crate::coordination::cluster::heartbeat_routing::HeartbeatRouter;
 use crate::coordination::Time;
-use crate::protocol::cloud::{MachineType, LIST_PAGE};
+use crate::protocol::cloud::{MachineType, LIST_PAGE_SIZE};
 use crate::protocol::ids::FencingToken;
 use crate::settings::Settings;
-use crate::storage::recent_jobs::EndIndex;
+use crate::storage::recent_jobs::RecentFinalStates;
 use cancellations::KnownCancellations;
 use crossbeam::channel::{Receiver, RecvTimeoutError};
 use role::Role;
@@ -65,7 +65,7 @@
     /// The leader, as far as this controller knows.
     leader: Option<String>,
     /// The recorded final states of the most recently finished jobs.
-    final_states: EndIndex,
+    final_states: RecentFinalStates,
     machine_types: Vec<MachineType>,
     /// Which workers were recently redirected to the leader.
     heartbeat_router: HeartbeatRouter,
@@ -94,7 +94,7 @@
             role: Role::Follower,
             term: Arc::default(),
             leader: None,
-            final_states: EndIndex::new((bytes / FINAL_STATE_BYTES) as usize),
+            final_states: RecentFinalStates::new((bytes / FINAL_STATE_BYTES) as usize),
             machine_types: Vec::new(),
             heartbeat_router: HeartbeatRouter::new(&settings.cluster.workers),
             last_tick_at: 0.0,
@@ -175,7 +175,7 @@
         let Some(manager) = self.role.manager_mut() else {
             return;
         };
-        if self.handles.store.is_limited() {
+        if self.handles.store.is_rate_limited() {
             manager.lower_write_rate();
         }
         manager.tick(now);
@@ -193,7 +193,7 @@
         };
         let started_at = Instant::now();
         if manager.step(now) {
-            manager.cycle_took(
+            manager.record_cycle_duration(
                 started_at.elapsed().as_secs_f64(),
                 self.epoch.elapsed().as_secs_f64(),
             );
@@ -224,6 +224,6 @@
 /// Seconds between two listings of all machines. A listing takes one call for every page.
 fn list_pause_s(settings: &Settings, machines: usize) -> f64 {
     let cloud = &settings.cluster.cloud;
-    let pages = 1.0 + (machines / LIST_PAGE) as f64;
+    let pages = 1.0 + (machines / LIST_PAGE_SIZE) as f64;
     (cloud.list_lag_s / 2.0).max(pages / (LIST_SHARE * cloud.rps))
 }
--- a/src/service/gateway.rs
+++ b/src/service/gateway.rs
@@ -18,7 +18,7 @@
 };
 use crate::settings::Settings;
 use crate::storage::key_value_store::KeyValueStore;
-use crate::transport::front::ApiRequest;
+use crate::transport::api_server::ApiRequest;
 use crate::transport::peers::{ForwardedRequest, Kind, Peers};
 use crate::transport::{Reply, Responder};
 use crossbeam::channel::{bounded, Receiver, Sender};
@@ -112,7 +112,7 @@
 
     /// Forwards a poll to another controller, which may be able to reach the state service.
     fn forward_poll(&self, job: String) -> Reply {
-        let (request, effects) = Request::refused_query(job, self.context(false));
+        let (request, effects) = Request::query_peers(job, self.context(false));
         match self.execute(request, effects, Kind::Query, &[]) {
             Outcome::Reply(reply) => reply,
             // This controller can't read the records: the poll was rejected for that reason before.
@@ -200,7 +200,7 @@
                         kind,
                         job: request.job(),
                         body,
-                        waits: request.has_dependencies(),
+                        has_dependencies: request.has_dependencies(),
                     };
                     RequestEvent::Peer(self.forward_to_peer(&peer, &forwarded))
                 }
@@ -209,7 +209,7 @@
                     self.publish_acceptance(AcceptedJob { record, version });
                     continue;
                 }
-                RequestEffect::JobEndRecorded(state) => {
+                RequestEffect::FinalStateRecorded(state) => {
                     let final_states = vec![(request.job().to_string(), state)];
                     self.handles.final_state_notifier.publish(final_states);
                     continue;
--- a/src/service/io_thread_pool/transaction_writer.rs
+++ b/src/service/io_thread_pool/transaction_writer.rs
@@ -50,12 +50,12 @@
 fn commit(store: &KeyValueStore, transaction: &Transaction) -> WriteOutcome {
     match store.commit(transaction) {
         CommitOutcome::Applied(revision) => WriteOutcome::Applied(revision),
-        CommitOutcome::Refused | CommitOutcome::Limited | CommitOutcome::NoLease => {
+        CommitOutcome::Rejected | CommitOutcome::RateLimited | CommitOutcome::LeaseExpired => {
             WriteOutcome::Rejected
         }
         CommitOutcome::TooLarge => WriteOutcome::TooLarge,
         CommitOutcome::Conflict(failed) => WriteOutcome::Indeterminate(reread(store, &failed)),
-        CommitOutcome::Unknown => {
+        CommitOutcome::Indeterminate => {
             WriteOutcome::Indeterminate(reread(store, &deciding_keys(transaction)))
         }
     }
--- a/src/service/polls.rs
+++ b/src/service/polls.rs
@@ -141,7 +141,7 @@
             Input::Accepted { job, waits_on } => self.batcher.job_accepted(&job, &waits_on),
             Input::Finished(final_states) => {
                 for (job, state) in final_states {
-                    self.batcher.job_end_recorded(&job, state);
+                    self.batcher.final_state_recorded(&job, state);
                 }
             }
         }
@@ -151,7 +151,7 @@
     fn forward(&self, poll: UserPoll) {
         if poll.from_peer {
             (poll.respond)(reply_to_user(Answer::RetryLater(
-                RetryReason::NoStateService,
+                RetryReason::StateServiceUnavailable,
             )));
         } else {
             self.requests
@@ -167,7 +167,9 @@
                     let answer = execute_store_call(&self.store, call);
                     effects.extend(self.batcher.on_answer(answer, self.now()));
                 }
-                PollEffect::JobEndsRecorded(states) => self.final_state_notifier.publish(states),
+                PollEffect::FinalStatesRecorded(states) => {
+                    self.final_state_notifier.publish(states);
+                }
                 PollEffect::Answer(number, answer) => {
                     if let Some(poll) = self.pending.remove(&number) {
                         (poll.respond)(reply_to_user(answer));
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -138,8 +138,8 @@
                 self.schedule(at, timeout);
                 return None;
             }
-            Operation::Grant { life } => {
-                let life = life.as_micros() as Micros;
+            Operation::Grant { lease_duration } => {
+                let life = lease_duration.as_micros() as Micros;
                 Input::Granted(Ok(self.store.grant(life, self.now)))
             }
             Operation::Commit { transaction, .. } => {
@@ -254,7 +254,7 @@
 /// The outcome of an operation without a response.
 fn without_response(operation: &Operation) -> Input {
     match operation {
-        Operation::Commit { .. } => Input::Committed(CommitOutcome::Unknown),
+        Operation::Commit { .. } => Input::Committed(CommitOutcome::Indeterminate),
         other => refused(other),
     }
 }
@@ -265,7 +265,7 @@
         Operation::Read { .. } => Input::Read(Err(Unavailable)),
         Operation::Watch { .. } => Input::Watched(Err(Unavailable)),
         Operation::Grant { .. } => Input::Granted(Err(Unavailable)),
-        Operation::Commit { .. } => Input::Committed(CommitOutcome::Refused),
+        Operation::Commit { .. } => Input::Committed(CommitOutcome::Rejected),
         Operation::Renew { .. } => Input::Renewed(Renewal::Unavailable),
         Operation::Release { .. } => Input::Released,
         Operation::Wait { .. } => Input::Elapsed,
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
 use stairstage::coordination::manager::ClusterManager;
-use stairstage::protocol::cloud::{MachineType, Rent};
+use stairstage::protocol::cloud::{MachineType, RentalRequest};
 use stairstage::protocol::ids::Incarnation;
 use stairstage::protocol::worker::{Command, TaskState, TaskStatus};
 use stairstage::storage::records::OpenRecord;
@@ -35,7 +35,7 @@
     rig: &str,
     tasks: u32,
     differs: &[(&str, Value)],
-) -> Vec<Rent> {
+) -> Vec<RentalRequest> {
     let mut body = submission("req-1", rig, "normal", tasks);
     for (field, value) in differs {
         body[*field] = value.clone();
@@ -103,7 +103,7 @@
         let now = f64::from(second);
         for rent in unanswered.drain(..) {
             assert_eq!(rent.zone, "y", "at {second} s");
-            manager.machines_rented(&rent.request, Some(Vec::new()), now);
+            manager.machines_rented(&rent.idempotency_key, Some(Vec::new()), now);
         }
         heartbeat(&mut manager, 1 + second as u64, Vec::new(), now);
         manager.tick(now);
@@ -122,7 +122,7 @@
 struct SmallFleet {
     manager: ClusterManager,
     now: f64,
-    rented: Vec<Rent>,
+    rented: Vec<RentalRequest>,
     returned: Vec<String>,
 }
 
@@ -175,7 +175,7 @@
             let (rented, returned) = (&mut self.rented, &mut self.returned);
             carry_out(&mut self.manager, now, |manager, effect| match effect {
                 Effect::RentMachines(rent) => {
-                    manager.machines_rented(&rent.request, Some(Vec::new()), now);
+                    manager.machines_rented(&rent.idempotency_key, Some(Vec::new()), now);
                     rented.push(rent);
                 }
                 Effect::ReturnMachines(names) => {
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -6,7 +6,7 @@
 use super::world::{World, WriteFate};
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
-use stairstage::protocol::cloud::Rent;
+use stairstage::protocol::cloud::RentalRequest;
 use stairstage::protocol::ids::FencingToken;
 use stairstage::protocol::store::Transaction;
 use stairstage::protocol::worker::{CommandBatch, Heartbeat};
@@ -81,7 +81,7 @@
             Effect::RentMachines(rent) => {
                 let names = (!self.cloud_is_down).then(|| self.rent(&rent));
                 self.with_controller(from, |manager| {
-                    manager.machines_rented(&rent.request, names, now);
+                    manager.machines_rented(&rent.idempotency_key, names, now);
                 });
             }
             Effect::RaiseToken => {
@@ -90,10 +90,10 @@
                     manager.token_raised(token.map(FencingToken), now);
                 });
             }
-            Effect::JobEnded { id, state } => self.check_told_end(&id, state),
-            Effect::ReadEnds(ids) => {
+            Effect::JobFinished { id, state } => self.check_told_end(&id, state),
+            Effect::ReadFinalStates(ids) => {
                 let ends = self.store.ends(&ids);
-                self.with_controller(from, |manager| manager.ends_found(ends, now));
+                self.with_controller(from, |manager| manager.final_states_found(ends, now));
             }
         }
     }
@@ -196,7 +196,7 @@
     }
 
     /// The cloud rents what it has; the machines are up soon.
-    fn rent(&mut self, rent: &Rent) -> Vec<String> {
+    fn rent(&mut self, rent: &RentalRequest) -> Vec<String> {
         let count = self.rentable.min(rent.count as usize);
         self.rentable -= count;
         let kind = self.types.iter().position(|t| t.name == rent.kind);
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -24,7 +24,7 @@
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::KeyValueStore as StoreClient;
 use stairstage::storage::records::OPEN_PREFIX;
-use stairstage::transport::front::{self, ApiRequest, Bounds};
+use stairstage::transport::api_server::{self, ApiRequest, Bounds};
 use stairstage::transport::runtime::Runtime;
 use stairstage::transport::Reply;
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -105,9 +105,12 @@
     let settings = Settings::parse("test", SETTINGS).unwrap();
     let state = &settings.cluster.state;
     for written in [small.largest, large.largest] {
-        assert!(written.value_bytes <= state.record_bytes(), "{written:?}");
-        assert!(written.changes <= state.changes(), "{written:?}");
-        assert!(written.conditions <= state.conditions(), "{written:?}");
+        assert!(
+            written.value_bytes <= state.max_record_bytes(),
+            "{written:?}"
+        );
+        assert!(written.changes <= state.max_operations(), "{written:?}");
+        assert!(written.conditions <= state.max_compares(), "{written:?}");
     }
     // With its job, its four tasks and what runs on it as the test keeps it. Of 72 MB, the least that
     // any controller has had, the largest fleet takes less than two thirds.
@@ -191,9 +194,9 @@
     });
     let places = fleet.places.iter();
     Records {
-        open: open.collect(),
-        run: Vec::new(),
-        places: places
+        open_jobs: open.collect(),
+        completions: Vec::new(),
+        placements: places
             .map(|(key, (value, version))| item(key.clone(), value.clone(), *version))
             .collect(),
     }
@@ -273,7 +276,7 @@
     for message in &messages {
         match message {
             Message::RecordsLoaded { records, .. } => {
-                assert_eq!(records.open.len(), LARGEST as usize);
+                assert_eq!(records.open_jobs.len(), LARGEST as usize);
             }
             Message::JobsAccepted { jobs } => opened = Some(jobs),
             Message::RecordsRead { .. } => break,
@@ -334,12 +337,12 @@
         connections: 64,
         workers: 16,
         users: 16,
-        idle: Duration::from_secs(600),
-        body: Duration::from_secs(600),
+        idle_timeout: Duration::from_secs(600),
+        body_timeout: Duration::from_secs(600),
     };
     let any = "127.0.0.1:0".parse().unwrap();
     let healthy = Arc::new(|| true);
-    let address = front::serve(&runtime, any, bounds, Arc::new(handler), healthy).unwrap();
+    let address = api_server::serve(&runtime, any, bounds, Arc::new(handler), healthy).unwrap();
     // The first workers keep their connections open, so that their share is used up.
     let connect = move || TcpStream::connect(address).unwrap();
     let mut open: Vec<TcpStream> = (0..16).map(|_| connect()).collect();
--- a/tests/play/overload.rs
+++ b/tests/play/overload.rs
@@ -190,20 +190,20 @@
                     self.now,
                 );
             }
-            Effect::ReadEnds(_) => {}
+            Effect::ReadFinalStates(_) => {}
             // The fleet stays as it is.
             Effect::ReturnMachines(names) => {
                 self.manager.machines_returned(&names, false, self.now);
             }
             Effect::RentMachines(rent) => {
                 self.manager
-                    .machines_rented(&rent.request, Some(Vec::new()), self.now);
+                    .machines_rented(&rent.idempotency_key, Some(Vec::new()), self.now);
             }
             Effect::RaiseToken => {
                 let token = FencingToken(self.manager.token().0 + 1);
                 self.manager.token_raised(Some(token), self.now);
             }
-            Effect::JobEnded { id, .. } => {
+            Effect::JobFinished { id, .. } => {
                 self.fates
                     .get_mut(&*id)
                     .unwrap()
--- a/tests/play/simulation/leader.rs
+++ b/tests/play/simulation/leader.rs
@@ -116,9 +116,9 @@
                 let result = self.deliver(&machine, &batch);
                 self.manager().commands_answered(&machine, result, now);
             }
-            Effect::ReadEnds(ids) => {
+            Effect::ReadFinalStates(ids) => {
                 let ends = self.store.ends(&ids);
-                self.manager().ends_found(ends, now);
+                self.manager().final_states_found(ends, now);
             }
             Effect::ReturnMachines(names) => {
                 let taken = self.cloud.takes_back;
@@ -130,14 +130,14 @@
             Effect::RentMachines(rent) => {
                 let machines = self.rent(&rent.zone, rent.count as usize);
                 self.manager()
-                    .machines_rented(&rent.request, Some(machines), now);
+                    .machines_rented(&rent.idempotency_key, Some(machines), now);
             }
             Effect::RaiseToken => {
                 let token = self.raise_token();
                 self.manager().token_raised(token.map(FencingToken), now);
             }
             // Users are told by the record, which any node may read.
-            Effect::JobEnded { .. } => {}
+            Effect::JobFinished { .. } => {}
         }
     }
 
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -11,7 +11,7 @@
 use stairstage::protocol::job::JobState;
 use stairstage::settings::Settings;
 use stairstage::storage::key_value_store::CommitOutcome;
-use stairstage::storage::records::{end_key, open_key, OpenRecord};
+use stairstage::storage::records::{final_state_key, open_key, OpenRecord};
 use stairstage_upgrade::fence::WriteFence;
 
 /// The settings of most tests.
@@ -45,7 +45,7 @@
                     effects.extend(batcher.on_answer(answer_of(store, call), now));
                 }
                 PollEffect::Answer(number, answer) => answers.push((number, answer.status())),
-                PollEffect::JobEndsRecorded(..) => {}
+                PollEffect::FinalStatesRecorded(..) => {}
                 PollEffect::Forward(number) => panic!("{number} is handed on"),
             }
         }
@@ -84,7 +84,7 @@
         None => open("req-1", &[]),
         Some(state) => {
             let end = json!({ "state": state });
-            store.values.insert(end_key("req-1"), (end, 2));
+            store.values.insert(final_state_key("req-1"), (end, 2));
         }
     }
     store
@@ -108,14 +108,14 @@
 fn a_cancellation_that_is_known_already_counts_for_what_waits_for_it() {
     let mut batcher = batcher();
     batcher.job_accepted("req-2", &["req-1".to_string()]);
-    batcher.job_end_recorded("req-1", JobState::Cancelled);
+    batcher.final_state_recorded("req-1", JobState::Cancelled);
     let first = batcher.enqueue(1, poll("req-2"), 0.0);
     let mut store = pipeline(Some("cancelled"));
     assert_eq!(answers(&mut batcher, &store, first), [(1, 503)]);
     // Once its own end is on record, that is reported.
     store.values.remove(&open_key("req-2"));
     let end = json!({"state": "cancelled"});
-    store.values.insert(end_key("req-2"), (end, 3));
+    store.values.insert(final_state_key("req-2"), (end, 3));
     let first = batcher.enqueue(2, poll("req-2"), 10.0);
     assert_eq!(answers(&mut batcher, &store, first), [(2, 200)]);
 }
@@ -146,13 +146,13 @@
     let mut store = Store::default();
     for job in ["req-1", "req-2", "req-3"] {
         let end = json!({"state": "done"});
-        store.values.insert(end_key(job), (end, 1));
+        store.values.insert(final_state_key(job), (end, 1));
     }
     let mut batcher = batcher();
     batcher.enqueue(1, poll("req-1"), 0.0);
     batcher.enqueue(2, poll("req-2"), 0.0);
     batcher.tick(0.0);
-    let present = CommitOutcome::Conflict(vec![end_key("req-1"), end_key("req-2")]);
+    let present = CommitOutcome::Conflict(vec![final_state_key("req-1"), final_state_key("req-2")]);
     assert!(batcher
         .on_answer(StoreAnswer::Committed(present), 0.0)
         .is_empty());
@@ -167,7 +167,7 @@
     };
     let page = store.page(under, after, *limit);
     let effects = batcher.on_answer(StoreAnswer::Listed(Ok(page)), 0.1);
-    let [PollEffect::JobEndsRecorded(ends), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
+    let [PollEffect::FinalStatesRecorded(ends), PollEffect::Answer(1, _), PollEffect::Answer(2, _)] =
         &effects[..]
     else {
         panic!("{effects:?}");
@@ -186,7 +186,7 @@
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll("req-1"), 0.0).is_empty());
     assert!(matches!(batcher.tick(0.0)[..], [PollEffect::Store(_)]));
-    let refused = StoreAnswer::Committed(CommitOutcome::Refused);
+    let refused = StoreAnswer::Committed(CommitOutcome::Rejected);
     assert!(is_forwarded(&batcher.on_answer(refused, 0.01), 1));
     assert!(is_forwarded(&batcher.enqueue(2, poll("req-2"), 0.5), 2));
     assert!(batcher.enqueue(3, poll("req-3"), 1.5).is_empty());
@@ -198,7 +198,7 @@
     let mut batcher = batcher();
     batcher.enqueue(1, poll("req-1"), 0.0);
     batcher.tick(0.0);
-    let limited = StoreAnswer::Committed(CommitOutcome::Limited);
+    let limited = StoreAnswer::Committed(CommitOutcome::RateLimited);
     assert!(batcher.on_answer(limited, 0.01).is_empty());
     assert!(matches!(batcher.tick(0.2)[..], [PollEffect::Store(_)]));
 }
@@ -208,7 +208,7 @@
     let body = submission("req-1", "sweep", "normal", 4).to_string();
     let (mut request, _) =
         Request::submission(body.as_bytes(), request_context(WriteFence::Unstaged));
-    let limited = RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::Limited));
+    let limited = RequestEvent::Store(StoreAnswer::Committed(CommitOutcome::RateLimited));
     let effects = request.on_event(limited);
     let turned_away = matches!(&effects[..], [RequestEffect::Answer(answer)]
         if answer.status() == 503 && answer.retry_after().is_some());
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -28,7 +28,7 @@
 use stairstage::protocol::job::JobState;
 use stairstage::protocol::store::WriteOperation;
 use stairstage::storage::key_value_store::{CommitOutcome, Unavailable};
-use stairstage::storage::records::{end_key, EndRecord};
+use stairstage::storage::records::{final_state_key, FinalStateRecord};
 use stairstage_upgrade::fence::WriteFence;
 
 /// What a combination has to come about for, over all schedules.
@@ -190,7 +190,7 @@
 
 /// A transaction got no answer.
 fn unanswered() -> RequestEvent {
-    committed(CommitOutcome::Unknown)
+    committed(CommitOutcome::Indeterminate)
 }
 
 /// A read failed.
@@ -201,8 +201,8 @@
 /// The state service answers that the job is cancelled.
 fn cancellation_read(job: &str) -> RequestEvent {
     let mut store = common::Store::default();
-    let key = end_key(job);
-    let end = EndRecord::cancelled(0).to_value();
+    let key = final_state_key(job);
+    let end = FinalStateRecord::cancelled(0).to_value();
     store.values.insert(key.clone(), (end, 1));
     RequestEvent::Store(StoreAnswer::Read(Ok(store.item(&key))))
 }
@@ -297,7 +297,7 @@
         matches!(reads_records[..], [RequestEffect::ReadRecords(_)]),
         "{reads_records:?}"
     );
-    let (_, refused) = Request::refused_query(jobs::id_of(0), context(true));
+    let (_, refused) = Request::query_peers(jobs::id_of(0), context(true));
     assert_eq!(status_of(&refused), Some(503));
 }
 
@@ -310,12 +310,12 @@
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
     assert!(compares(&batcher.tick(0.0)));
-    let refused = batcher.on_answer(StoreAnswer::Committed(CommitOutcome::Refused), 0.0);
+    let refused = batcher.on_answer(StoreAnswer::Committed(CommitOutcome::Rejected), 0.0);
     assert!(
         matches!(refused[..], [PollEffect::Forward(1)]),
         "{refused:?}"
     );
-    let (mut request, asked) = Request::refused_query(jobs::id_of(0), context(false));
+    let (mut request, asked) = Request::query_peers(jobs::id_of(0), context(false));
     assert!(asks(&asked, "n1"));
     assert!(asks(&request.on_event(not_now()), "n2"));
     assert_eq!(status_of(&request.on_event(not_now())), Some(503));
@@ -334,12 +334,12 @@
     let mut batcher = batcher();
     assert!(batcher.enqueue(1, poll, 0.0).is_empty());
     assert!(compares(&batcher.tick(0.0)));
-    let present = CommitOutcome::Conflict(vec![end_key(&job)]);
+    let present = CommitOutcome::Conflict(vec![final_state_key(&job)]);
     let nothing_yet = batcher.on_answer(StoreAnswer::Committed(present), 0.0);
     assert!(nothing_yet.is_empty(), "{nothing_yet:?}");
     let reads = batcher.tick(0.0);
     assert!(matches!(&reads[..],
-        [PollEffect::Store(StoreCall::Read(key))] if *key == end_key(&job)));
+        [PollEffect::Store(StoreCall::Read(key))] if *key == final_state_key(&job)));
     let RequestEvent::Store(answer) = cancellation_read(&job) else {
         unreachable!();
     };
@@ -347,7 +347,7 @@
     let in_order = matches!(
         &effects[..],
         [
-            PollEffect::JobEndsRecorded(ends),
+            PollEffect::FinalStatesRecorded(ends),
             PollEffect::Answer(1, Answer::Known(_))
         ] if *ends == [(job.clone(), JobState::Cancelled)]
     );
@@ -380,13 +380,15 @@
     let (waiting, needed) = waiting_job();
     let needed = jobs::id_of(needed);
     let (mut request, _) = Request::submission(&jobs::body_of(waiting), context(false));
-    let reads = request.on_event(committed(CommitOutcome::Conflict(vec![end_key(&needed)])));
+    let reads = request.on_event(committed(CommitOutcome::Conflict(vec![final_state_key(
+        &needed,
+    )])));
     assert!(reads_store(&reads), "{reads:?}");
     let commits = request.on_event(cancellation_read(&needed));
     let [RequestEffect::Store(StoreCall::Commit(transaction))] = &commits[..] else {
         panic!("{commits:?}");
     };
-    let own_end = end_key(&jobs::id_of(waiting));
+    let own_end = final_state_key(&jobs::id_of(waiting));
     let writes_end = matches!(&transaction.operations[..],
         [WriteOperation::Put { key, .. }] if *key == own_end);
     assert!(writes_end, "{transaction:?}");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -13,7 +13,7 @@
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
 use stairstage::settings::Settings;
 use stairstage::storage::records::OpenRecord;
-use stairstage::transport::front::{self, Bounds};
+use stairstage::transport::api_server::{self, Bounds};
 use stairstage::transport::runtime::Runtime;
 use stairstage::transport::Reply;
 use std::io::Write;
@@ -94,7 +94,7 @@
         );
         if manager.step(now) {
             passes += 1;
-            manager.cycle_took(0.05, now);
+            manager.record_cycle_duration(0.05, now);
         }
     }
     // Two seconds, and a quarter of a second from one pass to the next.
@@ -184,7 +184,7 @@
     let runtime = Runtime::start().unwrap();
     let handler = |_call, respond: stairstage::transport::Responder| respond(Reply::json(200, &()));
     let any = "127.0.0.1:0".parse().unwrap();
-    front::serve(&runtime, any, bounds, Arc::new(handler), Arc::new(|| true)).unwrap()
+    api_server::serve(&runtime, any, bounds, Arc::new(handler), Arc::new(|| true)).unwrap()
 }
 
 /// Room for four workers and three users, of six connections.
@@ -193,8 +193,8 @@
         connections: 6,
         workers: 4,
         users: 3,
-        idle: Duration::from_secs(600),
-        body: Duration::from_secs(600),
+        idle_timeout: Duration::from_secs(600),
+        body_timeout: Duration::from_secs(600),
     }
 }
 
@@ -253,8 +253,8 @@
 #[test]
 fn a_body_that_is_too_long_or_never_comes_costs_little() {
     let address = serve(Bounds {
-        idle: Duration::from_millis(200),
-        body: Duration::from_millis(200),
+        idle_timeout: Duration::from_millis(200),
+        body_timeout: Duration::from_millis(200),
         ..bounds()
     });
     let mut long = TcpStream::connect(address).unwrap();
