--- a/src/coordination/cluster/writes/placements.rs
+++ b/src/coordination/cluster/writes/placements.rs
@@ -51,7 +51,7 @@
 
     /// The number of jobs that a transaction can compare to have no final state.
     fn max_jobs_in_transaction(&self) -> usize {
-        let version = usize::from(self.leadership.write_fence().stamp().is_some());
+        let version = usize::from(self.leadership.write_fence().mod_revision().is_some());
         COMPARES_PER_OPERATION * self.writes.max_operations() - OWN_COMPARES - version
     }
 
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use stairstage_upgrade::fence::WriteFence;
-use stairstage_upgrade::records::VERSION;
+use stairstage_upgrade::records::VERSION_KEY;
 use std::fmt;
 
 /// The id of a lease. When a lease expires or is released, the keys attached to it are deleted.
@@ -99,8 +99,8 @@
     /// the cluster version, the transaction is conditional on that record being unchanged.
     pub fn at_version(write_fence: &WriteFence) -> Self {
         let empty = Transaction::default();
-        match write_fence.stamp() {
-            Some(version) => empty.version(VERSION, version),
+        match write_fence.mod_revision() {
+            Some(version) => empty.version(VERSION_KEY, version),
             None => empty,
         }
     }
--- a/tests/common/full_fleet.rs
+++ b/tests/common/saturated_fleet.rs
@@ -1,7 +1,8 @@
-//! A leader whose machines are all full.
+//! A leader of machines without free resources.
 
 use super::{
-    each_effect, heartbeat_from, manager, parsed, shown, starts, submission, worker_heartbeat,
+    for_each_effect, heartbeat_from, manager, parsed, starts, submission, task_statuses,
+    worker_heartbeat,
 };
 use serde_json::Value;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
@@ -11,33 +12,33 @@
 use stairstage::storage::records::OpenRecord;
 use std::collections::BTreeMap;
 
-/// A leader of many machines, each full of running tasks.
-pub(crate) struct FullFleet {
+/// A leader of many machines, each of which runs as many tasks as fit.
+pub(crate) struct SaturatedFleet {
     pub manager: ClusterManager,
-    /// What runs on each machine.
+    /// The tasks on each machine.
     pub tasks: Vec<Vec<TaskStatus>>,
-    /// Changes at the state service that it took to get there.
-    pub changes: usize,
-    /// The largest record, transaction and number of conditions on the way.
+    /// The number of write operations until all machines were full.
+    pub write_operations: usize,
+    /// The largest value and the largest transaction until then.
     pub largest: LargestWrite,
-    /// The records of places, as they are left.
-    pub places: BTreeMap<String, (Value, u64)>,
-    /// When it was full.
+    /// The placement records, with their versions.
+    pub placements: BTreeMap<String, (Value, u64)>,
+    /// The time at which all machines were full.
     pub now: f64,
 }
 
-/// The most that any transaction held.
+/// The maxima over all transactions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LargestWrite {
     pub value_bytes: usize,
-    pub changes: usize,
+    pub write_operations: usize,
     pub conditions: usize,
 }
 
 impl LargestWrite {
-    /// Keeps the largest of what transactions hold.
-    fn note(&mut self, transaction: &Transaction) {
-        self.changes = self.changes.max(transaction.operations.len());
+    /// Includes a transaction in the maxima.
+    fn include(&mut self, transaction: &Transaction) {
+        self.write_operations = self.write_operations.max(transaction.operations.len());
         self.conditions = self.conditions.max(transaction.compares.len());
         for change in &transaction.operations {
             if let WriteOperation::Put { value, .. } = change {
@@ -47,14 +48,15 @@
     }
 }
 
-/// The description of the job for each machine.
+/// The job whose four tasks fill a machine.
 pub(crate) fn job_of_machine(machine: u32) -> OpenRecord {
     let spec = parsed(&submission(&format!("req-{machine}"), "sweep", "normal", 4));
     OpenRecord::accepted(spec, 0)
 }
 
-/// A leader of so many machines of the only type, and of as many jobs, each with a machine's tasks.
-pub(crate) fn full_fleet(machines: u32) -> FullFleet {
+/// Creates a leader with `machines` machines of the only type and one job for each machine, and runs it until
+/// all tasks run.
+pub(crate) fn saturated_fleet(machines: u32) -> SaturatedFleet {
     let mut manager = manager();
     for i in 0..machines {
         heartbeat_from(&mut manager, &format!("m-{i}"), 1, None, Vec::new(), 0.0);
@@ -63,19 +65,19 @@
         manager.job_accepted(job_of_machine(i), u64::from(i) + 1, 0, 0.0);
     }
     let mut tasks: Vec<Vec<TaskStatus>> = vec![Vec::new(); machines as usize];
-    let mut places = BTreeMap::new();
+    let mut placements = BTreeMap::new();
     let mut largest = LargestWrite::default();
-    let mut changes = 0;
+    let mut write_operations = 0;
     let mut now = 0.0;
     while tasks.iter().map(Vec::len).sum::<usize>() < 4 * machines as usize {
         now += 0.1;
-        carry_out_all(&mut manager, now, |effect| match effect {
+        apply_all_effects(&mut manager, now, |effect| match effect {
             Effect::Write { id, transaction } => {
-                changes += transaction.operations.len();
-                largest.note(transaction);
+                write_operations += transaction.operations.len();
+                largest.include(transaction);
                 for change in &transaction.operations {
                     if let WriteOperation::Put { key, value, .. } = change {
-                        places.insert(key.clone(), (value.clone(), 100 + id));
+                        placements.insert(key.clone(), (value.clone(), 100 + id));
                     }
                 }
             }
@@ -85,23 +87,27 @@
                 ..
             } => {
                 let started = starts(&batch.commands);
-                tasks[machine_number(machine)].extend(shown(&started, TaskState::Running, None));
+                tasks[machine_number(machine)].extend(task_statuses(
+                    &started,
+                    TaskState::Running,
+                    None,
+                ));
             }
             _ => {}
         });
-        assert!(now < 600.0, "the fleet does not fill");
+        assert!(now < 600.0, "the machines are not full after 600 s");
     }
     for (i, tasks) in tasks.iter().enumerate() {
         heartbeat_from(&mut manager, &format!("m-{i}"), 2, None, tasks.clone(), now);
     }
     manager.step(now + 1.0);
     manager.take_effects();
-    FullFleet {
+    SaturatedFleet {
         manager,
         tasks,
-        changes,
+        write_operations,
         largest,
-        places,
+        placements,
         now: now + 1.0,
     }
 }
@@ -111,7 +117,7 @@
     name[2..].parse().unwrap()
 }
 
-/// Bytes that an effect sends to the state service or a worker.
+/// The bytes that an effect sends to the state service or a worker.
 pub(crate) fn effect_bytes(effect: &Effect) -> usize {
     match effect {
         Effect::Write { transaction, .. } => serde_json::to_vec(transaction).unwrap().len(),
@@ -122,27 +128,31 @@
     }
 }
 
-/// Like `carry_out`, but shows every effect.
-pub(crate) fn carry_out_all(manager: &mut ClusterManager, now: f64, mut show: impl FnMut(&Effect)) {
-    each_effect(manager, now, |manager, effect| {
-        show(&effect);
+/// Like `apply_effects`, but passes every effect to `observe`.
+pub(crate) fn apply_all_effects(
+    manager: &mut ClusterManager,
+    now: f64,
+    mut observe: impl FnMut(&Effect),
+) {
+    for_each_effect(manager, now, |manager, effect| {
+        observe(&effect);
         match effect {
             Effect::Write { id, .. } => {
                 manager.write_finished(id, WriteOutcome::Applied(100 + id), now);
             }
-            // Its answer shows nothing that is not known.
+            // The response is an old heartbeat, which tells the manager nothing new.
             Effect::SendCommands { machine, .. } => {
-                let known = worker_heartbeat(&machine, 0, 1, Vec::new());
-                manager.commands_answered(&machine, CommandOutcome::Executed(known), now);
+                let old_heartbeat = worker_heartbeat(&machine, 0, 1, Vec::new());
+                manager.commands_answered(&machine, CommandOutcome::Executed(old_heartbeat), now);
             }
             _ => {}
         }
     });
 }
 
-/// What twenty heartbeats of a machine cost in which nothing is new: looks at machines and places, and bytes
-/// of what is answered and sent.
-pub(crate) fn heartbeats_without_news(
+/// The cost of twenty heartbeats of a machine whose tasks did not change: the number of machines and
+/// placements that the manager examines, and the bytes of its responses and effects.
+pub(crate) fn cost_of_unchanged_heartbeats(
     manager: &mut ClusterManager,
     tasks: &[Vec<TaskStatus>],
     now: f64,
