--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -13,9 +13,9 @@
 //! - [`cancellation_evidence`], [`heartbeat_routing`]: which leases may be renewed, and how followers
 //!   route heartbeats.
 //!
-//! State with invariants of its own is kept behind private fields: `Leadership`, `HeartbeatMonitor`,
+//! State with its own invariants is kept behind private fields: `Leadership`, `HeartbeatMonitor`,
 //! `PlacementRecords`, `WriteQueue`, `DependencyGraph`, `Starvation`, `ServiceArrivals`. The work per
-//! event does not grow with the cluster, because work left to do is kept in indices.
+//! event does not grow with the cluster, because pending work is indexed.
 
 mod allocations;
 pub mod cancellation_evidence;
@@ -204,7 +204,8 @@
         self.effects.push(effect);
     }
 
-    /// Notes that every other controller has promised to answer no heartbeat with a lower token.
+    /// Notes that every other controller has promised not to answer heartbeats as a leader with a lower
+    /// token.
     pub(crate) fn peers_promised(&mut self, now: Time) {
         self.leadership.peers_promised(now);
     }
@@ -223,8 +224,8 @@
         machine.accepts_tasks(now, self.heartbeat_timeout_s(), first_token)
     }
 
-    /// The free resources of a machine. Every task that is or may be on it counts, except those that a
-    /// stop in the same message ends at once.
+    /// The free resources of a machine. Every task that is or may be on the machine counts, except those
+    /// that a stop in the next command batch ends immediately.
     pub(crate) fn free_resources(&self, machine: &Machine) -> Resources {
         let Some(machine_type) = self.machine_types.get(&machine.machine_type) else {
             return Resources::default();
@@ -247,7 +248,10 @@
     /// How many of `tasks` tasks of a job may run within its team's quota.
     pub(crate) fn within_quota(&self, job: &Job, tasks: u32) -> u32 {
         let team = self.team(&job.spec.team);
-        team.map_or(0, |team| self.quota.cap(team, &job.request(), tasks))
+        team.map_or(0, |team| {
+            self.quota
+                .tasks_within_cpu_limit(team, &job.request(), tasks)
+        })
     }
 
     /// Since when many machines have left commands unanswered: more machines may have failed with them.
--- a/src/service/controller/mod.rs
+++ b/src/service/controller/mod.rs
@@ -80,7 +80,8 @@
     is_probing_peers: bool,
     /// Whether the inbox is backlogged.
     is_backlogged: bool,
-    /// The highest token of a given promise: this controller answers no heartbeat with a lower one.
+    /// The highest token for which this controller has promised not to answer heartbeats as a leader with a
+    /// lower one.
     promised_token: FencingToken,
     cancellations: KnownCancellations,
 }
@@ -199,7 +200,7 @@
             );
         }
         let effects = manager.take_effects();
-        let is_deposed = manager.is_deposed();
+        let has_stepped_down = manager.has_stepped_down();
         if is_tick && !self.is_probing_peers && manager.receives_no_heartbeats(now) {
             self.is_probing_peers = true;
             self.probe_peers();
@@ -207,7 +208,7 @@
         for effect in effects {
             self.execute(effect);
         }
-        if is_deposed {
+        if has_stepped_down {
             self.step_down();
         }
     }
--- a/src/service/messages.rs
+++ b/src/service/messages.rs
@@ -1,6 +1,6 @@
 //! The messages that the other actors send to the controller actor.
 
-use crate::coordination::cluster::cancellation_evidence::PeerAnswer;
+use crate::coordination::cluster::cancellation_evidence::PeerCancellations;
 use crate::coordination::cluster::heartbeats::HeartbeatSource;
 use crate::coordination::cluster::recovery::Records;
 use crate::coordination::cluster::{CommandOutcome, WriteOutcome};
@@ -75,7 +75,8 @@
         /// Sends the reply.
         respond: Responder,
     },
-    /// A new leader asks this controller to promise that it answers no heartbeat with a lower token.
+    /// A new leader asks this controller for the promise not to answer heartbeats as a leader with a lower
+    /// token.
     PromiseRequested {
         /// The new leader's token.
         token: FencingToken,
@@ -92,7 +93,7 @@
         /// The peer's name.
         peer: String,
         /// The peer's answer; `None` if it did not answer.
-        answer: Option<PeerAnswer>,
+        answer: Option<PeerCancellations>,
     },
 }
 
@@ -117,7 +118,7 @@
         /// Whether it was applied.
         outcome: WriteOutcome,
     },
-    /// A worker's answer to a command batch that was sent directly.
+    /// The outcome of a command batch that was sent directly to a worker.
     CommandsAnswered {
         /// The worker's machine.
         machine: MachineName,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -178,7 +178,7 @@
     let mut heartbeat = worker_heartbeat(machine, sequence, 1, tasks);
     heartbeat.notice_s = notice_s;
     match manager.heartbeat(&heartbeat, now) {
-        HeartbeatOutcome::Answer(answer) => answer.commands,
+        HeartbeatOutcome::Response(answer) => answer.commands,
         other => panic!("{other:?}"),
     }
 }
@@ -447,7 +447,7 @@
             ..
         } => {
             launches.extend(starts(&batch.commands).into_iter().map(|s| s.task));
-            manager.commands_answered(&machine, CommandOutcome::Unknown, now);
+            manager.commands_answered(&machine, CommandOutcome::Indeterminate, now);
         }
         Effect::ReturnMachines(names) => {
             manager.machines_returned(&names, true, now);
@@ -465,7 +465,7 @@
     now: f64,
 ) -> Vec<String> {
     match manager.heartbeat(heartbeat, now) {
-        HeartbeatOutcome::Answer(answer) => starts(&answer.commands)
+        HeartbeatOutcome::Response(answer) => starts(&answer.commands)
             .into_iter()
             .map(|s| s.task)
             .collect(),
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -137,9 +137,9 @@
 #[test]
 fn leader_with_unconfirmed_lease_stops_cancelled_tasks_without_waiting_for_a_heartbeat() {
     let (mut manager, attempts) = running_job();
-    manager.commands_answered(&"m-1".into(), CommandOutcome::Unknown, 1.0);
+    manager.commands_answered(&"m-1".into(), CommandOutcome::Indeterminate, 1.0);
     manager.set_lease_valid_until(1.0);
-    manager.job_finished("req-1", JobState::Cancelled, 8.0);
+    manager.final_state_recorded("req-1", JobState::Cancelled, 8.0);
     manager.step(8.0);
     let mut stopped = Vec::new();
     for effect in manager.take_effects() {
@@ -392,7 +392,7 @@
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     let unknown = task_statuses(&[AttemptId::new("req-9/0", 7)], TaskState::Running, None);
     let answer = match manager.heartbeat(&worker_heartbeat("m-1", 1, 1, unknown), 0.0) {
-        HeartbeatOutcome::Answer(answer) => answer.commands,
+        HeartbeatOutcome::Response(answer) => answer.commands,
         other => panic!("{other:?}"),
     };
     let stops =
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -93,7 +93,7 @@
             Effect::JobFinished { id, state } => self.check_reported_final_state(&id, state),
             Effect::ReadFinalStates(ids) => {
                 let ends = self.store.final_states(&ids);
-                self.with_controller(from, |manager| manager.final_states_found(ends, now));
+                self.with_controller(from, |manager| manager.final_states_read(ends, now));
             }
         }
     }
@@ -167,7 +167,7 @@
             .push((machine.to_string(), batch.clone()));
         let w = &self.workers[worker];
         let result = if self.commands_held || w.partitioned || w.inbound_lost || w.hung {
-            CommandOutcome::Unknown
+            CommandOutcome::Indeterminate
         } else {
             self.execute_commands(worker, batch)
         };
@@ -245,7 +245,7 @@
         };
         let heartbeat = self.workers[i].scheduled_heartbeat(sent);
         self.sent_heartbeats.push(heartbeat.clone());
-        if let HeartbeatOutcome::Answer(response) = leader.manager.heartbeat(&heartbeat, sent) {
+        if let HeartbeatOutcome::Response(response) = leader.manager.heartbeat(&heartbeat, sent) {
             let w = &mut self.workers[i];
             if !response_lost && !w.inbound_lost && response.token.0 >= w.token {
                 let started = w.apply_response(&response, sent, sent);
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -242,7 +242,9 @@
         let state = JobState::Cancelled;
         match &mut self.network {
             Some(network) => network.announce(now, Message::JobFinished(id.to_string(), state)),
-            None => self.deliver_announcement(|manager| manager.job_finished(id, state, now)),
+            None => {
+                self.deliver_announcement(|manager| manager.final_state_recorded(id, state, now));
+            }
         }
     }
 
@@ -294,7 +296,7 @@
         let timeout = Message::CommandResponse {
             to: from,
             machine,
-            result: CommandOutcome::Unknown,
+            result: CommandOutcome::Indeterminate,
         };
         self.network_mut().send(now + COMMAND_TIMEOUT_S, timeout);
     }
@@ -413,7 +415,7 @@
                 manager.job_accepted(*record, version, 0, now);
             }),
             Message::JobFinished(id, state) => {
-                self.deliver_announcement(|manager| manager.job_finished(&id, state, now));
+                self.deliver_announcement(|manager| manager.final_state_recorded(&id, state, now));
             }
         }
     }
@@ -441,7 +443,7 @@
         let (result, delay) = if w.hung || w.partitioned {
             w.held_commands.push(batch);
             (
-                CommandOutcome::Unknown,
+                CommandOutcome::Indeterminate,
                 DelayRange::new(COMMAND_TIMEOUT_S, COMMAND_TIMEOUT_S),
             )
         } else {
--- a/tests/histories/peers.rs
+++ b/tests/histories/peers.rs
@@ -1,6 +1,6 @@
 //! Simulated peers that confirm cancellations to users and report them to the leader.
 
-use stairstage::coordination::cluster::cancellation_evidence::PeerAnswer;
+use stairstage::coordination::cluster::cancellation_evidence::PeerCancellations;
 use stairstage::storage::cancellation_log::{CancellationLog, Cursor};
 
 /// Capacity of a peer's cancellation log: more than any history has cancellations.
@@ -55,9 +55,9 @@
     }
 
     /// The answer of a peer to a query, without delay.
-    pub(crate) fn query(&self, name: &str, cursor: Cursor, now: f64) -> Option<PeerAnswer> {
+    pub(crate) fn query(&self, name: &str, cursor: Cursor, now: f64) -> Option<PeerCancellations> {
         let peer = self.peers.iter().find(|p| p.name == name)?;
-        Some(PeerAnswer {
+        Some(PeerCancellations {
             peer: peer.name.clone(),
             requested_from: cursor,
             sent: now,
--- a/tests/histories/timed.rs
+++ b/tests/histories/timed.rs
@@ -197,7 +197,7 @@
             leader.records_read(announced_until);
         }
         leader.manager.step(now);
-        let deposed = leader.manager.is_deposed();
+        let deposed = leader.manager.has_stepped_down();
         self.run_former_leaders();
         let workers = &self.settings.cluster.workers;
         self.former_leaders.retain(|l| l.may_renew(now, workers));
@@ -300,7 +300,7 @@
         }
         let leader = self.controller(receiver).expect("the receiving leader");
         let lease_expired = now >= leader.manager.lease_valid_until();
-        let HeartbeatOutcome::Answer(response) = leader.manager.heartbeat(&heartbeat, now) else {
+        let HeartbeatOutcome::Response(response) = leader.manager.heartbeat(&heartbeat, now) else {
             self.workers[i].next_heartbeat_at = now + RETRY_S;
             return;
         };
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -81,7 +81,8 @@
             .put(final_state_key(id), json!({"state": "cancelled"}))
             .put(open_key(id), record);
         self.store.commit(&txn).unwrap();
-        self.manager.job_finished(id, JobState::Cancelled, now);
+        self.manager
+            .final_state_recorded(id, JobState::Cancelled, now);
     }
 
     /// Runs a scheduling step and executes its writes and reads.
@@ -113,7 +114,7 @@
                 } else {
                     unread()
                 };
-                manager.final_states_found(found, now);
+                manager.final_states_read(found, now);
             }
             Effect::SendCommands {
                 commands: batch, ..
@@ -144,7 +145,7 @@
         let tasks = self.launched.iter().map(status).collect();
         let heartbeat = worker_heartbeat("m-1", sequence, self.manager.token().0, tasks);
         let mut answer = self.manager.heartbeat(&heartbeat, now);
-        if let stairstage::coordination::cluster::HeartbeatOutcome::Answer(answer) = &mut answer {
+        if let stairstage::coordination::cluster::HeartbeatOutcome::Response(answer) = &mut answer {
             self.launched.extend(starts(&answer.commands));
         }
         // The same heartbeat is the response to any direct command.
@@ -289,7 +290,9 @@
         .insert(final_state_key("req-1"), (json!({"state": "done"}), 1));
     leader.heartbeat(1, &[], 0.0);
     leader.step(0.0);
-    leader.manager.job_finished("req-1", JobState::Done, 1.0);
+    leader
+        .manager
+        .final_state_recorded("req-1", JobState::Done, 1.0);
     assert!(leader.has_launched("req-2"));
     assert_eq!(leader.final_state("req-2"), None);
 }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -41,7 +41,7 @@
             .final_states
             .insert(&id_of(job), state);
         if let Some(manager) = self.manager_if_leader(controller) {
-            manager.job_finished(&id_of(job), state, 0.0);
+            manager.final_state_recorded(&id_of(job), state, 0.0);
         }
     }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -234,7 +234,7 @@
     for all in [64, 500, 1000, 2237, 3606] {
         let text = SETTINGS.replace("max_sockets = 500", &format!("max_sockets = {all}"));
         let settings = Settings::parse("test", &text).unwrap();
-        let b = stairstage::service::bounds(&settings);
+        let b = stairstage::service::api_server_bounds(&settings);
         // When workers and users use their full shares, some connections remain for workers that connect
         // for each heartbeat. All connections of the API server leave enough sockets for peers, the state
         // service and the cloud.
--- a/tests/workload_simulation/simulation/leader.rs
+++ b/tests/workload_simulation/simulation/leader.rs
@@ -119,7 +119,7 @@
             }
             Effect::ReadFinalStates(ids) => {
                 let ends = self.store.final_states(&ids);
-                self.manager().final_states_found(ends, now);
+                self.manager().final_states_read(ends, now);
             }
             Effect::ReturnMachines(names) => {
                 let accepted = self.cloud.accepts_returns;
@@ -188,10 +188,10 @@
     pub(super) fn deliver(&mut self, name: &str, batch: &CommandBatch) -> CommandOutcome {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
-            return CommandOutcome::Unknown;
+            return CommandOutcome::Indeterminate;
         };
         if !worker.receives(now) {
-            return CommandOutcome::Unknown;
+            return CommandOutcome::Indeterminate;
         }
         let accepted = worker.accepts(batch);
         if accepted {
@@ -200,7 +200,7 @@
         }
         let heartbeat = self.workers.get_mut(name).unwrap().heartbeat();
         if self.random.chance(self.late_response_rate) {
-            return CommandOutcome::Unknown;
+            return CommandOutcome::Indeterminate;
         }
         if accepted {
             CommandOutcome::Executed(heartbeat)
--- a/tests/workload_simulation/simulation/machines.rs
+++ b/tests/workload_simulation/simulation/machines.rs
@@ -132,7 +132,7 @@
             };
             let outcome = manager.heartbeat(&worker.heartbeat(), now);
             let arrives = !self.random.chance(self.late_response_rate);
-            if let HeartbeatOutcome::Answer(answer) = outcome {
+            if let HeartbeatOutcome::Response(answer) = outcome {
                 if arrives && worker.receives(now) && worker.accept_response(&answer, now) {
                     self.execute(&name, &answer.commands);
                 }
