--- a/docs/policy.example.lisp
+++ b/docs/policy.example.lisp
@@ -1,9 +1,9 @@
-; An example of the operators' own settings: stairstage serve --config FILE --policy THIS
-; Every figure is a ratio to one of the platform's settings. These are the defaults.
+; An example of an operators' policy: stairstage serve --config FILE --policy THIS
+; Every number is a ratio to a value of the platform's file. These are the defaults.
 (policy
-  (leader-lease 0.8)   ; the leader's lease, in report intervals
-  (silence 2.5)        ; a machine is returned after so many report intervals of silence
-  (idle 0.5)           ; a machine may stand idle for so many boot times of its type
-  (warm 1.0)           ; room kept for services: standard deviations above expected arrivals
-  (boot-patience 2.5)  ; a machine may take so many boot times to come up
-  (spot yes))          ; whether to rent machines that the cloud can take back
+  (leader-lease 0.8)   ; the leadership lease, in heartbeat intervals (report_s)
+  (silence 2.5)        ; the heartbeat timeout of a machine, in heartbeat intervals
+  (idle 0.5)           ; idle time before a machine is returned, in boot times of its type
+  (warm 1.0)           ; spare capacity for services: standard deviations above expected arrivals
+  (boot-patience 2.5)  ; the boot timeout of a machine, in boot times of its type
+  (spot yes))          ; whether to rent spot machines, which the cloud may reclaim
