--- a/crates/upgrade/tests/windows.rs
+++ b/crates/upgrade/tests/windows.rs
@@ -22,8 +22,8 @@
     policy(windows).expect("windows").windows.is_open(at(when))
 }
 
-/// The field, the value and the reason in the error for an invalid policy.
-fn refusal(text: &str) -> (String, String, String) {
+/// The field, the value and the reason in the error for an invalid setting.
+fn invalid_setting(text: &str) -> (String, String, String) {
     match UpgradePolicy::parse(text, at(NOW)) {
         Err(PolicyError::Invalid { field, value, why }) => (field, value, why),
         other => panic!("{text}: {other:?}"),
@@ -55,7 +55,7 @@
 #[test]
 fn day_range_may_wrap_around_the_week() {
     let weekend = r#"(window saturday monday "01:00" "02:00" "Asia/Tbilisi")"#;
-    // Four hours ahead of UTC. 2026-12-05 is a Saturday.
+    // Tbilisi is four hours ahead of UTC. 2026-12-05 is a Saturday.
     for (when, open) in [
         ("2026-12-04T21:30:00Z", true),
         ("2026-12-05T21:30:00Z", true),
@@ -110,14 +110,14 @@
 fn overlapping_windows_are_rejected_across_time_zones() {
     let same = r#"(upgrade (window monday friday "20:00" "22:00" "Asia/Tbilisi")
         (window friday friday "21:59" "23:00" "Asia/Tbilisi"))"#;
-    let (field, value, why) = refusal(same);
+    let (field, value, why) = invalid_setting(same);
     assert_eq!(field, "window");
     assert_eq!(value, "friday friday 21:59 23:00 Asia/Tbilisi");
     assert!(why.contains("monday friday 20:00 22:00"), "{why}");
     // 20:00 in Berlin is 19:00 or 18:00 UTC, 22:00 in Tbilisi is 18:00 UTC: they overlap only in summer.
     let summer = r#"(upgrade (window monday monday "20:00" "21:00" "Europe/Berlin")
         (window monday monday "22:00" "22:30" "Asia/Tbilisi"))"#;
-    assert!(refusal(summer).2.contains("overlaps"));
+    assert!(invalid_setting(summer).2.contains("overlaps"));
     let apart = r#"(upgrade (window monday monday "20:00" "21:00" "Asia/Tbilisi")
         (window monday monday "21:00" "22:00" "Asia/Tbilisi"))"#;
     assert!(UpgradePolicy::parse(apart, at(NOW)).is_ok());
@@ -159,7 +159,7 @@
         ("(soak 1 2)", "soak", "one value"),
         ("(harvest 3)", "harvest", "is not a setting"),
     ] {
-        let (reported_field, value, reason) = refusal(&format!("(upgrade {entry})"));
+        let (reported_field, value, reason) = invalid_setting(&format!("(upgrade {entry})"));
         assert_eq!(reported_field, field, "{entry}");
         assert!(reason.contains(why), "{entry}: {reason}");
         assert!(!value.is_empty(), "{entry}");
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -173,12 +173,12 @@
     /// The response of a peer is received, or is lost.
     fn receive_response(&mut self, peer: usize, lost: bool) {
         let answered = self.requests[peer].take_if(|q| q.2.is_some());
-        if let Some((asked, sent, Some(page))) = answered.filter(|_| !lost) {
+        if let Some((cursor, sent, Some(page))) = answered.filter(|_| !lost) {
             self.known
                 .extend(page.jobs.iter().map(|job| job.to_string()));
             self.evidence.peer_answered(&PeerAnswer {
                 peer: name(peer),
-                requested_from: asked,
+                requested_from: cursor,
                 sent,
                 received: self.now,
                 page,
@@ -257,12 +257,12 @@
 
 /// Sends one request to the only peer; returns the jobs in the response, which is received at once.
 fn ask(evidence: &mut CancellationEvidence, log: &CancellationLog, now: f64) -> Vec<String> {
-    let asked = evidence.cursor(&name(0));
-    let page = log.page(asked);
+    let cursor = evidence.cursor(&name(0));
+    let page = log.page(cursor);
     let jobs = page.jobs.iter().map(|job| job.to_string()).collect();
     evidence.peer_answered(&PeerAnswer {
         peer: name(0),
-        requested_from: asked,
+        requested_from: cursor,
         sent: now,
         received: now,
         page,
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn leases_are_renewed_during_any_outage_while_all_peers_respond() {
+fn cancellations_are_known_up_to_now_in_any_outage_while_all_peers_respond() {
     let log = CancellationLog::with_incarnation(1, LOG_CAPACITY);
     let mut evidence = initial_evidence(&log);
     for second in 3..2000 {
--- a/tests/common/election_cluster/calls.rs
+++ b/tests/common/election_cluster/calls.rs
@@ -1,4 +1,4 @@
-//! Requests of nodes to the state service, which may be delayed, lost, rejected or applied late.
+//! Requests of controllers to the state service, which may be delayed, lost, rejected or applied late.
 
 use super::{
     Call, Cluster, ProcessId, SimulatedEvent, Watch, CLIENT_TIMEOUT, COMMIT_DELAY, LATENCY,
@@ -31,7 +31,7 @@
             let input = without_response(operation);
             self.schedule(timeout, response(id, *number, input));
         }
-        let faults = &self.nodes[id.node].faults;
+        let faults = &self.controllers[id.controller].faults;
         let partitioned_until = faults.partitioned_until;
         let is_delayed = faults.commits_delayed_until > self.now && is_commit(&call);
         if self.now < partitioned_until {
@@ -69,7 +69,7 @@
 
     /// Handles a call that arrives at the state service.
     pub(super) fn arrive(&mut self, id: ProcessId, call: Call, is_awaited: bool) {
-        let is_rejected = self.nodes[id.node].faults.rejected_until > self.now;
+        let is_rejected = self.controllers[id.controller].faults.rejected_until > self.now;
         if (self.store.outage || is_rejected) && !is_watch(&call) {
             match (is_awaited, call) {
                 // A delayed call is retried until the outage is over.
@@ -99,7 +99,7 @@
 
     /// Whether the response to a call of this process is lost.
     pub(super) fn loses_response(&mut self, id: ProcessId) -> bool {
-        let is_faulty = self.nodes[id.node].faults.responses_lost_until > self.now;
+        let is_faulty = self.controllers[id.controller].faults.responses_lost_until > self.now;
         is_faulty && self.random.chance(self.fault_rate)
     }
 
@@ -108,9 +108,9 @@
         self.deliver(id, response(id, operation_number, input));
     }
 
-    /// Delivers a response to a process, unless its node is partitioned.
+    /// Delivers a response to a process, unless its controller is partitioned.
     pub(super) fn deliver(&mut self, id: ProcessId, response: SimulatedEvent) {
-        if self.nodes[id.node].faults.partitioned_until <= self.now {
+        if self.controllers[id.controller].faults.partitioned_until <= self.now {
             let at = self.now + self.latency();
             self.schedule(at, response);
         }
@@ -169,7 +169,7 @@
             return;
         };
         self.watches.swap_remove(position);
-        if !self.store.outage && self.nodes[id.node].faults.rejected_until <= self.now {
+        if !self.store.outage && self.controllers[id.controller].faults.rejected_until <= self.now {
             let events = self.store.leader_changes_after(u64::MAX);
             self.respond(id, operation_number, watched(events));
         }
@@ -186,7 +186,7 @@
                 operation_number,
                 after,
             } = self.watches[position];
-            let is_rejected = self.nodes[id.node].faults.rejected_until > self.now;
+            let is_rejected = self.controllers[id.controller].faults.rejected_until > self.now;
             let events = self.store.leader_changes_after(after);
             if !is_rejected && !events.events.is_empty() {
                 self.watches.swap_remove(position);
--- a/tests/common/election_cluster/controllers.rs
+++ b/tests/common/election_cluster/controllers.rs
@@ -12,32 +12,32 @@
 use stairstage::storage::records::LEADER_KEY;
 
 impl Cluster {
-    /// Makes the controller of a node resign if it leads.
-    pub(crate) fn resign(&mut self, node: usize) {
-        let Some(process) = &mut self.nodes[node].process else {
+    /// Makes a controller step down if it leads.
+    pub(crate) fn step_down(&mut self, controller: usize) {
+        let Some(process) = &mut self.controllers[controller].process else {
             return;
         };
         if let Some(term) = process.term.take() {
             let term = FencingToken(term.first_token);
-            self.request(node, ElectionRequest::StepDown { term });
+            self.request(controller, ElectionRequest::StepDown { term });
         }
     }
 
-    /// Makes the controller of a node request a higher token if it leads.
-    pub(crate) fn raise_token(&mut self, node: usize) {
-        let Some(process) = &mut self.nodes[node].process else {
+    /// Makes a controller request a higher token if it leads.
+    pub(crate) fn raise_token(&mut self, controller: usize) {
+        let Some(process) = &mut self.controllers[controller].process else {
             return;
         };
         if let Some(term) = process.term.as_mut().filter(|term| !term.raising) {
             term.raising = true;
             let term = FencingToken(term.first_token);
-            self.request(node, ElectionRequest::RaiseToken { term });
+            self.request(controller, ElectionRequest::RaiseToken { term });
         }
     }
 
     /// Passes an input to the election of a process, and applies the resulting step.
     pub(super) fn handle(&mut self, id: ProcessId, input: Input) {
-        let now = self.local_time(id.node);
+        let now = self.local_time(id.controller);
         if let Some(process) = self.process(id) {
             let step = process.election.handle(input, now);
             self.apply_step(id, step);
@@ -46,7 +46,7 @@
 
     /// Schedules the events and the operation of a step.
     pub(super) fn apply_step(&mut self, id: ProcessId, step: Step) {
-        let is_slow = self.nodes[id.node].faults.controller_slow_until > self.now;
+        let is_slow = self.controllers[id.controller].faults.controller_slow_until > self.now;
         let now = self.now;
         let Some(process) = self.process(id) else {
             return;
@@ -70,17 +70,18 @@
         }
     }
 
-    /// Records the tokens that a process was given, and checks that they belong to its node and rise.
+    /// Records a token that a process was given, and checks that the token belongs to its controller and
+    /// exceeds the earlier ones.
     pub(super) fn record_token(&mut self, id: ProcessId, event: &ElectionEvent) {
         let token = match event {
             ElectionEvent::Elected { token } | ElectionEvent::TokenRaised(Some(token)) => token.0,
             _ => return,
         };
-        let name = &self.nodes[id.node].name;
+        let name = &self.controllers[id.controller].name;
         assert_eq!(
             self.store.leader_versions.get(&token),
             Some(name),
-            "the state service has given this token to another node, or to none"
+            "the state service has given this token to another controller, or to none"
         );
         let Some(process) = self.process(id) else {
             return;
@@ -96,7 +97,7 @@
             return;
         };
         let at = if process.requests.is_empty() {
-            self.real_time(id.node, until).max(self.now)
+            self.real_time(id.controller, until).max(self.now)
         } else {
             self.now
         };
@@ -122,9 +123,9 @@
         self.handle(id, input);
     }
 
-    /// Queues a request for the election of a node.
-    pub(super) fn request(&mut self, node: usize, request: ElectionRequest) {
-        let Some(id) = self.process_id(node) else {
+    /// Queues a request for the election of a controller.
+    pub(super) fn request(&mut self, controller: usize, request: ElectionRequest) {
+        let Some(id) = self.process_id(controller) else {
             return;
         };
         let Some(process) = self.process(id) else {
@@ -141,9 +142,9 @@
         }
     }
 
-    /// The controller handles an event of its election.
+    /// A controller handles an event of its election.
     pub(super) fn notified(&mut self, id: ProcessId, event: ElectionEvent) {
-        let now = self.local_time(id.node);
+        let now = self.local_time(id.controller);
         let Some(process) = self.process(id) else {
             return;
         };
@@ -175,7 +176,7 @@
         if self.process(id).is_none() {
             return;
         }
-        if let Some(token) = self.valid_token(id.node) {
+        if let Some(token) = self.valid_token(id.controller) {
             self.schedule(self.now, SimulatedEvent::Send(id, Call::Write { token }));
         }
         self.schedule(self.now + WRITE_INTERVAL, SimulatedEvent::WriteDue(id));
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The controller reads the leader's record after a failed write. It resigns if the record has a later
+    /// A controller reads the leader's record after a failed write. It steps down if the record has a later
     /// version or is gone, unless it is raising its token.
     pub(super) fn write_failed(&mut self, id: ProcessId, leader_version: u64) {
         let Some(process) = self.process(id) else {
@@ -213,7 +214,7 @@
         });
         if lost {
             self.deposed_by_conflict += 1;
-            self.resign(id.node);
+            self.step_down(id.controller);
         }
     }
 }
--- a/tests/common/election_cluster/faults.rs
+++ b/tests/common/election_cluster/faults.rs
@@ -1,45 +1,45 @@
-//! Faults that a test injects into nodes and the state service.
+//! Faults that a test injects into controllers and the state service.
 
 use super::{Cluster, Faults, SimulatedEvent};
 use crate::lease_store::Micros;
 
 impl Cluster {
-    /// Stops a node's process, and starts another after a while.
-    pub(crate) fn restart(&mut self, node: usize, downtime: Micros) {
-        if self.nodes[node].process.take().is_some() {
-            self.schedule(self.now + downtime, SimulatedEvent::Start(node));
+    /// Stops a controller's process, and starts another after a while.
+    pub(crate) fn restart(&mut self, controller: usize, downtime: Micros) {
+        if self.controllers[controller].process.take().is_some() {
+            self.schedule(self.now + downtime, SimulatedEvent::Start(controller));
         }
     }
 
-    /// Pauses a node while its clock runs on.
-    pub(crate) fn pause(&mut self, node: usize, time: Micros) {
-        self.nodes[node].faults.paused_until = self.now + time;
+    /// Pauses a controller while its clock runs on.
+    pub(crate) fn pause(&mut self, controller: usize, time: Micros) {
+        self.controllers[controller].faults.paused_until = self.now + time;
     }
 
-    /// The state service rejects the requests of one node.
-    pub(crate) fn reject_requests(&mut self, node: usize, time: Micros) {
-        self.nodes[node].faults.rejected_until = self.now + time;
+    /// The state service rejects the requests of one controller.
+    pub(crate) fn reject_requests(&mut self, controller: usize, time: Micros) {
+        self.controllers[controller].faults.rejected_until = self.now + time;
     }
 
-    /// Partitions a node from the state service. Requests of the node fail or are held back until the
-    /// partition ends.
-    pub(crate) fn partition(&mut self, node: usize, time: Micros) {
-        self.nodes[node].faults.partitioned_until = self.now + time;
+    /// Partitions a controller from the state service. Its requests fail or are held back until the partition
+    /// ends.
+    pub(crate) fn partition(&mut self, controller: usize, time: Micros) {
+        self.controllers[controller].faults.partitioned_until = self.now + time;
     }
 
-    /// Loses responses to transactions of a node, which are applied.
-    pub(crate) fn lose_responses(&mut self, node: usize, time: Micros) {
-        self.nodes[node].faults.responses_lost_until = self.now + time;
+    /// Applies transactions of a controller and loses the responses.
+    pub(crate) fn lose_responses(&mut self, controller: usize, time: Micros) {
+        self.controllers[controller].faults.responses_lost_until = self.now + time;
     }
 
-    /// Transactions of a node get no response, and are applied after `COMMIT_DELAY`.
-    pub(crate) fn delay_commits(&mut self, node: usize, time: Micros) {
-        self.nodes[node].faults.commits_delayed_until = self.now + time;
+    /// Transactions of a controller get no response, and are applied after `COMMIT_DELAY`.
+    pub(crate) fn delay_commits(&mut self, controller: usize, time: Micros) {
+        self.controllers[controller].faults.commits_delayed_until = self.now + time;
     }
 
-    /// The controller of a node handles the election's events a second late.
-    pub(crate) fn slow_controller(&mut self, node: usize, time: Micros) {
-        self.nodes[node].faults.controller_slow_until = self.now + time;
+    /// A controller handles the events of its election a second late.
+    pub(crate) fn slow_controller(&mut self, controller: usize, time: Micros) {
+        self.controllers[controller].faults.controller_slow_until = self.now + time;
     }
 
     /// The state service rejects all requests.
@@ -51,8 +51,8 @@
 
     /// Ends all faults. Requests that are already delayed stay delayed.
     pub(crate) fn heal(&mut self) {
-        for node in &mut self.nodes {
-            node.faults = Faults::default();
+        for controller in &mut self.controllers {
+            controller.faults = Faults::default();
         }
         if self.store.outage {
             self.outage_until = self.now;
--- a/tests/common/election_cluster/mod.rs
+++ b/tests/common/election_cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A discrete-event simulation of the elections of several nodes against a model of the state service.
+//! A discrete-event simulation of the elections of several controllers against a model of the state service.
 //! Networks, clocks and processes fail, and the invariants are checked after every event.
 
 mod calls;
@@ -16,7 +16,7 @@
 
 /// The timeout of requests to the state service.
 const CLIENT_TIMEOUT: Micros = 12 * SECOND / 10;
-/// The one-way latency between a node and the state service.
+/// The one-way latency between a controller and the state service.
 const LATENCY: RangeInclusive<Micros> = 100..=5_000;
 /// The one-way latency of a slow message.
 const SLOW_LATENCY: RangeInclusive<Micros> = 100_000..=300_000;
@@ -26,31 +26,31 @@
 const COMMIT_DELAY: RangeInclusive<Micros> = SECOND / 2..=12 * SECOND;
 /// The interval of a leader's writes that are conditional on its token.
 const WRITE_INTERVAL: Micros = 3 * SECOND / 20;
-/// The rates of the nodes' clocks, which drift apart by at most 0.05%.
+/// The rates of the controllers' clocks, which drift apart by at most 0.05%.
 const CLOCK_RATES: [f64; 3] = [0.99975, 1.00025, 1.0];
 /// The time after which a slow controller handles an event.
 const CONTROLLER_DELAY: Micros = SECOND;
 /// The key that leaders write.
 const WRITTEN_KEY: &str = "written-by-a-leader";
 
-/// The faults of a node, each with the time until which it lasts.
+/// The faults of a controller, each with the time until which it lasts.
 #[derive(Default)]
 struct Faults {
-    /// The node is paused.
+    /// The controller is paused.
     paused_until: Micros,
-    /// The state service rejects the node's requests.
+    /// The state service rejects the controller's requests.
     rejected_until: Micros,
-    /// The node is partitioned from the state service.
+    /// The controller is partitioned from the state service.
     partitioned_until: Micros,
-    /// Responses to the node's transactions are lost.
+    /// Responses to the controller's transactions are lost.
     responses_lost_until: Micros,
-    /// The node's transactions are applied late.
+    /// The controller's transactions are applied late.
     commits_delayed_until: Micros,
-    /// The node's controller handles events late.
+    /// The controller handles the events of its election late.
     controller_slow_until: Micros,
 }
 
-/// The term of a leader, as its controller knows it.
+/// The term of a leader, as the events of its election have reported it.
 struct ModelTerm {
     first_token: u64,
     token: u64,
@@ -69,24 +69,24 @@
     operation: Operation,
     requests: VecDeque<ElectionRequest>,
     term: Option<ModelTerm>,
-    /// When the controller handles the last event that was reported to it.
+    /// When the controller handles the last event that its election has reported.
     notified_at: Micros,
     /// The tokens that this process knows to be its own.
     tokens: BTreeSet<u64>,
 }
 
-/// A node, whose process may be down.
-struct Node {
+/// A controller, whose process may be down.
+struct Controller {
     name: String,
     clock_rate: f64,
     faults: Faults,
     process: Option<Process>,
 }
 
-/// Identifies a process among all that a node has had.
+/// Identifies a process among all that a controller has had.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ProcessId {
-    node: usize,
+    controller: usize,
     process: u64,
 }
 
@@ -95,19 +95,19 @@
 enum Call {
     /// An operation of the election.
     Election { number: u64, operation: Operation },
-    /// The controller's own write, conditional on its token.
+    /// A write of the controller that is conditional on its token.
     Write { token: u64 },
 }
 
 /// An event of the simulation.
 enum SimulatedEvent {
-    /// A call leaves its node.
+    /// A call leaves its controller.
     Send(ProcessId, Call),
     /// A call arrives at the state service.
     Arrive {
         id: ProcessId,
         call: Call,
-        /// Whether the caller still waits for the response.
+        /// Whether the caller gets the response.
         is_awaited: bool,
     },
     /// An operation's outcome reaches its process.
@@ -136,7 +136,7 @@
     Notified(ProcessId, ElectionEvent),
     /// The controller writes if it leads.
     WriteDue(ProcessId),
-    /// A node's process starts.
+    /// A controller's process starts.
     Start(usize),
     /// An outage of the state service ends.
     OutageOver,
@@ -149,17 +149,17 @@
     after: u64,
 }
 
-/// A leader's record that its own node does not know of, and since when.
+/// A version of the leader's record that its controller does not know as its own, and since when.
 struct UnknownRecord {
     version: u64,
     since: Micros,
 }
 
-/// A token that was valid, with the node that held it.
+/// A token that was valid, with the controller that held it.
 #[derive(Clone, Copy, Debug)]
 struct ValidToken {
     token: u64,
-    node: usize,
+    controller: usize,
 }
 
 /// The simulation.
@@ -171,7 +171,7 @@
     /// Leaders that learned from a failed write that they are deposed.
     pub deposed_by_conflict: u32,
     lease: Micros,
-    nodes: Vec<Node>,
+    controllers: Vec<Controller>,
     /// The events by their time and by the order in which they were scheduled.
     queue: BTreeMap<(Micros, u64), SimulatedEvent>,
     scheduled_events: u64,
@@ -186,7 +186,7 @@
 }
 
 impl Cluster {
-    /// Creates nodes whose leases last for `lease`. A fault of requests affects each request with the
+    /// Creates controllers whose leases last for `lease`. A fault of requests affects each request with the
     /// probability `fault_rate`.
     pub(crate) fn new(
         lease: Micros,
@@ -194,8 +194,8 @@
         fault_rate: f64,
         seed: u64,
     ) -> Cluster {
-        let nodes = CLOCK_RATES.iter().enumerate().map(|(i, rate)| Node {
-            name: format!("node-{i}"),
+        let controllers = CLOCK_RATES.iter().enumerate().map(|(i, rate)| Controller {
+            name: format!("controller-{i}"),
             clock_rate: *rate,
             faults: Faults::default(),
             process: None,
@@ -206,7 +206,7 @@
             elections: 0,
             deposed_by_conflict: 0,
             lease,
-            nodes: nodes.collect(),
+            controllers: controllers.collect(),
             queue: BTreeMap::new(),
             scheduled_events: 0,
             processes: 0,
@@ -217,34 +217,36 @@
             highest_valid: None,
             unknown_record: None,
         };
-        for node in 0..cluster.nodes.len() {
-            cluster.start(node);
+        for controller in 0..cluster.controllers.len() {
+            cluster.start(controller);
         }
         cluster
     }
 
-    /// The number of nodes.
-    pub(crate) fn nodes(&self) -> usize {
-        self.nodes.len()
+    /// The number of controllers.
+    pub(crate) fn controllers(&self) -> usize {
+        self.controllers.len()
     }
 
-    /// The node that believes its lease valid.
+    /// The controller that believes its lease valid.
     pub(crate) fn leader(&self) -> Option<usize> {
-        let leads = |node: &usize| self.valid_token(*node).is_some();
-        (0..self.nodes.len()).find(leads)
+        let leads = |controller: &usize| self.valid_token(*controller).is_some();
+        (0..self.controllers.len()).find(leads)
     }
 
-    /// The token of a node that believes its lease valid.
-    pub(crate) fn valid_token(&self, node: usize) -> Option<u64> {
-        let process = self.nodes[node].process.as_ref()?;
+    /// The token of a controller that believes its lease valid.
+    pub(crate) fn valid_token(&self, controller: usize) -> Option<u64> {
+        let process = self.controllers[controller].process.as_ref()?;
         let term = process.term.as_ref()?;
-        (self.local_time(node) < term.valid_until).then_some(term.token)
+        (self.local_time(controller) < term.valid_until).then_some(term.token)
     }
 
-    /// The node that the leader's record names, whether or not that node knows it.
+    /// The controller that the leader's record names, whether or not that controller knows it.
     pub(crate) fn recorded_leader(&self) -> Option<usize> {
         let record = self.store.leader()?;
-        self.nodes.iter().position(|node| node.name == record.name)
+        self.controllers
+            .iter()
+            .position(|controller| controller.name == record.name)
     }
 
     /// Simulates until the time `end`.
@@ -277,7 +279,7 @@
         self.run_until(self.now + time);
     }
 
-    /// Simulates until a node other than `former` leads, and fails if that takes longer than `within`.
+    /// Simulates until a controller other than `former` leads, and fails if that takes longer than `within`.
     pub(crate) fn run_until_elected(&mut self, former: Option<usize>, within: Micros) -> usize {
         let end = self.now + within;
         while self.now < end {
@@ -287,7 +289,7 @@
                 _ => {}
             }
         }
-        panic!("no node other than {former:?} leads within {within} microseconds");
+        panic!("no controller other than {former:?} leads within {within} microseconds");
     }
 
     /// Schedules an event at a time.
@@ -296,31 +298,38 @@
         self.queue.insert((at, self.scheduled_events), event);
     }
 
-    /// The clock reading of a node, in seconds since its process started.
-    fn local_time(&self, node: usize) -> f64 {
-        let Some(process) = &self.nodes[node].process else {
+    /// The clock reading of a controller, in seconds since its process started.
+    fn local_time(&self, controller: usize) -> f64 {
+        let Some(process) = &self.controllers[controller].process else {
             return 0.0;
         };
-        (self.now - process.started) as f64 * self.nodes[node].clock_rate / SECOND as f64
+        (self.now - process.started) as f64 * self.controllers[controller].clock_rate
+            / SECOND as f64
     }
 
     /// The time when the clock of a process shows at least `local`, with a margin of 2 microseconds for
     /// rounding.
-    fn real_time(&self, node: usize, local: f64) -> Micros {
-        let started = self.nodes[node].process.as_ref().map_or(0, |p| p.started);
-        started + (local / self.nodes[node].clock_rate * SECOND as f64) as Micros + 2
+    fn real_time(&self, controller: usize, local: f64) -> Micros {
+        let started = self.controllers[controller]
+            .process
+            .as_ref()
+            .map_or(0, |p| p.started);
+        started + (local / self.controllers[controller].clock_rate * SECOND as f64) as Micros + 2
     }
 
     /// A process, if it is still running.
     fn process(&mut self, id: ProcessId) -> Option<&mut Process> {
-        let process = self.nodes[id.node].process.as_mut();
+        let process = self.controllers[id.controller].process.as_mut();
         process.filter(|process| process.id == id.process)
     }
 
-    /// The process that runs on a node.
-    fn process_id(&self, node: usize) -> Option<ProcessId> {
-        let process = self.nodes[node].process.as_ref()?.id;
-        Some(ProcessId { node, process })
+    /// The running process of a controller.
+    fn process_id(&self, controller: usize) -> Option<ProcessId> {
+        let process = self.controllers[controller].process.as_ref()?.id;
+        Some(ProcessId {
+            controller,
+            process,
+        })
     }
 
     /// Handles an event.
@@ -353,13 +362,13 @@
             } => self.wait_over(id, operation_number),
             SimulatedEvent::Notified(id, event) => self.notified(id, event),
             SimulatedEvent::WriteDue(id) => self.write(id),
-            SimulatedEvent::Start(node) => self.start(node),
+            SimulatedEvent::Start(controller) => self.start(controller),
             SimulatedEvent::OutageOver if self.now >= self.outage_until => self.end_outage(),
             SimulatedEvent::OutageOver => {}
         }
     }
 
-    /// The time until which an event within a node is postponed because the node is paused.
+    /// The time until which an event within a controller is postponed because the controller is paused.
     fn paused_until(&self, event: &SimulatedEvent) -> Option<Micros> {
         let id = match event {
             SimulatedEvent::Send(id, _)
@@ -373,20 +382,20 @@
             | SimulatedEvent::Start(_)
             | SimulatedEvent::OutageOver => return None,
         };
-        let paused = self.nodes[id.node].faults.paused_until;
+        let paused = self.controllers[id.controller].faults.paused_until;
         (self.now < paused).then_some(paused)
     }
 
-    /// Starts a process on a node that has none.
-    fn start(&mut self, node: usize) {
-        if self.nodes[node].process.is_some() {
+    /// Starts a process of a controller that has none.
+    fn start(&mut self, controller: usize) {
+        if self.controllers[controller].process.is_some() {
             return;
         }
         self.processes += 1;
         let lease = Duration::from_micros(self.lease);
-        let mut election = Election::new(self.nodes[node].name.clone(), lease);
+        let mut election = Election::new(self.controllers[controller].name.clone(), lease);
         let first = election.start();
-        self.nodes[node].process = Some(Process {
+        self.controllers[controller].process = Some(Process {
             id: self.processes,
             started: self.now,
             election,
@@ -398,7 +407,7 @@
             tokens: BTreeSet::new(),
         });
         let id = ProcessId {
-            node,
+            controller,
             process: self.processes,
         };
         self.apply_step(id, first);
--- a/tests/common/lease_store.rs
+++ b/tests/common/lease_store.rs
@@ -61,7 +61,7 @@
     keys: BTreeMap<String, StoredKey>,
     leases: BTreeMap<LeaseId, Lease>,
     leader_changes: Vec<Event>,
-    /// Which node wrote each version of the leader's record.
+    /// Which controller wrote each version of the leader's record.
     pub leader_versions: BTreeMap<u64, String>,
     pub outage: bool,
     random: Random,
--- a/tests/common/local_cluster.rs
+++ b/tests/common/local_cluster.rs
@@ -72,19 +72,19 @@
 
     /// Applies a put or a delete at the present revision.
     fn change(&mut self, change: &Value) {
-        let stamp = self.revision;
+        let version = self.revision;
         if let Some(key) = change["write"].as_str() {
             let entry = Entry {
                 value: change["v"].clone(),
-                version: stamp,
+                version,
                 lease: change["mooring"].as_u64(),
             };
             self.keys.insert(key.into(), entry);
             self.changes
-                .push(json!({"write": key, "v": change["v"], "stamp": stamp}));
+                .push(json!({"write": key, "v": change["v"], "stamp": version}));
         } else if let Some(key) = change["delete"].as_str() {
             self.keys.remove(key);
-            self.changes.push(json!({"delete": key, "stamp": stamp}));
+            self.changes.push(json!({"delete": key, "stamp": version}));
         }
     }
 
@@ -250,7 +250,7 @@
     pub attempt: u64,
 }
 
-/// The worker of the only machine. Its tasks run until `finish` is set.
+/// The worker of the only machine. Its tasks run until `completes_tasks` is set.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub token: u64,
@@ -258,7 +258,7 @@
     /// The state of each attempt, as written in the protocol.
     pub tasks: BTreeMap<AttemptId, &'static str>,
     /// Whether all tasks complete before the next heartbeat.
-    pub finish: bool,
+    pub completes_tasks: bool,
     /// The tasks that were started, in the order of their starts.
     pub starts: Vec<String>,
 }
@@ -267,7 +267,7 @@
     /// The next heartbeat, with the address where direct commands arrive.
     pub(crate) fn heartbeat(&mut self, endpoint: SocketAddr) -> Value {
         self.sequence += 1;
-        if self.finish {
+        if self.completes_tasks {
             self.tasks.values_mut().for_each(|t| *t = "exited");
         }
         let task = |(id, state): (&AttemptId, &&str)| {
@@ -363,14 +363,14 @@
 
 /// Retries until there is a result. The limit of 240 s is ample for a slow machine, so that only a hang fails
 /// the test.
-pub(crate) fn until<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+pub(crate) fn wait_until<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
+    let started_at = Instant::now();
     loop {
         if let Some(result) = attempt() {
             return result;
         }
         assert!(
-            begun.elapsed() < Duration::from_secs(240),
+            started_at.elapsed() < Duration::from_secs(240),
             "timed out: {what}"
         );
         std::thread::sleep(Duration::from_millis(50));
@@ -563,8 +563,8 @@
     }
 
     /// Sends a heartbeat of the worker to each of these controllers. Only the leader responds with commands.
-    pub(crate) fn send_heartbeats(&self, nodes: &[usize]) {
-        for i in nodes {
+    pub(crate) fn send_heartbeats(&self, controllers: &[usize]) {
+        for i in controllers {
             let body = self.worker.lock().unwrap().heartbeat(self.worker_address);
             if let Some((200, answer)) = call("POST", &self.api_address(*i), "/agent/beat", &body) {
                 self.worker.lock().unwrap().execute(&answer);
@@ -600,7 +600,7 @@
 
 /// Submits a job, and retries until the status is below 500. Returns the status.
 pub(crate) fn submit_job(address: &str, job: &Value) -> u16 {
-    until("a submission is accepted", || {
+    wait_until("a submission is accepted", || {
         let (status, _) = call("POST", address, "/v2/runs", job)?;
         (status < 500).then_some(status)
     })
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -69,7 +69,7 @@
 }
 
 /// Parses a submission.
-pub(crate) fn parsed(submission: &Value) -> JobSpec {
+pub(crate) fn parse_submission(submission: &Value) -> JobSpec {
     JobSpec::parse(submission.to_string().as_bytes()).unwrap()
 }
 
@@ -131,7 +131,7 @@
         body["fix_s"] = json!(2.0);
     }
     body["due_s"] = json!(due_s);
-    let spec = parsed(&body);
+    let spec = parse_submission(&body);
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, 0.0);
 }
 
@@ -219,16 +219,16 @@
 
 /// The attempts that the manager starts by direct commands at `now`.
 pub(crate) fn started_attempts(manager: &mut ClusterManager, now: f64) -> Vec<AttemptId> {
-    let mut launched = Vec::new();
+    let mut started = Vec::new();
     apply_effects(manager, now, |_, effect| {
         if let Effect::SendCommands {
             commands: batch, ..
         } = effect
         {
-            launched.extend(starts(&batch.commands));
+            started.extend(starts(&batch.commands));
         }
     });
-    launched
+    started
 }
 
 /// The attempts that commands start.
@@ -246,14 +246,14 @@
     state: TaskState,
     cause: Option<Cause>,
 ) -> Vec<TaskStatus> {
-    let show = |id: &AttemptId| TaskStatus {
+    let status = |id: &AttemptId| TaskStatus {
         task: id.task.clone(),
         attempt: id.attempt,
         state,
         cause,
         saved: None,
     };
-    tasks.iter().map(show).collect()
+    tasks.iter().map(status).collect()
 }
 
 /// A model of the state service that checks conditions and size limits.
@@ -268,7 +268,7 @@
 
 /// Why a transaction was not applied.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Refusal {
+pub(crate) enum CommitError {
     Conflict,
     TooLarge,
 }
@@ -304,12 +304,12 @@
     }
 
     /// Applies a transaction if all its conditions hold; returns the new revision.
-    pub(crate) fn commit(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
+    pub(crate) fn commit(&mut self, txn: &Transaction) -> Result<u64, CommitError> {
         if !self.is_within_limits(txn) {
-            return Err(Refusal::TooLarge);
+            return Err(CommitError::TooLarge);
         }
         if !self.conflicts(txn).is_empty() {
-            return Err(Refusal::Conflict);
+            return Err(CommitError::Conflict);
         }
         self.revision += 1;
         for change in &txn.operations {
@@ -326,8 +326,8 @@
         Ok(self.revision)
     }
 
-    /// The value and the version of a key.
-    pub(crate) fn item(&self, key: &str) -> Option<VersionedValue> {
+    /// The value and the version of a key, if the key exists.
+    pub(crate) fn get(&self, key: &str) -> Option<VersionedValue> {
         let (value, version) = self.values.get(key)?.clone();
         Some(VersionedValue {
             key: key.to_string(),
@@ -348,10 +348,10 @@
 
     /// The first `limit` items with a prefix whose keys follow `after`.
     pub(crate) fn page(&self, prefix: &str, after: &str, limit: usize) -> Page {
-        let behind = (Bound::Excluded(after), Bound::Unbounded);
-        let keys = self.values.range::<str, _>(behind).map(|(key, _)| key);
+        let following = (Bound::Excluded(after), Bound::Unbounded);
+        let keys = self.values.range::<str, _>(following).map(|(key, _)| key);
         let keys = keys.filter(|key| key.starts_with(prefix)).take(limit + 1);
-        let mut items: Vec<VersionedValue> = keys.filter_map(|key| self.item(key)).collect();
+        let mut items: Vec<VersionedValue> = keys.filter_map(|key| self.get(key)).collect();
         let more = items.len() > limit;
         items.truncate(limit);
         Page {
@@ -364,7 +364,7 @@
     /// All items with a prefix.
     pub(crate) fn with_prefix(&self, prefix: &str) -> Vec<VersionedValue> {
         let keys = self.values.keys().filter(|k| k.starts_with(prefix));
-        keys.filter_map(|k| self.item(k)).collect()
+        keys.filter_map(|k| self.get(k)).collect()
     }
 
     /// The records that a new leader reads.
@@ -376,19 +376,19 @@
         }
     }
 
-    /// The outcome of a write without a response, after its keys were read again.
-    pub(crate) fn reread(&self, txn: &Transaction) -> WriteOutcome {
+    /// The outcome of a write without a response, with the values of the compared keys, read again.
+    pub(crate) fn indeterminate_outcome(&self, txn: &Transaction) -> WriteOutcome {
         let keys = txn.compares.iter().map(|c| c.key.clone());
-        WriteOutcome::Indeterminate(keys.map(|k| (k.clone(), self.item(&k))).collect())
+        WriteOutcome::Indeterminate(keys.map(|k| (k.clone(), self.get(&k))).collect())
     }
 
     /// The recorded final states of jobs.
     pub(crate) fn final_states(&self, ids: &[JobId]) -> Vec<(JobId, Option<FinalStateRecord>)> {
-        let end = |id: &JobId| {
+        let final_state = |id: &JobId| {
             let (value, _) = self.values.get(&final_state_key(id))?;
             Some(serde_json::from_value(value.clone()).unwrap())
         };
-        ids.iter().map(|id| (id.clone(), end(id))).collect()
+        ids.iter().map(|id| (id.clone(), final_state(id))).collect()
     }
 
     /// Rewrites the records as a leader of the production release does, which knows only one layout:
@@ -419,10 +419,10 @@
         for item in self.with_prefix(PLACEMENT_PREFIX) {
             let record: StoredPlacements = serde_json::from_value(item.value).unwrap();
             for (id, machines) in record.allocations {
-                for (machine, places) in machines {
+                for (machine, placements) in machines {
                     let merged = all.allocations.entry(id.clone()).or_default();
                     let merged = merged.entry(machine).or_default();
-                    merged.extend(places);
+                    merged.extend(placements);
                     merged.sort_unstable();
                     merged.dedup();
                 }
--- a/tests/common/saturated_fleet.rs
+++ b/tests/common/saturated_fleet.rs
@@ -1,7 +1,7 @@
 //! A leader of machines without free resources.
 
 use super::{
-    for_each_effect, heartbeat_from, manager, parsed, starts, submission, task_statuses,
+    for_each_effect, heartbeat_from, manager, parse_submission, starts, submission, task_statuses,
     worker_heartbeat,
 };
 use serde_json::Value;
@@ -50,7 +50,7 @@
 
 /// The job whose four tasks fill a machine.
 pub(crate) fn job_of_machine(machine: u32) -> OpenRecord {
-    let spec = parsed(&submission(&format!("req-{machine}"), "sweep", "normal", 4));
+    let spec = parse_submission(&submission(&format!("req-{machine}"), "sweep", "normal", 4));
     OpenRecord::accepted(spec, 0)
 }
 
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    apply_effects, heartbeat, heartbeat_from, machine_type, manager, parsed, started_attempts,
-    starts, submission, task_statuses, worker_heartbeat,
+    apply_effects, heartbeat, heartbeat_from, machine_type, manager, parse_submission,
+    started_attempts, starts, submission, task_statuses, worker_heartbeat,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, HeartbeatOutcome};
@@ -41,7 +41,7 @@
     for (field, value) in overrides {
         body[*field] = value.clone();
     }
-    manager.job_accepted(OpenRecord::accepted(parsed(&body), 0), 1, 0, 0.0);
+    manager.job_accepted(OpenRecord::accepted(parse_submission(&body), 0), 1, 0, 0.0);
     let mut rents = Vec::new();
     for second in 1..5 {
         let now = f64::from(second);
@@ -151,7 +151,7 @@
         let mut body = submission(&format!("req-{number}"), "sweep", "normal", tasks);
         body["cpus"] = json!(cpus);
         body["passage_s"] = json!(run_s);
-        let record = OpenRecord::accepted(parsed(&body), 0);
+        let record = OpenRecord::accepted(parse_submission(&body), 0);
         self.manager.job_accepted(record, number, 0, self.now);
     }
 
@@ -230,7 +230,7 @@
     let mut manager = one_machine();
     let mut job = submission("req-1", "sweep", "normal", 1);
     job["cpus"] = json!(4.0);
-    manager.job_accepted(OpenRecord::accepted(parsed(&job), 0), 1, 0, 0.0);
+    manager.job_accepted(OpenRecord::accepted(parse_submission(&job), 0), 1, 0, 0.0);
     let first = started_attempts(&mut manager, 0.5);
     assert_eq!(first.len(), 1);
     heartbeat(
@@ -242,7 +242,7 @@
     // The lease of its worker expires, and long tasks of a higher priority take the machine's resources.
     let mut long = submission("req-2", "sweep", "urgent", 4);
     long["passage_s"] = json!(5000.0);
-    manager.job_accepted(OpenRecord::accepted(parsed(&long), 0), 2, 0, 16.0);
+    manager.job_accepted(OpenRecord::accepted(parse_submission(&long), 0), 2, 0, 16.0);
     answer_in_second_incarnation(&mut manager, 3, Vec::new(), 16.5);
     apply_effects(&mut manager, 17.0, |_, _| {});
     let others = starts(&answer_in_second_incarnation(
--- a/tests/election.rs
+++ b/tests/election.rs
@@ -62,7 +62,7 @@
     LeaderRejectedThenOutage(Micros),
     RestartLeader(Micros),
     PauseLeader(Micros),
-    Resign,
+    StepDown,
     RaiseToken,
 }
 
@@ -92,7 +92,7 @@
         long.clone().prop_map(Fault::LeaderRejectedThenOutage),
         either().prop_map(Fault::RestartLeader),
         either().prop_map(Fault::PauseLeader),
-        Just(Fault::Resign),
+        Just(Fault::StepDown),
         Just(Fault::RaiseToken),
         Just(Fault::RaiseToken),
     ]
@@ -128,7 +128,7 @@
         }
         Fault::RestartLeader(time) => cluster.restart(leader, time),
         Fault::PauseLeader(time) => cluster.pause(leader, time),
-        Fault::Resign => cluster.resign(leader),
+        Fault::StepDown => cluster.step_down(leader),
         Fault::RaiseToken => cluster.raise_token(leader),
         other => unreachable!("{other:?} is not a fault of the leader"),
     }
@@ -136,7 +136,7 @@
 
 /// Stops all processes and starts them again after this time.
 fn restart_all(cluster: &mut Cluster, downtime: Micros) {
-    for controller in 0..cluster.nodes() {
+    for controller in 0..cluster.controllers() {
         cluster.restart(controller, downtime);
     }
 }
@@ -195,15 +195,15 @@
 }
 
 #[test]
-fn sole_restarted_controller_is_elected_after_two_resignations_and_a_full_stop() {
+fn sole_restarted_controller_is_elected_after_two_leaders_stepped_down_and_all_stopped() {
     for downtime in [SECOND / 4, SECOND, 3 * LEASE] {
         let (mut cluster, first) = cluster_with_leader();
-        cluster.resign(first);
+        cluster.step_down(first);
         let second = cluster.run_until_elected(Some(first), LEASE);
         cluster.run_for(2 * LEASE);
-        cluster.resign(second);
+        cluster.step_down(second);
         cluster.run_until_elected(Some(second), LEASE);
-        for controller in 0..cluster.nodes() {
+        for controller in 0..cluster.controllers() {
             cluster.restart(
                 controller,
                 if controller == first {
@@ -242,7 +242,7 @@
 #[test]
 fn campaign_with_lost_response_elects_a_leader_within_two_leases() {
     let mut cluster = cluster();
-    for controller in 0..cluster.nodes() {
+    for controller in 0..cluster.controllers() {
         cluster.lose_responses(controller, SECOND / 10);
     }
     cluster.run_until_elected(None, 2 * LEASE);
@@ -252,7 +252,7 @@
 #[test]
 fn delayed_campaign_transaction_elects_no_leader() {
     let (mut cluster, leader) = cluster_with_leader();
-    for controller in 0..cluster.nodes() {
+    for controller in 0..cluster.controllers() {
         cluster.delay_commits(controller, 2 * LEASE);
     }
     cluster.restart(leader, SECOND / 4);
@@ -285,7 +285,11 @@
     cluster.raise_token(leader);
     for _ in 0..400 {
         cluster.run_for(LEASE / 20);
-        assert_eq!(cluster.leader(), Some(leader), "its lease never expires");
+        assert_eq!(
+            cluster.leader(),
+            Some(leader),
+            "the lease of the leader never expires"
+        );
     }
     assert!(cluster.valid_token(leader) > token);
     assert_eq!((cluster.elections, cluster.deposed_by_conflict), (1, 0));
@@ -346,7 +350,7 @@
     for moment in 0..40 {
         let mut cluster = cluster();
         cluster.run_for(moment * SECOND / 2000);
-        for controller in 1..cluster.nodes() {
+        for controller in 1..cluster.controllers() {
             cluster.restart(controller, LEASE / 2);
         }
         cluster.pause(0, LEASE - MAX_EXPIRY_DELAY + moment * SECOND / 100);
@@ -383,7 +387,7 @@
 fn delayed_controller_request_of_an_earlier_term_has_no_effect() {
     for raises_token in [false, true] {
         let (mut cluster, leader) = cluster_with_leader();
-        for controller in (0..cluster.nodes()).filter(|controller| *controller != leader) {
+        for controller in (0..cluster.controllers()).filter(|controller| *controller != leader) {
             cluster.restart(controller, 20 * LEASE);
         }
         // The lease expires. The election wins the next term before its controller learns that it has
@@ -392,7 +396,7 @@
         cluster.slow_controller(leader, 3 * LEASE);
         cluster.run_for(2 * LEASE + SECOND / 2);
         if !raises_token {
-            cluster.resign(leader);
+            cluster.step_down(leader);
         } else {
             cluster.raise_token(leader);
         }
--- a/tests/failing_jobs.rs
+++ b/tests/failing_jobs.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use common::{for_each_effect, heartbeat_from, manager, parsed, starts, submission, task_statuses};
+use common::{
+    for_each_effect, heartbeat_from, manager, parse_submission, starts, submission, task_statuses,
+};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
 use stairstage::coordination::manager::ClusterManager;
 use stairstage::protocol::worker::{Cause, TaskState, TaskStatus};
@@ -47,7 +49,7 @@
 
     /// Submits an array.
     fn submit(&mut self, id: &str, tasks: u32, sequence: u64) {
-        let spec = parsed(&submission(id, "sweep", "normal", tasks));
+        let spec = parse_submission(&submission(id, "sweep", "normal", tasks));
         let record = OpenRecord::accepted(spec, 0);
         self.manager.job_accepted(record, sequence, 0, self.now);
     }
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn job_that_stops_failing_gets_all_its_machines_again_soon() {
+fn job_that_stops_failing_runs_on_all_machines_again_within_45_s() {
     let mut fleet = Fleet::new();
     fleet.submit("req-1", SLOTS as u32, 1);
     for _ in 0..4 {
--- a/tests/fault_recovery.rs
+++ b/tests/fault_recovery.rs
@@ -5,8 +5,8 @@
 
 use common::{
     apply_effects, for_each_effect, heartbeat, heartbeat_starts, lose_commands, manager,
-    manager_with_token, parsed, started_attempts, starts, submission, submit, task_statuses,
-    worker_heartbeat, AttemptId,
+    manager_with_token, parse_submission, started_attempts, starts, submission, submit,
+    task_statuses, worker_heartbeat, AttemptId,
 };
 use stairstage::coordination::cluster::heartbeat_routing::{HeartbeatRouter, Route};
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome, WriteOutcome};
@@ -221,8 +221,8 @@
     assert_eq!(route(8, 20.0), Route::Redirect);
 }
 
-/// The worker may have come because it cannot reach the leader, and may have lost half of its lease while it
-/// tried.
+/// The worker may have switched to this controller because it cannot reach the leader, and half of its lease
+/// may have passed while it tried.
 #[test]
 fn first_heartbeat_of_a_worker_with_a_short_lease_is_forwarded() {
     let mut router = HeartbeatRouter::new(&workers_with_lease(10.0));
@@ -247,7 +247,7 @@
     assert_eq!(manager.job_count(), 1);
     manager.cancel("req-1", 0.0);
     manager.cancel("req-1", 0.5);
-    let spec = common::parsed(&common::submission("req-1", "sweep", "normal", 4));
+    let spec = common::parse_submission(&common::submission("req-1", "sweep", "normal", 4));
     let record = OpenRecord::accepted(spec, 0);
     manager.job_accepted(record, 1, 0, 1.0);
     assert!(manager.status("req-1").is_none_or(|s| s.done == 0));
@@ -286,7 +286,7 @@
 
 /// Submits an array of one task.
 fn submit_one_task(manager: &mut ClusterManager, id: &str, sequence: u64, now: f64) {
-    let spec = parsed(&submission(id, "sweep", "normal", 1));
+    let spec = parse_submission(&submission(id, "sweep", "normal", 1));
     manager.job_accepted(OpenRecord::accepted(spec, 0), sequence, 0, now);
 }
 
@@ -317,7 +317,7 @@
     submit_one_task(&mut manager, "req-1", 1, 0.0);
     let (_, launches) = run_step(&mut manager, 0.0);
     assert_eq!(launches.len(), 1);
-    // While that command is unanswered, the launch of req-2 is sent in the response to a heartbeat.
+    // While the first command is unanswered, the launch of req-2 is sent in the response to a heartbeat.
     submit_one_task(&mut manager, "req-2", 2, 0.5);
     assert!(run_step(&mut manager, 0.5).1.is_empty());
     let in_response = heartbeat_starts(&mut manager, &worker_heartbeat("m-1", 2, 1, vec![]), 0.6);
--- a/tests/fences.rs
+++ b/tests/fences.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    heartbeat, heartbeat_from, manager, parsed, request_context, submission, submit, Store,
-    SETTINGS,
+    heartbeat, heartbeat_from, manager, parse_submission, request_context, submission, submit,
+    Store, SETTINGS,
 };
 use serde_json::json;
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
@@ -181,9 +181,9 @@
     let (mut request, _) = Request::cancellation("req-1".into(), request_context(write_fence(1)));
     let mut store = Store::default();
     let body = submission("req-1", "sweep", "normal", 4);
-    let open = json!({"spec": serde_json::to_value(parsed(&body)).unwrap(), "at_ms": 0});
+    let open = json!({"spec": serde_json::to_value(parse_submission(&body)).unwrap(), "at_ms": 0});
     store.values.insert(open_key("req-1"), (open, 3));
-    let read = StoreAnswer::Read(Ok(store.item(&open_key("req-1"))));
+    let read = StoreAnswer::Read(Ok(store.get(&open_key("req-1"))));
     let effects = request.on_event(RequestEvent::Store(read));
     assert_eq!(
         compared_mod_revision(committed(&effects)),
@@ -217,14 +217,16 @@
 }
 
 #[test]
-fn resubmitted_dependent_job_is_recognized_at_any_version() {
+fn resubmitted_dependent_job_is_recognized_at_old_version() {
     let body = dependent_submission();
     let (mut request, _) = Request::submission(body.as_bytes(), request_context(write_fence(1)));
     request.on_event(RequestEvent::Store(StoreAnswer::Read(Ok(None))));
     let mut store = Store::default();
-    let end = json!({"state": "done"});
-    store.values.insert(final_state_key("req-2"), (end, 3));
-    let read = StoreAnswer::Read(Ok(store.item(&final_state_key("req-2"))));
+    let final_state = json!({"state": "done"});
+    store
+        .values
+        .insert(final_state_key("req-2"), (final_state, 3));
+    let read = StoreAnswer::Read(Ok(store.get(&final_state_key("req-2"))));
     let effects = request.on_event(RequestEvent::Store(read));
     let accepted =
         matches!(effects.last(), Some(RequestEffect::Answer(answer)) if answer.status() == 200);
--- a/tests/histories/checks.rs
+++ b/tests/histories/checks.rs
@@ -42,13 +42,13 @@
         let job = &self.jobs[id];
         for dependency in &job.spec.waits_on {
             assert!(self.is_complete(dependency), "too_early: {task}");
-            let end = &self
+            let final_state = &self
                 .store
-                .item(&final_state_key(dependency))
-                .expect("recorded")
+                .get(&final_state_key(dependency))
+                .expect("a recorded final state")
                 .value;
             assert_eq!(
-                end["state"], "done",
+                final_state["state"], "done",
                 "too_early: {task} starts before {dependency} is done"
             );
         }
@@ -200,8 +200,8 @@
         }
         let recorded = &self
             .store
-            .item(&final_state_key(id))
-            .expect("recorded")
+            .get(&final_state_key(id))
+            .expect("a recorded final state")
             .value;
         assert_eq!(
             recorded["state"],
--- a/tests/histories/delivery.rs
+++ b/tests/histories/delivery.rs
@@ -1,6 +1,6 @@
 //! Applies the effects of controllers, and delivers heartbeats and commands.
 
-use super::common::Refusal;
+use super::common::CommitError;
 use super::leader::Leader;
 use super::worker::Worker;
 use super::world::{World, WriteFault};
@@ -92,8 +92,8 @@
             }
             Effect::JobFinished { id, state } => self.check_reported_final_state(&id, state),
             Effect::ReadFinalStates(ids) => {
-                let ends = self.store.final_states(&ids);
-                self.with_controller(from, |manager| manager.final_states_found(ends, now));
+                let found = self.store.final_states(&ids);
+                self.with_controller(from, |manager| manager.final_states_found(found, now));
             }
         }
     }
@@ -133,12 +133,12 @@
         let fault = std::mem::take(&mut self.next_write_fault);
         let result = match fault {
             WriteFault::None | WriteFault::ResponseLost => self.store.commit(&transaction),
-            WriteFault::RequestLost | WriteFault::Delayed => Err(Refusal::Conflict),
+            WriteFault::RequestLost | WriteFault::Delayed => Err(CommitError::Conflict),
         };
         self.check_write_size(&transaction, &result);
         let written = match (fault, result) {
             (WriteFault::None, Ok(revision)) => WriteOutcome::Applied(revision),
-            _ => self.store.reread(&transaction),
+            _ => self.store.indeterminate_outcome(&transaction),
         };
         if fault != WriteFault::RequestLost {
             self.replayable_transactions.push(transaction);
@@ -151,10 +151,10 @@
     pub(crate) fn check_write_size(
         &self,
         transaction: &Transaction,
-        result: &Result<u64, Refusal>,
+        result: &Result<u64, CommitError>,
     ) {
         assert!(
-            *result != Err(Refusal::TooLarge),
+            *result != Err(CommitError::TooLarge),
             "too large: {transaction:?}"
         );
     }
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -342,7 +342,7 @@
         self.check_write_size(&transaction, &result);
         let written = match result {
             Ok(revision) => WriteOutcome::Applied(revision),
-            Err(_) => self.store.reread(&transaction),
+            Err(_) => self.store.indeterminate_outcome(&transaction),
         };
         let now = self.now;
         if let Some(to) = respond_to {
@@ -404,7 +404,7 @@
                 respond_to,
             } => self.apply_write(transaction, respond_to),
             Message::WriteTimeout { to, transaction } => {
-                let written = self.store.reread(&transaction);
+                let written = self.store.indeterminate_outcome(&transaction);
                 self.with_controller(to.leader, |manager| {
                     manager.write_finished(to.write, written, now);
                 });
--- a/tests/histories/tasks.rs
+++ b/tests/histories/tasks.rs
@@ -61,9 +61,10 @@
                 }
             }
         }
-        self.gang_progress.retain(|run, _| gangs.contains_key(run));
-        for (run, members) in gangs {
-            self.advance_gang(run, members);
+        self.gang_progress
+            .retain(|gang, _| gangs.contains_key(gang));
+        for (gang, members) in gangs {
+            self.advance_gang(gang, members);
         }
     }
 
@@ -81,14 +82,14 @@
 
     /// Advances a gang. Its tasks exit together: when done, when a task was lost for longer than
     /// `gang_peer_s`, or when some task has not started within `gang_wait_s`.
-    fn advance_gang(&mut self, run: GangAttempt, members: Vec<Member>) {
+    fn advance_gang(&mut self, gang: GangAttempt, members: Vec<Member>) {
         let now = self.now;
         let workers = &self.settings.cluster.workers;
-        let job = self.jobs.get_mut(&run.job).expect("an accepted job");
+        let job = self.jobs.get_mut(&gang.job).expect("an accepted job");
         let all_present = members.len() == job.spec.tasks as usize;
         let all_running = all_present && members.iter().all(|m| !m.hung);
         let first_start = members.iter().map(|m| m.since).fold(now, f64::min);
-        let state = self.gang_progress.entry(run).or_default();
+        let state = self.gang_progress.entry(gang).or_default();
         if all_running {
             state.complete_since.get_or_insert(now);
             state.broken_since = None;
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -1,6 +1,6 @@
 //! The simulated cluster of a history: state service, workers and controllers, and users' requests.
 
-use super::common::{self, Refusal, Store};
+use super::common::{self, CommitError, Store};
 use super::job::{split_task_name, Job, RunTimes};
 use super::leader::Leader;
 use super::network::Network;
@@ -223,14 +223,14 @@
         run_times: RunTimes,
         checks_dependencies: bool,
     ) {
-        let spec = common::parsed(body);
+        let spec = common::parse_submission(body);
         let dependencies = spec.waits_on.clone();
         let record = OpenRecord::accepted(spec.clone(), 0);
         let txn = Transaction::default()
             .absent(open_key(id))
             .absent(final_state_key(id))
             .put(open_key(id), serde_json::to_value(&record).unwrap());
-        let final_state = |id: &String| self.store.item(&final_state_key(id)).map(|i| i.value);
+        let final_state = |id: &String| self.store.get(&final_state_key(id)).map(|i| i.value);
         if checks_dependencies
             && dependencies
                 .iter()
@@ -254,7 +254,7 @@
 
     /// Cancels a job through any controller.
     pub(crate) fn cancel(&mut self, id: &str) {
-        let Some(item) = self.store.item(&open_key(id)) else {
+        let Some(item) = self.store.get(&open_key(id)) else {
             return;
         };
         let mut record: OpenRecord = serde_json::from_value(item.value).unwrap();
@@ -274,9 +274,9 @@
 
     /// Commits a write for a user. Such writes are exempt from the limits of these histories, which
     /// are narrow so that the leader's records are split often.
-    fn commit_for_user(&mut self, txn: &Transaction) -> Result<u64, Refusal> {
+    fn commit_for_user(&mut self, txn: &Transaction) -> Result<u64, CommitError> {
         if self.store_is_down {
-            return Err(Refusal::Conflict);
+            return Err(CommitError::Conflict);
         }
         let narrow = std::mem::replace(&mut self.store.value_bytes, usize::MAX);
         let result = self.store.commit(txn);
@@ -309,17 +309,17 @@
         let open: Vec<String> = open.iter().map(|i| self.describe(&id(&i.key))).collect();
         assert!(open.is_empty(), "not finished: {open:#?}");
         for id in self.jobs.keys() {
-            let end = self
+            let final_state = self
                 .store
-                .item(&final_state_key(id))
-                .expect("recorded")
+                .get(&final_state_key(id))
+                .expect("a recorded final state")
                 .value;
             let expected = if self.is_cancelled_by_user(id) {
                 "cancelled"
             } else {
                 "done"
             };
-            assert_eq!(end["state"], expected, "wrong final state: {id}");
+            assert_eq!(final_state["state"], expected, "wrong final state: {id}");
         }
     }
 
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -125,8 +125,8 @@
         );
         assert!(largest.conditions <= state.max_compares(), "{largest:?}");
     }
-    // The bytes include the machine's job, its four tasks, and the test's own copy of them. The largest
-    // fleet takes less than two thirds of 72 MB, the smallest memory that any controller has had.
+    // The bytes per machine include its job, its four tasks, and the test's own copy of the tasks. The
+    // largest fleet takes less than two thirds of 72 MB, the smallest memory that any controller has had.
     let bytes = format!(
         "bytes per machine: {small_bytes} in the small fleet, {large_bytes} in the largest"
     );
@@ -213,11 +213,11 @@
         let value = serde_json::to_value(job_of_machine(i)).unwrap();
         item(format!("{OPEN_PREFIX}req-{i}"), value, u64::from(i) + 1)
     });
-    let places = fleet.placements.iter();
+    let placements = fleet.placements.iter();
     Records {
         open_jobs: open.collect(),
         completions: Vec::new(),
-        placements: places
+        placements: placements
             .map(|(key, (value, version))| item(key.clone(), value.clone(), *version))
             .collect(),
     }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    for_each_effect, machine_type, manager, manager_with_token, parsed, starts, submission,
-    task_statuses, worker_heartbeat, AttemptId, Store, SETTINGS,
+    for_each_effect, machine_type, manager, manager_with_token, parse_submission, starts,
+    submission, task_statuses, worker_heartbeat, AttemptId, Store, SETTINGS,
 };
 use serde_json::{json, Value};
 use stairstage::coordination::cluster::{Effect, WriteOutcome};
@@ -64,7 +64,7 @@
         let mut body = submission(id, "sweep", "normal", 2);
         body["waits_on"] = json!(waits_on);
         change(&mut body);
-        let record = OpenRecord::accepted(parsed(&body), (1000.0 * now) as u64);
+        let record = OpenRecord::accepted(parse_submission(&body), (1000.0 * now) as u64);
         let value = serde_json::to_value(&record).unwrap();
         let txn = Transaction::default().put(open_key(id), value);
         let version = self.store.commit(&txn).unwrap();
@@ -74,7 +74,7 @@
 
     /// Stores a cancellation, as any controller does on a user's request, and informs the leader.
     fn cancel(&mut self, id: &str, now: f64) {
-        let item = self.store.item(&open_key(id)).unwrap();
+        let item = self.store.get(&open_key(id)).unwrap();
         let record: OpenRecord = serde_json::from_value(item.value).unwrap();
         let record = serde_json::to_value(record.into_cancelled(2000)).unwrap();
         let txn = Transaction::default()
@@ -101,7 +101,7 @@
             {
                 let written = match store.commit(&transaction) {
                     Ok(revision) => WriteOutcome::Applied(revision),
-                    Err(_) => store.reread(&transaction),
+                    Err(_) => store.indeterminate_outcome(&transaction),
                 };
                 manager.write_finished(id, written, now);
             }
@@ -164,7 +164,7 @@
 
     /// The stored final state of a job.
     fn final_state(&self, id: &str) -> Option<Value> {
-        Some(self.store.item(&final_state_key(id))?.value["state"].clone())
+        Some(self.store.get(&final_state_key(id))?.value["state"].clone())
     }
 }
 
@@ -269,7 +269,7 @@
     }
     for id in ["req-3", "req-4"] {
         assert_eq!(leader.announced[id], JobState::Cancelled);
-        assert!(leader.store.item(&open_key(id)).is_none());
+        assert!(leader.store.get(&open_key(id)).is_none());
     }
     assert_eq!(leader.final_state("req-5"), None);
     // Jobs submitted later are cancelled as well, also through a chain of dependencies.
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn late_cancellation_of_completed_job_does_not_cancel_dependents() {
+fn dependent_of_done_job_starts_and_is_not_cancelled() {
     let mut leader = Leader::new();
     leader.submit("req-2", &["req-1"], unchanged, 0.0);
     leader
@@ -378,8 +378,8 @@
     // A cancelled job no longer passes its priority on.
     let cancelled = |l: &mut Leader| l.cancel("req-4", 0.0);
     assert_eq!(first_launched(pipeline, cancelled), "req-1");
-    // The deadline of req-6 is 10 s earlier than that of req-3, and req-5 with its 20 s comes before req-6.
-    // So req-2 has less time left than req-1.
+    // The deadline of req-6 is 10 s earlier than that of req-3, and req-5, which takes 20 s, comes before
+    // req-6. So req-2 has less time left than req-1.
     let long = |l: &mut Leader| {
         l.submit("req-3", &["req-1"], due(200.0), 0.0);
     };
@@ -388,7 +388,7 @@
         l.submit("req-6", &["req-5"], due(190.0), 0.0);
     };
     assert_eq!(first_launched(long, short), "req-2");
-    // The longest path counts: req-6 depends on req-2 directly, and through req-5 with its 20 s.
+    // The longest path counts: req-6 depends on req-2 directly, and through req-5, which takes 20 s.
     let late = |l: &mut Leader| {
         l.submit("req-5", &["req-2"], unchanged, 0.0);
         l.submit("req-6", &["req-5", "req-2"], due(210.0), 0.0);
--- a/tests/poll_batching.rs
+++ b/tests/poll_batching.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{parsed, request_context, submission, Store, SETTINGS};
+use common::{parse_submission, request_context, submission, Store, SETTINGS};
 use serde_json::json;
 use stairstage::coordination::requests::polls::{Limits, Poll, PollBatcher, PollEffect};
 use stairstage::coordination::requests::{
@@ -63,7 +63,7 @@
 /// The response of the state service to a call.
 fn answer_of(store: &Store, call: StoreCall) -> StoreAnswer {
     match call {
-        StoreCall::Read(key) => StoreAnswer::Read(Ok(store.item(&key))),
+        StoreCall::Read(key) => StoreAnswer::Read(Ok(store.get(&key))),
         StoreCall::Commit(transaction) => {
             StoreAnswer::Committed(store.check_conditions(&transaction))
         }
@@ -77,7 +77,7 @@
     let mut open = |id: &str, waits_on: &[&str]| {
         let mut body = submission(id, "sweep", "normal", 4);
         body["waits_on"] = json!(waits_on);
-        let record = OpenRecord::accepted(parsed(&body), 0);
+        let record = OpenRecord::accepted(parse_submission(&body), 0);
         let value = serde_json::to_value(record).unwrap();
         store.values.insert(open_key(id), (value, 1));
     };
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -1,5 +1,5 @@
-//! Users poll three controllers while there is no leader, for a while or at all, one controller can't
-//! reach the state service, and other clients use most of its request limit. No final state may change
+//! Users poll three controllers. Leaders change or there is none, one controller can't reach the state
+//! service, and other clients use most of the request limit of the state service. No final state may change
 //! once it was reported, the controllers must stay within their share of requests in every second, and
 //! every job must be answered within a bound.
 
@@ -50,7 +50,7 @@
     (users, cluster)
 }
 
-/// Among this many polls at three controllers, three are at the same one.
+/// Among this many polls at three controllers, at least three are at the same one.
 const MAX_POLLS: f64 = 7.0;
 
 /// The time in seconds within which every polled job is answered. The first poll at a controller may be
--- a/tests/polls/jobs.rs
+++ b/tests/polls/jobs.rs
@@ -1,7 +1,7 @@
 //! The polled jobs: some depend on others.
 
 use crate::common::random::SplitMix64;
-use crate::common::{parsed, submission};
+use crate::common::{parse_submission, submission};
 use serde_json::{json, Value};
 use stairstage::protocol::job::JobState;
 use stairstage::storage::records::{FinalStateRecord, OpenRecord};
@@ -33,7 +33,7 @@
     let dependencies: Vec<String> = dependency_of(number).into_iter().map(id_of).collect();
     let mut body = submission(&id_of(number), "sweep", "normal", 4);
     body["waits_on"] = json!(dependencies);
-    let spec = parsed(&body);
+    let spec = parse_submission(&body);
     serde_json::to_value(OpenRecord::accepted(spec, 0)).expect("serializing plain data cannot fail")
 }
 
--- a/tests/polls/state_service.rs
+++ b/tests/polls/state_service.rs
@@ -106,7 +106,7 @@
         let allowed = self.requests.take(now, 1.0);
         match call {
             StoreCall::Read(key) => StoreAnswer::Read(if allowed {
-                Ok(self.store.item(key))
+                Ok(self.store.get(key))
             } else {
                 Err(Unavailable)
             }),
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -213,7 +213,7 @@
     let key = final_state_key(job);
     let final_state = FinalStateRecord::cancelled(0).to_value();
     store.values.insert(key.clone(), (final_state, 1));
-    RequestEvent::Store(StoreAnswer::Read(Ok(store.item(&key))))
+    RequestEvent::Store(StoreAnswer::Read(Ok(store.get(&key))))
 }
 
 /// The answer of a peer that can't accept a request now.
--- a/tests/requests/jobs.rs
+++ b/tests/requests/jobs.rs
@@ -55,7 +55,7 @@
 
 /// The final state of a job in the state service.
 pub(crate) fn recorded_final_state(store: &crate::common::Store, job: u8) -> Option<JobState> {
-    let item = store.item(&final_state_key(&id_of(job)))?;
+    let item = store.get(&final_state_key(&id_of(job)))?;
     let record: FinalStateRecord = serde_json::from_value(item.value).unwrap();
     Some(record.state)
 }
--- a/tests/requests/leader.rs
+++ b/tests/requests/leader.rs
@@ -36,7 +36,7 @@
     }
 
     /// A controller learns the final state of a job.
-    pub(crate) fn job_end_recorded(&mut self, controller: usize, job: u8, state: JobState) {
+    pub(crate) fn final_state_recorded(&mut self, controller: usize, job: u8, state: JobState) {
         self.controllers[controller]
             .final_states
             .insert(&id_of(job), state);
@@ -99,7 +99,7 @@
 
     /// The leader's watch delivers the current record of a job.
     pub(crate) fn deliver_to_leader(&mut self, job: u8) {
-        let item = self.store.item(&open_key(&id_of(job)));
+        let item = self.store.get(&open_key(&id_of(job)));
         let (Some(item), Some(leader)) = (item, &self.leader) else {
             return;
         };
@@ -128,11 +128,11 @@
         }
         match (outcome, final_state) {
             (CommitOutcome::Applied(_), Some(state)) => {
-                self.job_end_recorded(controller, job, state);
+                self.final_state_recorded(controller, job, state);
             }
             (CommitOutcome::Conflict(_), Some(_)) => {
                 if let Some(state) = recorded_final_state(&self.store, job) {
-                    self.job_end_recorded(controller, job, state);
+                    self.final_state_recorded(controller, job, state);
                 }
             }
             _ => {}
@@ -149,7 +149,7 @@
     ) -> Option<(Transaction, Option<JobState>)> {
         let (id, dependency) = (id_of(job), dependency_of(job));
         let state = leader.manager.status(&id).map(|status| status.state);
-        let is_open = self.store.item(&open_key(&id)).is_some();
+        let is_open = self.store.get(&open_key(&id)).is_some();
         let dependency_state = dependency.map(|n| recorded_final_state(&self.store, n));
         let final_state = match (state, dependency_state) {
             (Some(JobState::Cancelled), _) => None,
--- a/tests/requests/model.rs
+++ b/tests/requests/model.rs
@@ -27,15 +27,15 @@
     pub final_states: RecentFinalStates,
     /// The leader that this controller knows of.
     pub leader: Option<usize>,
-    /// Whether the state service rejects its calls.
+    /// Whether the state service rejects the calls of this controller.
     pub rejected: bool,
-    /// Whether all machine types in its list are too small for any job.
+    /// Whether all machine types that this controller knows are too small for any job.
     pub small_types: bool,
-    /// Answers its polls.
+    /// Answers the polls of this controller.
     pub batcher: PollBatcher,
-    /// By number of a poll: its job, and who gets the answer.
+    /// The job of each poll, and who gets the answer, by the number of the poll.
     pub polls: BTreeMap<u64, (u8, Recipient)>,
-    /// How many of its write transactions were applied.
+    /// How many write transactions of this controller were applied.
     pub applied: usize,
 }
 
--- a/tests/requests/rules.rs
+++ b/tests/requests/rules.rs
@@ -82,7 +82,7 @@
         match answer.status {
             200 | 201 => self.check_state(request, answer, store),
             400 | 404 | 422 => {
-                check_denial(request, answer.status);
+                check_error_status(request, answer.status);
                 None
             }
             503 => None,
@@ -113,7 +113,7 @@
         if request.reported_before.is_some() {
             assert_eq!(
                 answer.status, 200,
-                "{request:?}: its state had been reported"
+                "{request:?}: the state of the job had been reported"
             );
         }
         if state == JobState::Cancelled {
@@ -165,7 +165,7 @@
     serde_json::from_value(body["status"].clone()).expect("a state")
 }
 
-/// Checks that a reported state is recorded, and that the job's dependency is.
+/// Checks that a reported state is recorded, and that the job's dependency was accepted.
 fn assert_recorded(request: &UserRequest, state: JobState, store: &Store) {
     let final_state = recorded_final_state(store, request.job);
     let open = is_open(store, request.job);
@@ -198,15 +198,16 @@
 
 /// Whether a job has an open record.
 fn is_open(store: &Store, job: u8) -> bool {
-    store.item(&open_key(&id_of(job))).is_some()
+    store.get(&open_key(&id_of(job))).is_some()
 }
 
-/// Checks that a job whose state was reported is never denied, and that each denial has the right status.
-fn check_denial(request: &UserRequest, status: u16) {
+/// Checks that no request for a job whose state was reported gets an error status, and that each error status
+/// is the right one for its request.
+fn check_error_status(request: &UserRequest, status: u16) {
     let known = request.reported_before.is_some();
     assert!(
         !known,
-        "reported job is denied: {request:?} is answered {status}"
+        "state was reported before: {request:?} is answered {status}"
     );
     let is_expected = match request.kind {
         Kind::Submit => status != 404,
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -39,7 +39,7 @@
     /// The state service rejects the controllers whose bits are set.
     Reject(u8),
     /// A controller gets a list of machine types: only ones that are too small, or the usual ones.
-    Types(usize, bool),
+    SetMachineTypes(usize, bool),
 }
 
 /// The weights of the steps and faults in a schedule.
@@ -147,7 +147,7 @@
         let finish = (accepted_job(), self.delivery())
             .prop_map(|(job, delivery)| Step::LeaderFinishesJob(job, delivery));
         let types = (controllers(), any::<bool>())
-            .prop_map(|(controller, small)| Step::Types(controller, small));
+            .prop_map(|(controller, small)| Step::SetMachineTypes(controller, small));
         any_of(vec![
             (10, self.user_request().boxed()),
             (30, advance.boxed()),
@@ -206,7 +206,9 @@
         Step::Elect(controller) => simulation.elect(controller),
         Step::LearnLeader(controller) => simulation.learn_leader(controller),
         Step::Reject(bits) => simulation.reject(bits),
-        Step::Types(controller, small) => simulation.controllers[controller].small_types = small,
+        Step::SetMachineTypes(controller, small) => {
+            simulation.controllers[controller].small_types = small
+        }
     }
 }
 
--- a/tests/requests/simulation.rs
+++ b/tests/requests/simulation.rs
@@ -1,6 +1,6 @@
 //! Simulates controllers that serve requests, the state service, and a leader whose state lags behind it.
 
-use crate::common::{self, Refusal, Store};
+use crate::common::{self, CommitError, Store};
 use crate::coverage::Coverage;
 use crate::jobs::{body_of, dependency_of, id_of, recorded_final_state, JOBS, NEVER_SUBMITTED};
 use crate::model::{
@@ -176,7 +176,7 @@
                 }
                 RequestEffect::FinalStateRecorded(state) => {
                     let job = self.running[&key].job.unwrap();
-                    self.job_end_recorded(controller, job, state);
+                    self.final_state_recorded(controller, job, state);
                 }
                 RequestEffect::ReadRecords(poll) => {
                     let recipient = self.finish(key);
@@ -212,7 +212,7 @@
                 }
                 PollEffect::FinalStatesRecorded(final_states) => {
                     for (id, state) in final_states {
-                        self.job_end_recorded(controller, job_of(&id).unwrap(), state);
+                        self.final_state_recorded(controller, job_of(&id).unwrap(), state);
                     }
                 }
                 PollEffect::Answer(number, answer) => {
@@ -378,7 +378,7 @@
                 if answered {
                     self.coverage.count_read(&key, controller);
                 }
-                let item = answered.then(|| self.store.item(&key));
+                let item = answered.then(|| self.store.get(&key));
                 StoreAnswer::Read(item.ok_or(Unavailable))
             }
             StoreCall::List { under, after, .. } => {
@@ -396,7 +396,7 @@
         }
     }
 
-    /// Executes a transaction as its delivery says.
+    /// Executes a transaction according to its delivery.
     pub(crate) fn commit(
         &mut self,
         sender: u64,
@@ -437,8 +437,8 @@
                     usize::from(!transaction.operations.is_empty());
                 CommitOutcome::Applied(version)
             }
-            Err(Refusal::Conflict) => CommitOutcome::Conflict(conflicts),
-            Err(Refusal::TooLarge) => panic!("transaction too large: {transaction:?}"),
+            Err(CommitError::Conflict) => CommitOutcome::Conflict(conflicts),
+            Err(CommitError::TooLarge) => panic!("transaction too large: {transaction:?}"),
         }
     }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -8,7 +8,8 @@
     apply_all_effects, cost_of_unchanged_heartbeats, effect_bytes, saturated_fleet, SaturatedFleet,
 };
 use common::{
-    heartbeat_from, machine_type, parsed, starts, submission, submit, task_statuses, SETTINGS,
+    heartbeat_from, machine_type, parse_submission, starts, submission, submit, task_statuses,
+    SETTINGS,
 };
 use stairstage::coordination::cluster::Effect;
 use stairstage::coordination::manager::ClusterManager;
@@ -51,7 +52,7 @@
 
 #[test]
 fn unchanged_heartbeat_costs_the_same_in_any_fleet() {
-    // The number of machines and placements examined, and the bytes answered and sent.
+    // The number of machines and placements that the manager examines, and the bytes that it sends.
     let cost = |machines: u32| {
         let SaturatedFleet {
             mut manager,
@@ -106,8 +107,11 @@
 
 #[test]
 fn launches_of_many_jobs_share_record_writes() {
-    let changes = saturated_fleet(120).write_operations;
-    assert!(changes <= 30, "{changes} write operations for 120 jobs");
+    let operations = saturated_fleet(120).write_operations;
+    assert!(
+        operations <= 30,
+        "{operations} write operations for 120 jobs"
+    );
 }
 
 /// Simulates a small write limit and small records, with a fleet where tasks constantly exit and others
@@ -122,7 +126,7 @@
     manager.set_machine_types(vec![machine_type()]);
     // Large jobs, so that the writes of their final states hardly count.
     for n in 1..=4 {
-        let spec = parsed(&submission(&format!("req-{n}"), "sweep", "normal", 2000));
+        let spec = parse_submission(&submission(&format!("req-{n}"), "sweep", "normal", 2000));
         let record = OpenRecord::accepted(spec, 0);
         manager.job_accepted(record, n, 0, 0.0);
     }
@@ -216,7 +220,8 @@
         let answer = send(worker, "POST", "/agent/beat", "{}");
         assert!(answer.starts_with("http/1.1 200") && !answer.contains("connection: close"));
     }
-    // Far more workers than sockets: each keeps its lease, as its heartbeat is answered, but no connection.
+    // Far more workers than sockets: each heartbeat is answered, which renews the lease of its worker, but
+    // the connection is closed.
     for _ in 0..20 {
         let mut further = connect();
         let answer = send(&mut further, "POST", "/agent/beat", "{}");
@@ -256,7 +261,7 @@
 }
 
 #[test]
-fn oversized_incomplete_and_endless_requests_are_cut_off() {
+fn oversized_and_incomplete_requests_are_not_served() {
     let address = serve(Bounds {
         idle_timeout: Duration::from_millis(200),
         body_timeout: Duration::from_millis(200),
@@ -271,7 +276,7 @@
     slow.write_all(head.as_bytes()).unwrap();
     assert!(read_response(&mut slow).starts_with("http/1.1 408"));
     // An incomplete request head: the connection is closed.
-    let mut endless = TcpStream::connect(address).unwrap();
-    endless.write_all(b"GET /healthz HT").unwrap();
-    assert!(!read_response(&mut endless).starts_with("http/1.1 200"));
+    let mut incomplete = TcpStream::connect(address).unwrap();
+    incomplete.write_all(b"GET /healthz HT").unwrap();
+    assert!(!read_response(&mut incomplete).starts_with("http/1.1 200"));
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn direct_launch_is_not_forgotten_while_a_delayed_copy_of_it_may_arrive() {
+fn directly_launched_task_is_not_forgotten_while_a_duplicate_command_may_arrive() {
     let mut manager = manager();
     submit(&mut manager, "req-1", "sweep", "normal", None, 1);
     heartbeat(&mut manager, 1, Vec::new(), 0.0);
--- a/tests/silent_machines.rs
+++ b/tests/silent_machines.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    apply_effects, heartbeat_starts, lose_commands, manager, manager_with_token, parsed, starts,
-    submission, submit, task_statuses, worker_heartbeat,
+    apply_effects, heartbeat_starts, lose_commands, manager, manager_with_token, parse_submission,
+    starts, submission, submit, task_statuses, worker_heartbeat,
 };
 use stairstage::coordination::cluster::heartbeats::HeartbeatSource;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, HeartbeatOutcome};
@@ -63,7 +63,7 @@
     send_heartbeats_from(HeartbeatSource::Worker, manager, tasks, reporting, seconds)
 }
 
-/// The same as [`send_heartbeats`] for heartbeats that reach the leader from `source`.
+/// Like [`send_heartbeats`], for heartbeats that reach the leader from `source`.
 fn send_heartbeats_from(
     source: HeartbeatSource,
     manager: &mut ClusterManager,
@@ -177,7 +177,7 @@
 fn machine_with_an_unanswered_command_gets_no_new_work_until_its_next_heartbeat() {
     let mut manager = manager();
     let two_tasks = |manager: &mut ClusterManager, id: &str, sequence: u64| {
-        let spec = parsed(&submission(id, "sweep", "normal", 2));
+        let spec = parse_submission(&submission(id, "sweep", "normal", 2));
         let record = OpenRecord::accepted(spec, 0);
         manager.job_accepted(record, sequence, 0, 0.0);
     };
--- a/tests/upgrade_proof.rs
+++ b/tests/upgrade_proof.rs
@@ -12,7 +12,7 @@
 #[path = "common/random.rs"]
 mod random;
 
-use local_cluster::{call, small_job, until, ControllerProcess, LocalCluster};
+use local_cluster::{call, small_job, wait_until, ControllerProcess, LocalCluster};
 use random::SplitMix64;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 
 /// A cluster whose controllers change, and the states of jobs as users got them.
 struct UpgradeRun {
-    grid: LocalCluster,
+    cluster: LocalCluster,
     previous: PathBuf,
     policy: PathBuf,
     controllers: [Option<ControllerProcess>; 3],
@@ -52,10 +52,10 @@
 
 impl UpgradeRun {
     fn new(previous: PathBuf) -> UpgradeRun {
-        let grid = LocalCluster::new("proof");
-        let policy = grid.write_file("upgrade.lisp", POLICY);
+        let cluster = LocalCluster::new("proof");
+        let policy = cluster.write_file("upgrade.lisp", POLICY);
         let mut run = UpgradeRun {
-            grid,
+            cluster,
             previous,
             policy,
             controllers: [None, None, None],
@@ -75,15 +75,15 @@
         self.random.next() as usize % bound
     }
 
-    /// Starts a controller with this release or the previous one, instead of the process that runs.
+    /// Starts a controller with this release or the previous one, in place of the running process.
     fn start(&mut self, i: usize, current: bool) {
         self.controllers[i] = None;
         self.current[i] = current;
         let arguments = [OsStr::new("--upgrade"), self.policy.as_os_str()];
         self.controllers[i] = if current {
-            self.grid.start_with(i, &arguments)
+            self.cluster.start_with(i, &arguments)
         } else {
-            self.grid.start_program(&self.previous, i, &[])
+            self.cluster.start_program(&self.previous, i, &[])
         };
     }
 
@@ -96,8 +96,8 @@
             job["waits_on"] = json!([dependency]);
         }
         for _ in 0..20 {
-            let front = self.grid.api_address(self.random.next() as usize % 3);
-            match call("POST", &front, "/v2/runs", &job) {
+            let address = self.cluster.api_address(self.random.next() as usize % 3);
+            match call("POST", &address, "/v2/runs", &job) {
                 Some((200 | 201, _)) => {
                     self.last_state.insert(id, "pending".into());
                     return;
@@ -124,12 +124,12 @@
         self.poll(&id, controller);
     }
 
-    /// A user polls a job at a controller; a final state must not be taken back.
+    /// A user polls a job at a controller; a final state must not change.
     fn poll(&mut self, id: &str, controller: usize) {
         let path = format!("/v2/runs/{id}");
         let answer = call(
             "GET",
-            &self.grid.api_address(controller),
+            &self.cluster.api_address(controller),
             &path,
             &Value::Null,
         );
@@ -150,8 +150,8 @@
 
     /// The worker sends heartbeats to all controllers and finishes each task after one heartbeat.
     fn run_worker(&mut self) {
-        self.grid.worker.lock().unwrap().finish = true;
-        self.grid.send_heartbeats(&[0, 1, 2]);
+        self.cluster.worker.lock().unwrap().completes_tasks = true;
+        self.cluster.send_heartbeats(&[0, 1, 2]);
     }
 
     /// Restarts a random controller with one of the two releases, or stops it until a later change.
@@ -189,10 +189,10 @@
     /// All controllers run this release, and an operator finalizes the upgrade.
     fn finalize(&mut self) {
         (0..3).for_each(|i| self.start(i, true));
-        until("the upgrade is finalized", || {
+        wait_until("the upgrade is finalized", || {
             let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
                 .args(["upgrade", "finalize", "--config"])
-                .arg(self.grid.settings_file(0))
+                .arg(self.cluster.settings_file(0))
                 .output()
                 .unwrap();
             output.status.success().then_some(())
@@ -202,7 +202,7 @@
     /// Waits until every accepted job is done, and polls each at every controller.
     fn finish_jobs(&mut self) {
         (0..3).for_each(|i| self.start(i, true));
-        until("every job is done", || {
+        wait_until("every job is done", || {
             self.run_worker();
             (0..20).for_each(|_| self.poll_any());
             self.last_state
@@ -225,15 +225,15 @@
     let seconds = std::env::var("STAIRSTAGE_PROOF_S").expect("the duration of the run in seconds");
     let seconds: f64 = seconds.parse().expect("a number");
     let mut run = UpgradeRun::new(Path::new(&previous).to_path_buf());
-    let begun = Instant::now();
+    let started_at = Instant::now();
     run.run_until(
-        begun + Duration::from_secs_f64(MIXED_SHARE * seconds),
+        started_at + Duration::from_secs_f64(MIXED_SHARE * seconds),
         false,
     );
     run.finalize();
-    run.run_until(begun + Duration::from_secs_f64(seconds), true);
+    run.run_until(started_at + Duration::from_secs_f64(seconds), true);
     run.finish_jobs();
-    let starts = run.grid.worker.lock().unwrap().starts.clone();
+    let starts = run.cluster.worker.lock().unwrap().starts.clone();
     let mut times: BTreeMap<&String, usize> = BTreeMap::new();
     starts
         .iter()
@@ -242,7 +242,7 @@
     println!(
         "{} s: {} jobs submitted, {} accepted, {} with one final state, {} changes of controllers, {} \
          left offline, {} tasks of {} started again after they had exited",
-        begun.elapsed().as_secs(),
+        started_at.elapsed().as_secs(),
         run.submitted,
         run.last_state.len(),
         run
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -3,7 +3,7 @@
 #[path = "common/local_cluster.rs"]
 mod local_cluster;
 
-use local_cluster::{call, small_job, submit_job, until, ControllerProcess, LocalCluster};
+use local_cluster::{call, small_job, submit_job, wait_until, ControllerProcess, LocalCluster};
 use serde_json::{json, Value};
 use std::ffi::OsStr;
 use std::path::Path;
@@ -19,12 +19,12 @@
 }
 
 /// Runs `stairstage upgrade` with these arguments.
-fn upgrade(grid: &LocalCluster, policy: &Path, arguments: &[&str]) -> CommandOutput {
+fn upgrade(cluster: &LocalCluster, policy: &Path, arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
         .arg("upgrade")
         .args(arguments)
         .arg("--config")
-        .arg(grid.settings_file(0))
+        .arg(cluster.settings_file(0))
         .arg("--upgrade")
         .arg(policy)
         .output()
@@ -36,8 +36,8 @@
 }
 
 /// Starts a controller with this upgrade policy.
-fn start_staged(grid: &LocalCluster, i: usize, policy: &Path) -> Option<ControllerProcess> {
-    grid.start_with(i, &[OsStr::new("--upgrade"), policy.as_os_str()])
+fn start_staged(cluster: &LocalCluster, i: usize, policy: &Path) -> Option<ControllerProcess> {
+    cluster.start_with(i, &[OsStr::new("--upgrade"), policy.as_os_str()])
 }
 
 /// A small job with a dependency.
@@ -48,22 +48,22 @@
 }
 
 /// Whether the health check of a controller succeeds.
-fn healthy(grid: &LocalCluster, i: usize) -> bool {
-    call("GET", &grid.api_address(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
+fn is_healthy(cluster: &LocalCluster, i: usize) -> bool {
+    call("GET", &cluster.api_address(i), "/healthz", &Value::Null).is_some_and(|a| a.0 == 200)
 }
 
 #[test]
 fn gated_feature_is_rejected_until_all_controllers_support_it_and_an_operator_finalizes() {
-    let grid = LocalCluster::new("staged");
-    let policy = grid.write_file("upgrade.lisp", BY_HAND);
+    let cluster = LocalCluster::new("staged");
+    let policy = cluster.write_file("upgrade.lisp", BY_HAND);
     let mut controllers: Vec<Option<ControllerProcess>> = vec![
-        start_staged(&grid, 0, &policy),
-        start_staged(&grid, 1, &policy),
+        start_staged(&cluster, 0, &policy),
+        start_staged(&cluster, 1, &policy),
         // Stands for a release without staged upgrades: it gets no upgrade policy.
-        grid.start(2),
+        cluster.start(2),
     ];
-    let status = until("two controllers are registered", || {
-        let output = upgrade(&grid, &policy, &["status", "--format", "json"]);
+    let status = wait_until("two controllers are registered", || {
+        let output = upgrade(&cluster, &policy, &["status", "--format", "json"]);
         let status: Value = serde_json::from_str(&output.text).ok()?;
         let runs = |i: usize| status["controllers"][i]["release"].is_string();
         (output.code == 0 && runs(0) && runs(1)).then_some(status)
@@ -72,14 +72,14 @@
     assert_eq!(status["next"], 2);
     assert_eq!(status["controllers"][2]["release"], Value::Null);
 
-    assert!([201, 200].contains(&submit_job(&grid.api_address(0), &small_job("req-1"))));
+    assert!([201, 200].contains(&submit_job(&cluster.api_address(0), &small_job("req-1"))));
     let dependent = dependent_job("req-2", "req-1");
-    let (code, answer) = until("the submission is answered", || {
-        call("POST", &grid.api_address(0), "/v2/runs", &dependent)
+    let (code, answer) = wait_until("the submission is answered", || {
+        call("POST", &cluster.api_address(0), "/v2/runs", &dependent)
     });
     assert_eq!(code, 503, "{answer}");
     assert!(answer["error"].as_str().unwrap().contains("finalized"));
-    let refused = upgrade(&grid, &policy, &["finalize"]);
+    let refused = upgrade(&cluster, &policy, &["finalize"]);
     assert_eq!(refused.code, 3);
     assert!(
         refused.text.contains("n2 has never registered"),
@@ -88,20 +88,20 @@
     );
 
     controllers[2] = None;
-    controllers[2] = start_staged(&grid, 2, &policy);
-    until("the upgrade may be finalized", || {
-        (upgrade(&grid, &policy, &["plan"]).code == 0).then_some(())
+    controllers[2] = start_staged(&cluster, 2, &policy);
+    wait_until("the upgrade may be finalized", || {
+        (upgrade(&cluster, &policy, &["plan"]).code == 0).then_some(())
     });
     for _ in 0..2 {
-        let done = upgrade(&grid, &policy, &["finalize"]);
+        let done = upgrade(&cluster, &policy, &["finalize"]);
         assert_eq!(done.code, 0, "{}", done.text);
         assert!(done.text.contains("version 2 is active"), "{}", done.text);
     }
-    assert_eq!(upgrade(&grid, &policy, &["abort"]).code, 3);
+    assert_eq!(upgrade(&cluster, &policy, &["abort"]).code, 3);
     for i in 0..3 {
-        let front = grid.api_address(i);
-        until("a dependent job is accepted", || {
-            let answer = call("POST", &front, "/v2/runs", &dependent)?;
+        let address = cluster.api_address(i);
+        wait_until("a dependent job is accepted", || {
+            let answer = call("POST", &address, "/v2/runs", &dependent)?;
             [200, 201].contains(&answer.0).then_some(())
         });
     }
@@ -110,23 +110,23 @@
 
 #[test]
 fn aborted_upgrade_stays_aborted_until_an_operator_finalizes() {
-    let grid = LocalCluster::new("aborted");
+    let cluster = LocalCluster::new("aborted");
     let automatic = "(upgrade (finalize automatic) (soak 0) (member-lease 2))";
-    let policy = grid.write_file("upgrade.lisp", automatic);
+    let policy = cluster.write_file("upgrade.lisp", automatic);
     let mut controllers = vec![
-        start_staged(&grid, 0, &policy),
-        start_staged(&grid, 1, &policy),
+        start_staged(&cluster, 0, &policy),
+        start_staged(&cluster, 1, &policy),
     ];
-    until("two controllers are registered", || {
-        let output = upgrade(&grid, &policy, &["status"]);
+    wait_until("two controllers are registered", || {
+        let output = upgrade(&cluster, &policy, &["status"]);
         (output.text.matches("versions 1 to 2").count() == 2).then_some(())
     });
     for _ in 0..2 {
-        assert_eq!(upgrade(&grid, &policy, &["abort"]).code, 0);
+        assert_eq!(upgrade(&cluster, &policy, &["abort"]).code, 0);
     }
-    controllers.push(start_staged(&grid, 2, &policy));
-    let output = until("all controllers are registered", || {
-        let output = upgrade(&grid, &policy, &["status"]);
+    controllers.push(start_staged(&cluster, 2, &policy));
+    let output = wait_until("all controllers are registered", || {
+        let output = upgrade(&cluster, &policy, &["status"]);
         (output.text.matches("versions 1 to 2").count() == 3).then_some(output)
     });
     assert!(
@@ -139,8 +139,8 @@
         "{}",
         output.text
     );
-    assert_eq!(upgrade(&grid, &policy, &["finalize"]).code, 0);
-    let output = upgrade(&grid, &policy, &["status"]);
+    assert_eq!(upgrade(&cluster, &policy, &["finalize"]).code, 0);
+    let output = upgrade(&cluster, &policy, &["status"]);
     assert!(
         output.text.starts_with("cluster version 2\n"),
         "{}",
@@ -150,64 +150,64 @@
 
 #[test]
 fn policy_finalizes_after_all_controllers_have_run_for_the_soak_time() {
-    let grid = LocalCluster::new("automatic");
+    let cluster = LocalCluster::new("automatic");
     let automatic = "(upgrade (finalize automatic) (soak 0.001) (member-lease 2))";
-    let policy = grid.write_file("upgrade.lisp", automatic);
+    let policy = cluster.write_file("upgrade.lisp", automatic);
     let _controllers: Vec<Option<ControllerProcess>> =
-        (0..3).map(|i| start_staged(&grid, i, &policy)).collect();
-    until("version 2 is active", || {
-        let output = upgrade(&grid, &policy, &["status"]);
+        (0..3).map(|i| start_staged(&cluster, i, &policy)).collect();
+    wait_until("version 2 is active", || {
+        let output = upgrade(&cluster, &policy, &["status"]);
         output.text.starts_with("cluster version 2\n").then_some(())
     });
 }
 
 #[test]
 fn controllers_withdraw_when_their_release_does_not_support_the_active_version() {
-    let grid = LocalCluster::new("withdraws");
-    let policy = grid.write_file("upgrade.lisp", BY_HAND);
+    let cluster = LocalCluster::new("withdraws");
+    let policy = cluster.write_file("upgrade.lisp", BY_HAND);
     let _controllers: Vec<Option<ControllerProcess>> =
-        (0..3).map(|i| start_staged(&grid, i, &policy)).collect();
-    until("a leader is elected", || grid.leader());
-    until("all controllers are healthy", || {
-        (0..3).all(|i| healthy(&grid, i)).then_some(())
+        (0..3).map(|i| start_staged(&cluster, i, &policy)).collect();
+    wait_until("a leader is elected", || cluster.leader());
+    wait_until("all controllers are healthy", || {
+        (0..3).all(|i| is_healthy(&cluster, i)).then_some(())
     });
-    submit_job(&grid.api_address(0), &small_job("req-1"));
+    submit_job(&cluster.api_address(0), &small_job("req-1"));
     // The record as a later release writes it when it finalizes version 9.
     let record = json!({"active": 9, "since_ms": 1});
-    grid.state.lock().unwrap().put("cluster/version", record);
-    until("the leader has stepped down", || {
-        grid.leader().is_none().then_some(())
+    cluster.state.lock().unwrap().put("cluster/version", record);
+    wait_until("the leader has stepped down", || {
+        cluster.leader().is_none().then_some(())
     });
     for i in 0..3 {
-        let front = grid.api_address(i);
-        until("the health check fails", || {
-            (!healthy(&grid, i)).then_some(())
+        let address = cluster.api_address(i);
+        wait_until("the health check fails", || {
+            (!is_healthy(&cluster, i)).then_some(())
         });
-        let status = call("GET", &front, "/v2/runs/req-1", &Value::Null);
+        let status = call("GET", &address, "/v2/runs/req-1", &Value::Null);
         assert_eq!(status.map(|a| a.0), Some(503));
-        let submitted = call("POST", &front, "/v2/runs", &small_job("req-2"));
+        let submitted = call("POST", &address, "/v2/runs", &small_job("req-2"));
         assert_eq!(submitted.map(|a| a.0), Some(503));
         let body = json!({"vessel": "m-1", "endpoint": "127.0.0.1:9", "hull": "g8", "berth": "z",
             "driftwood": false, "watch": 1, "log_no": 1, "helm": 0, "recall_s": null, "legs": []});
-        let heartbeat = call("POST", &front, "/agent/beat", &body);
+        let heartbeat = call("POST", &address, "/agent/beat", &body);
         assert_ne!(
             heartbeat.map(|a| a.0),
             Some(200),
             "a worker's lease was renewed"
         );
     }
-    let key_exists = |key: &str| grid.state.lock().unwrap().keys.contains_key(key);
+    let key_exists = |key: &str| cluster.state.lock().unwrap().keys.contains_key(key);
     assert!(key_exists("open/req-1") && !key_exists("open/req-2"));
 }
 
 #[test]
 fn invalid_policy_is_reported_with_file_field_and_value() {
-    let grid = LocalCluster::new("mistaken");
+    let cluster = LocalCluster::new("mistaken");
     let text = r#"(upgrade (window monday friday "20:00" "22:00" "Indian/Atlantis"))"#;
-    let policy = grid.write_file("upgrade.lisp", text);
+    let policy = cluster.write_file("upgrade.lisp", text);
     let output = Command::new(env!("CARGO_BIN_EXE_stairstage"))
         .args(["check", "--config"])
-        .arg(grid.settings_file(0))
+        .arg(cluster.settings_file(0))
         .arg("--upgrade")
         .arg(&policy)
         .output()
@@ -217,7 +217,7 @@
     for part in ["upgrade.lisp", "window", "Indian/Atlantis"] {
         assert!(output.contains(part), "{part}: {output}");
     }
-    let policy = grid.write_file("upgrade.lisp", BY_HAND);
-    assert_eq!(upgrade(&grid, &policy, &["status"]).code, 0);
-    assert_eq!(upgrade(&grid, &policy, &["finalize"]).code, 3);
+    let policy = cluster.write_file("upgrade.lisp", BY_HAND);
+    assert_eq!(upgrade(&cluster, &policy, &["status"]).code, 0);
+    assert_eq!(upgrade(&cluster, &policy, &["finalize"]).code, 3);
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    for_each_effect, heartbeat, machine_type, manager, parsed, started_attempts, starts,
-    submission, task_statuses, worker_heartbeat, AttemptId, Refusal, Store, SETTINGS,
+    for_each_effect, heartbeat, machine_type, manager, parse_submission, started_attempts, starts,
+    submission, task_statuses, worker_heartbeat, AttemptId, CommitError, Store, SETTINGS,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -60,8 +60,8 @@
             writes += 1;
             let written = match store.commit(&transaction) {
                 Ok(revision) => WriteOutcome::Applied(revision),
-                Err(Refusal::Conflict) => store.reread(&transaction),
-                Err(Refusal::TooLarge) => panic!("too large: {transaction:?}"),
+                Err(CommitError::Conflict) => store.indeterminate_outcome(&transaction),
+                Err(CommitError::TooLarge) => panic!("too large: {transaction:?}"),
             };
             manager.write_finished(id, written, now);
         }
@@ -82,7 +82,7 @@
 
 /// Stores the record of an accepted array.
 fn accept(store: &mut Store, id: &str, tasks: u32) {
-    let spec = parsed(&submission(id, "sweep", "normal", tasks));
+    let spec = parse_submission(&submission(id, "sweep", "normal", tasks));
     let record = OpenRecord::accepted(spec, 0);
     let value = serde_json::to_value(&record).unwrap();
     let txn = Transaction::default().put(open_key(id), value);
@@ -159,7 +159,7 @@
         execute_effects(&mut manager, &mut store, now, usize::MAX);
         now += 60.0;
         execute_effects(&mut manager, &mut store, now, usize::MAX);
-        prop_assert!(store.item(&final_state_key("req-1")).is_some(), "no final state is recorded");
+        prop_assert!(store.get(&final_state_key("req-1")).is_some(), "no final state is recorded");
         let left = store.with_prefix(COMPLETION_PREFIX);
         prop_assert!(left.is_empty(), "completion records are left: {left:?}");
     }
@@ -224,8 +224,8 @@
             Effect::Write { id, transaction } => {
                 let written = match store.commit(&transaction) {
                     Ok(revision) => WriteOutcome::Applied(revision),
-                    Err(Refusal::Conflict) => store.reread(&transaction),
-                    Err(Refusal::TooLarge) => WriteOutcome::TooLarge,
+                    Err(CommitError::Conflict) => store.indeterminate_outcome(&transaction),
+                    Err(CommitError::TooLarge) => WriteOutcome::TooLarge,
                 };
                 manager.write_finished(id, written, now);
             }
@@ -261,8 +261,11 @@
     // Without new features the encoding is the same, so the release in production can read it.
     let written = serde_json::to_value(&open).unwrap();
     assert_eq!(written, serde_json::from_str::<Value>(OPEN_RECORD).unwrap());
-    let end: FinalStateRecord = serde_json::from_str(FINAL_STATE_RECORD).unwrap();
-    assert_eq!((end.state, end.at_ms), (JobState::Done, None));
+    let final_state: FinalStateRecord = serde_json::from_str(FINAL_STATE_RECORD).unwrap();
+    assert_eq!(
+        (final_state.state, final_state.at_ms),
+        (JobState::Done, None)
+    );
     let completions: StoredCompletions = serde_json::from_str(COMPLETION_RECORD).unwrap();
     assert_eq!(completions.done, [(0, 3), (7, 7)]);
     assert_eq!(parse_completion_key("run/req-1/0"), Some(("req-1", 0)));
@@ -274,9 +277,9 @@
         None,
         "records of the old sharding are not written"
     );
-    let places: StoredPlacements = serde_json::from_str(PLACEMENT_RECORD).unwrap();
+    let placements: StoredPlacements = serde_json::from_str(PLACEMENT_RECORD).unwrap();
     assert_eq!(
-        serde_json::to_value(&places).unwrap(),
+        serde_json::to_value(&placements).unwrap(),
         serde_json::from_str::<Value>(PLACEMENT_RECORD).unwrap()
     );
 }
@@ -325,7 +328,7 @@
     body["kit"] = json!(text(150));
     body["berth"] = json!(text(150));
     body["hulls"] = json!(vec![text(150); 60]);
-    let record = OpenRecord::accepted(parsed(&body), u64::MAX);
+    let record = OpenRecord::accepted(parse_submission(&body), u64::MAX);
     assert!(record.bytes() > 16 * 1024);
     let bound = 2048 * 85 / 100;
     let cancelled = record.into_cancelled(bound);
--- a/tests/workload_simulation/failovers.rs
+++ b/tests/workload_simulation/failovers.rs
@@ -9,7 +9,7 @@
 const SEEDS: u64 = 12;
 
 /// Half of the machines are partitioned during the failover, and the cloud accepts no returns. The new leader
-/// can't prove that tasks on them have ended, and still counts these tasks against the limits of the teams.
+/// can't prove that tasks on these machines have ended, and counts them against the limits of the teams.
 #[test]
 fn teams_at_their_limit_are_served_after_failover_with_unreachable_machines() {
     check_runs(SEEDS, |seed| {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn jobs_with_uneven_task_run_times_are_done_after_failovers() {
+fn jobs_with_uneven_task_run_times_are_served_after_failovers() {
     check_runs(SEEDS, |seed| {
         let mut random = Random::new(seed);
         let mut sim = Simulation::new(seed, &UNLIMITED_TEAMS, &["z"], Cloud::with_capacity(10));
--- a/tests/workload_simulation/failures.rs
+++ b/tests/workload_simulation/failures.rs
@@ -24,7 +24,7 @@
     plans
 }
 
-/// The policy keeps idle machines, so that a missing machine was taken for faulty.
+/// The policy keeps idle machines, so a machine is only returned if the leader considers it faulty.
 #[test]
 fn jobs_failing_on_every_machine_cause_no_machine_return_and_delay_no_other_job() {
     check_runs(SEEDS, |seed| {
--- a/tests/workload_simulation/overload.rs
+++ b/tests/workload_simulation/overload.rs
@@ -2,7 +2,7 @@
 //! the machines, high rates of small jobs, and deadlines that cannot be met. Every job starts in time, and at
 //! least half of each class, team and of the largest jobs is done.
 
-use crate::common::{manager, parsed, submission, task_statuses, AttemptId};
+use crate::common::{manager, parse_submission, submission, task_statuses, AttemptId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
@@ -24,7 +24,7 @@
     cpus: f64,
     run_s: f64,
     due_s: Option<f64>,
-    /// The submitted estimate_factor as a multiple of the actual run time.
+    /// The submitted estimate as a multiple of the actual run time.
     estimate_factor: f64,
 }
 
@@ -75,7 +75,7 @@
         body["cpus"] = json!(job.cpus);
         body["passage_s"] = json!(job.run_s * job.estimate_factor);
         body["due_s"] = json!(job.due_s);
-        let record = OpenRecord::accepted(parsed(&body), 0);
+        let record = OpenRecord::accepted(parse_submission(&body), 0);
         let accepted_ms = record.at_ms;
         self.manager
             .job_accepted(record, number as u64 + 1, accepted_ms, self.now);
@@ -288,16 +288,16 @@
             count(format!("class {}", job.class), served);
             count(format!("team {}", job.team), served);
             if job.class == "large" && job.tasks >= 12 {
-                count("the largest".into(), served);
+                count("the largest jobs".into(), served);
             }
             let began = times(i).began.map(|t| t - times(i).arrived);
             prop_assert!(
                 began.is_some_and(|s| s <= 240.0),
-                "req-{i} began after {began:?}: {job:?}"
+                "req-{i} started after {began:?} s: {job:?}"
             );
         }
         for (group, (all, served)) in groups {
-            prop_assert!(2 * served >= all, "{group}: {served} of {all}");
+            prop_assert!(2 * served >= all, "{group}: {served} of {all} served");
         }
     }
 }
--- a/tests/workload_simulation/services.rs
+++ b/tests/workload_simulation/services.rs
@@ -12,13 +12,13 @@
 pub(crate) struct StateService {
     /// The latency of each transaction in seconds.
     pub latency_s: f64,
-    /// Whether it rejects every request with status 503.
+    /// Whether the state service rejects every request with status 503.
     pub unavailable: bool,
     /// The share of transactions that are applied at once while the response is lost.
     pub response_loss_rate: f64,
     /// The share of transactions that are applied late and without a response.
     pub delay_rate: f64,
-    /// Write operations that it accepts per second.
+    /// Write operations that the state service accepts per second.
     pub write_ops_per_s: f64,
     /// Write operations available now, as of `refilled_at`.
     available_ops: f64,
@@ -116,7 +116,7 @@
 }
 
 impl Cloud {
-    /// A cloud without capacity. Idle machines are kept, so that only those taken for faulty are returned.
+    /// A cloud without capacity. Idle machines are kept, so that only those considered faulty are returned.
     pub(crate) fn without_capacity() -> Cloud {
         Cloud {
             accepts_rentals: false,
--- a/tests/workload_simulation/simulation/leader.rs
+++ b/tests/workload_simulation/simulation/leader.rs
@@ -1,7 +1,7 @@
 //! The leader: its election, its writes and its other effects.
 
 use super::Simulation;
-use crate::common::Refusal;
+use crate::common::CommitError;
 use crate::services::WriteHandling;
 use serde_json::json;
 use stairstage::coordination::cluster::{CommandOutcome, Effect, WriteOutcome};
@@ -48,7 +48,7 @@
         let (due, later) = delayed.into_iter().partition(|(at, _)| *at <= now);
         self.delayed_writes = later;
         for (_, txn) in due {
-            // Fails if one of its conditions no longer holds.
+            // The commit fails if one of the conditions no longer holds.
             let _ = self.store.commit(&txn);
         }
     }
@@ -64,7 +64,7 @@
             let result = if write.confirmed {
                 self.commit(&write.transaction)
             } else {
-                self.store.reread(&write.transaction)
+                self.store.indeterminate_outcome(&write.transaction)
             };
             let leader = self.leader.as_mut();
             if let Some(manager) = leader.filter(|c| c.first_token().0 == write.leader) {
@@ -77,8 +77,8 @@
     pub(super) fn commit(&mut self, txn: &Transaction) -> WriteOutcome {
         match self.store.commit(txn) {
             Ok(revision) => WriteOutcome::Applied(revision),
-            Err(Refusal::Conflict) => self.store.reread(txn),
-            Err(Refusal::TooLarge) => panic!("too large: {txn:?}"),
+            Err(CommitError::Conflict) => self.store.indeterminate_outcome(txn),
+            Err(CommitError::TooLarge) => panic!("too large: {txn:?}"),
         }
     }
 
@@ -118,8 +118,8 @@
                 self.manager().commands_answered(&machine, result, now);
             }
             Effect::ReadFinalStates(ids) => {
-                let ends = self.store.final_states(&ids);
-                self.manager().final_states_found(ends, now);
+                let found = self.store.final_states(&ids);
+                self.manager().final_states_found(found, now);
             }
             Effect::ReturnMachines(names) => {
                 let accepted = self.cloud.accepts_returns;
@@ -137,7 +137,7 @@
                 let token = self.raise_token();
                 self.manager().token_raised(token.map(FencingToken), now);
             }
-            // Users learn of it from the record, which any controller may read.
+            // Users learn of the final state from its record, which any controller may read.
             Effect::JobFinished { .. } => {}
         }
     }
--- a/tests/workload_simulation/simulation/users.rs
+++ b/tests/workload_simulation/simulation/users.rs
@@ -1,7 +1,7 @@
 //! Users, who submit and cancel jobs and wait for their results.
 
 use super::{Simulation, STEP_S};
-use crate::common::parsed;
+use crate::common::parse_submission;
 use crate::worker::Worker;
 use crate::workload::JobPlan;
 use stairstage::protocol::job::{parse_task, JobState};
@@ -26,7 +26,7 @@
 }
 
 impl Outcome {
-    /// Whether it is neither done nor cancelled.
+    /// Whether the job is neither done nor cancelled.
     fn is_open(&self) -> bool {
         self.done.is_none() && self.cancelled.is_none()
     }
@@ -45,7 +45,7 @@
             }
             let id = format!("req-{}", self.next_plan);
             self.next_plan += 1;
-            let record = OpenRecord::accepted(parsed(&plan.body(&id)), self.wall_ms());
+            let record = OpenRecord::accepted(parse_submission(&plan.body(&id)), self.wall_ms());
             let txn = Transaction::default()
                 .absent(open_key(&id))
                 .absent(final_state_key(&id))
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Cancels the jobs that are due for it.
+    /// Cancels the jobs whose cancellation is due.
     pub(super) fn cancel_due(&mut self) {
         if self.state.unavailable {
             return;
@@ -92,7 +92,7 @@
 
     /// Cancels a job, unless it has finished or the rate limit of the state service is reached.
     pub(crate) fn cancel(&mut self, id: &str) {
-        let Some(item) = self.store.item(&open_key(id)) else {
+        let Some(item) = self.store.get(&open_key(id)) else {
             return;
         };
         if !self.state.try_acquire(2, self.now) {
@@ -100,14 +100,17 @@
         }
         let mut record: OpenRecord = serde_json::from_value(item.value).unwrap();
         record.cancelled = true;
-        let end = FinalStateRecord {
+        let final_state = FinalStateRecord {
             state: JobState::Cancelled,
             at_ms: None,
         };
         let txn = Transaction::default()
             .absent(final_state_key(id))
             .version(open_key(id), item.version)
-            .put(final_state_key(id), serde_json::to_value(end).unwrap())
+            .put(
+                final_state_key(id),
+                serde_json::to_value(final_state).unwrap(),
+            )
             .put(open_key(id), serde_json::to_value(&record).unwrap());
         if self.store.commit(&txn).is_err() {
             return;
@@ -121,10 +124,13 @@
     /// Notes which jobs have a final state on record.
     pub(super) fn read_final_states(&mut self) {
         for (id, outcome) in self.outcomes.iter_mut().filter(|(_, o)| o.is_open()) {
-            let Some((end, _)) = self.store.values.get(&final_state_key(id)) else {
+            let Some((final_state, _)) = self.store.values.get(&final_state_key(id)) else {
                 continue;
             };
-            assert_eq!(end["state"], "done", "{id}: nobody has cancelled the job");
+            assert_eq!(
+                final_state["state"], "done",
+                "{id}: nobody has cancelled the job"
+            );
             outcome.done = Some(self.now);
         }
     }
--- a/tests/workload_simulation/unguaranteed_teams.rs
+++ b/tests/workload_simulation/unguaranteed_teams.rs
@@ -64,9 +64,9 @@
         };
         sim.plan(job_stream(&small, 0.2, 5.0, 200.0));
         sim.run(480.0, |_| {});
-        // Less than the time after which a starved job passes a reservation.
+        // The bound is less than the time after which a starved job passes a reservation.
         let delay_s = longest_start_delay_s(&sim, |p| p.team == "t");
-        assert!(delay_s < 45.0, "seed {seed}: others waited {delay_s} s");
+        assert!(delay_s < 45.0, "seed {seed}: other jobs waited {delay_s} s");
         sim
     });
 }
--- a/tests/workload_simulation/worker.rs
+++ b/tests/workload_simulation/worker.rs
@@ -56,11 +56,11 @@
     /// Tasks that completed on this machine. Their results are kept, so that they exit at once when started
     /// again.
     completed_tasks: BTreeSet<String>,
-    /// Until then the machine and the controllers can't reach each other.
+    /// Until this time, the machine and the controllers can't reach each other.
     pub partitioned_until: f64,
-    /// Until then heartbeats arrive, while responses and direct commands are lost.
+    /// Until this time, heartbeats arrive, while responses and direct commands are lost.
     pub inbound_lost_until: f64,
-    /// Until then direct commands arrive, while heartbeats are lost.
+    /// Until this time, direct commands arrive, while heartbeats are lost.
     pub heartbeats_lost_until: f64,
     /// Whether every task fails on this machine.
     pub faulty: bool,
@@ -222,13 +222,13 @@
         }
     }
 
-    /// The initial state of a task: fetching its image, or exited if it is rejected.
+    /// The initial state of a task: fetching its image, or exited if the worker rejects the task.
     fn initial_state(&self, task: &str, plan: &JobPlan) -> (TaskState, Option<Cause>) {
-        let refused = |cause| (TaskState::Exited, Some(cause));
+        let rejected = |cause| (TaskState::Exited, Some(cause));
         if self.live().any(|(other, _)| other.task == *task) {
-            refused(Cause::Busy)
+            rejected(Cause::Busy)
         } else if self.free_cpus() < plan.cpus {
-            refused(Cause::InsufficientResources)
+            rejected(Cause::InsufficientResources)
         } else {
             (TaskState::Fetching, None)
         }
--- a/tests/workload_simulation/zones.rs
+++ b/tests/workload_simulation/zones.rs
@@ -159,7 +159,7 @@
     let delay_s = longest_start_delay_s(&sim, |p| p.class != "wide");
     assert!(
         delay_s < MAX_START_DELAY_S,
-        "seed {seed}: others waited {delay_s} s"
+        "seed {seed}: other jobs waited {delay_s} s"
     );
     sim
 }
@@ -223,7 +223,7 @@
         let delay_s = longest_start_delay_s(&sim, |p| p.zone.is_none());
         assert!(
             delay_s < MAX_START_DELAY_S,
-            "seed {seed}: others waited {delay_s} s"
+            "seed {seed}: other jobs waited {delay_s} s"
         );
         sim
     });
