--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -239,7 +239,7 @@
         task_statuses(&first, TaskState::Running, None),
         1.0,
     );
-    // The lease of its worker expires, and long tasks of a higher priority take the machine's resources.
+    // The lease of the machine's worker expires, and long tasks of a higher priority take the resources.
     let mut long = submission("req-2", "sweep", "urgent", 4);
     long["passage_s"] = json!(5000.0);
     manager.job_accepted(OpenRecord::accepted(parse_submission(&long), 0), 2, 0, 16.0);
--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -60,7 +60,7 @@
     pub replayed_heartbeats: f64,
     /// Delay of replayed heartbeats after the election.
     pub replay_delay: DelayRange,
-    /// Heartbeats that are delayed, without a copy that arrives in time.
+    /// Heartbeats that are delayed, without a duplicate that arrives in time.
     pub delayed_heartbeats: f64,
     /// Responses to heartbeats that are delayed.
     pub slow_responses: f64,
--- a/tests/histories/steps.rs
+++ b/tests/histories/steps.rs
@@ -12,7 +12,7 @@
 
 /// The number of different jobs that a history may submit.
 pub(crate) const MAX_JOBS: u8 = 9;
-/// The faults that a write may meet.
+/// The faults that may affect a write.
 const WRITE_FAULTS: [WriteFault; 4] = [
     WriteFault::None,
     WriteFault::ResponseLost,
--- a/tests/histories/world.rs
+++ b/tests/histories/world.rs
@@ -22,7 +22,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The fault that a write meets.
+/// The fault that affects a write.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum WriteFault {
     #[default]
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -236,8 +236,9 @@
     // All machines send heartbeats within one interval, as after a restart of all controllers.
     for (i, tasks) in fleet.tasks.iter().enumerate() {
         let now = 2.0 * i as f64 / fleet.tasks.len() as f64;
-        for (sequence, seen) in [(3, 1), (4, token)] {
-            let heartbeat = worker_heartbeat(&format!("m-{i}"), sequence, seen, tasks.clone());
+        for (sequence, known_token) in [(3, 1), (4, token)] {
+            let heartbeat =
+                worker_heartbeat(&format!("m-{i}"), sequence, known_token, tasks.clone());
             launched += heartbeat_starts(&mut next, &heartbeat, now).len();
         }
         if i % 500 == 0 {
--- a/tests/requests/model.rs
+++ b/tests/requests/model.rs
@@ -61,7 +61,8 @@
     LocalView,
     Store(StoreCall),
     Peer(usize),
-    /// Not resumed by a step: it is being started or resumed, or a peer works on the forwarded request.
+    /// A step does not resume the operation: it is being started or resumed, or a peer handles the
+    /// forwarded request.
     Forwarded,
 }
 
--- a/tests/requests/schedule.rs
+++ b/tests/requests/schedule.rs
@@ -207,7 +207,7 @@
         Step::LearnLeader(controller) => simulation.learn_leader(controller),
         Step::Reject(bits) => simulation.reject(bits),
         Step::SetMachineTypes(controller, small) => {
-            simulation.controllers[controller].small_types = small
+            simulation.controllers[controller].small_types = small;
         }
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -101,7 +101,7 @@
             manager.record_cycle_duration(0.05, now);
         }
     }
-    // The steps span two seconds, and a pass starts a quarter of a second after the one before.
+    // The steps span two seconds, and a pass starts a quarter of a second after the previous one.
     assert!((2..=9).contains(&passes), "{passes}");
 }
 
--- a/tests/workload_simulation/simulation/machines.rs
+++ b/tests/workload_simulation/simulation/machines.rs
@@ -67,7 +67,7 @@
         self.advance_gangs();
     }
 
-    /// Starts the tasks of a gang together, completes them together, and stops them all if one is gone.
+    /// Starts the tasks of a gang together, completes them together, and stops them all if one is missing.
     pub(super) fn advance_gangs(&mut self) {
         let mut gangs: BTreeMap<GangAttempt, Vec<TaskState>> = BTreeMap::new();
         let mut done: BTreeSet<GangAttempt> = BTreeSet::new();
