--- a/tests/histories/network.rs
+++ b/tests/histories/network.rs
@@ -60,7 +60,7 @@
     pub replayed_heartbeats: f64,
     /// Delay of replayed heartbeats after the election.
     pub replay_delay: DelayRange,
-    /// Heartbeats that are delayed, without a copy that arrives in time.
+    /// Heartbeats that are delayed, without a duplicate that arrives in time.
     pub delayed_heartbeats: f64,
     /// Responses to heartbeats that are delayed.
     pub slow_responses: f64,
@@ -344,7 +344,7 @@
         self.check_write_size(&transaction, &result);
         let written = match result {
             Ok(revision) => WriteOutcome::Applied(revision),
-            Err(_) => self.store.reread(&transaction),
+            Err(_) => self.store.indeterminate_outcome(&transaction),
         };
         let now = self.now;
         if let Some(to) = respond_to {
@@ -406,7 +406,7 @@
                 respond_to,
             } => self.apply_write(transaction, respond_to),
             Message::WriteTimeout { to, transaction } => {
-                let written = self.store.reread(&transaction);
+                let written = self.store.indeterminate_outcome(&transaction);
                 self.with_controller(to.leader, |manager| {
                     manager.write_finished(to.write, written, now);
                 });
